--- a/beryllug/core/cascade.py
+++ b/beryllug/core/cascade.py
@@ -1,14 +1,15 @@
-"""Which stage of a cascade runs, and whether its answer is given out.
-
-Three ways are weighed for each request: a cheaper stage whose answer is rated
-before it is given out, a cheaper stage unchecked, and the last stage. Each has
-an expected cost and a chance of a good answer; the chance is worth a price that
-rises while an account's answers are under the quality target and falls while
-they are above it. Thus the cost is least at the target, and not at a threshold
-that someone guessed.
-
-Without the rating service nothing is checked, and what is unchecked must be
-proved good by earlier ratings: quality is held and cost is not.
+"""Chooses the stage of a cascade that runs and the answer that is returned.
+
+Three options are compared for each request: a cheaper stage whose answer is
+rated before it is returned, a cheaper stage without a rating, and the last
+stage. Each has an expected cost and a probability of a good answer. The
+probability is weighted by a price that rises while the cascade's answers are
+below the quality target and falls while they are above it. The cost is thus
+minimized at the target, without a hand-tuned rating threshold.
+
+Without the rating service no answer is rated before it is returned, and a
+cheaper stage is used only if earlier ratings show that it is good enough:
+the quality target is kept at a higher cost.
 """
 
 import math
@@ -22,13 +23,13 @@
 )
 
 RATING_COST_PART = 0.02
-PRICE_STEP = 0.01
-LEAST_PRICE = 0.0
-MOST_PRICE = 3.5
-BLIND_PRICE = 8.0
+LOG_PRICE_STEP = 0.01
+MIN_LOG_PRICE = 0.0
+MAX_LOG_PRICE = 3.5
+UNRATED_LOG_PRICE = 8.0
 MARGIN = 0.005
-MOST_DOUBTED = 0.4
-MEANT_KEPT = 200
+MAX_LAST_STAGE_SHORTFALL = 0.4
+QUALITY_WINDOW_ANSWERS = 200
 
 Question = cascade_data.Question
 
@@ -39,7 +40,7 @@
     question: Question,
     now: float,
 ) -> cascade_data.Begin:
-    """Choose the stage that a request starts with."""
+    """Return the stage that a request starts with."""
     last = len(question.offers) - 1
     match policy:
         case cascade_data.AlwaysStrong():
@@ -47,10 +48,10 @@
         case cascade_data.AlwaysCheap():
             return cascade_data.Begin(0, checked=False)
         case cascade_data.FixedThreshold():
-            checked = last > 0 and _fits(state, question, 0)
+            checked = last > 0 and _fits_deadlines(state, question, 0)
             return cascade_data.Begin(0 if checked else last, checked)
         case cascade_data.Learnt():
-            return _best_begin(policy, state, question, now)
+            return _best_start(policy, state, question, now)
 
 
 def after(
@@ -59,17 +60,17 @@
     question: Question,
     answers: Sequence[cascade_data.Answer],
 ) -> cascade_data.Decision:
-    """Decide about the answers that have come so far.
+    """Decide what to do with the answers that were generated so far.
 
     Args:
         policy: The policy.
-        state: What was learnt.
+        state: The learnt state.
         question: The request, with the time that is left now.
-        answers: Its whole answers, none of them given out yet.
+        answers: Its complete answers, none of them returned yet.
 
     Returns:
-        Which answer is given out, the stage that runs next, or that the
-        answer is rated again.
+        The answer to return, the stage to run next, or a request for another
+        rating of the answer.
     """
     latest = answers[-1]
     last = len(question.offers) - 1
@@ -80,7 +81,7 @@
                 return cascade_data.Begin(last, checked=False)
             return cascade_data.GiveOut(latest.stage)
         case cascade_data.Learnt():
-            return _give_or_escalate(policy, state, question, latest)
+            return _return_or_escalate(policy, state, question, latest)
         case _:
             return cascade_data.GiveOut(latest.stage)
 
@@ -92,20 +93,20 @@
     now: float,
     draw: float,
 ) -> cascade_data.Sample:
-    """Tell whether an answer that was given out is rated afterwards.
+    """Decide whether an answer is rated after it was returned.
 
     Args:
         policy: The policy.
-        state: What was learnt.
+        state: The learnt state.
         given: The answer.
-        now: The present second.
+        now: The current time in seconds.
         draw: A random number from 0 to 1.
     """
     if not isinstance(policy, cascade_data.Learnt):
         return cascade_data.Sample.NONE
     if not rating_health.is_reachable(state.judge, now):
         return cascade_data.Sample.NONE
-    if draw < policy.audit_part:
+    if draw < policy.audit_fraction:
         return cascade_data.Sample.AUDIT
     if given.answer.rating is not None:
         return cascade_data.Sample.NONE
@@ -113,8 +114,8 @@
         given.question, given.answer.stage, given.escalated
     )
     weight = rating_model.weight(state, place)
-    first = policy.learn_first / (policy.learn_first + weight)
-    if draw < policy.audit_part + first:
+    first = policy.learning_weight / (policy.learning_weight + weight)
+    if draw < policy.audit_fraction + first:
         return cascade_data.Sample.LEARN
     return cascade_data.Sample.NONE
 
@@ -125,7 +126,7 @@
     drawn: cascade_data.Sample,
     rating: float,
 ) -> None:
-    """Take the rating of a sample."""
+    """Record the rating of a sampled answer."""
     if not rating_health.is_trusted(state.judge):
         return
     question = given.question
@@ -150,26 +151,26 @@
     answer: cascade_data.Answer,
     escalated: bool,
 ) -> float:
-    """Enter an answer that was given out, and move the price.
+    """Record an answer that was returned, and update the price.
 
-    The price follows the share of good answers: the mean chance of the last
-    ones, corrected by what audits show.
+    The price follows the share of good answers, estimated as the mean
+    probability of the recent ones plus the error that audits show.
 
     Returns:
-        The answer's chance of being good.
+        The probability that the answer is good.
     """
     place = stage_chance.place_of(question, answer.stage, escalated)
     chance = stage_chance.of_answer(state, question, place, answer)
     ledger = _ledger(state, question)
     ledger.answers += 1
-    part = 1 / min(ledger.answers, MEANT_KEPT)
+    part = 1 / min(ledger.answers, QUALITY_WINDOW_ANSWERS)
     ledger.meant += part * (chance - ledger.meant)
     ledger.unit += part * (question.offers[-1].cost - ledger.unit)
     least = question.cascade.min_rating
-    share = ledger.meant + rating_model.audited_error(ledger, least)
-    short = question.cascade.quality_target + MARGIN - share
-    price = ledger.price + PRICE_STEP * short
-    ledger.price = min(max(price, LEAST_PRICE), MOST_PRICE)
+    share = ledger.meant + rating_model.audit_error(ledger, least)
+    shortfall = question.cascade.quality_target + MARGIN - share
+    price = ledger.price + LOG_PRICE_STEP * shortfall
+    ledger.price = min(max(price, MIN_LOG_PRICE), MAX_LOG_PRICE)
     return chance
 
 
@@ -179,10 +180,10 @@
     answer: cascade_data.Answer,
     escalated: bool,
 ) -> None:
-    """Learn from an answer's rating, given out or not.
+    """Learn from the rating of an answer, whether it was returned or not.
 
-    Ratings of a service that is not trusted teach nothing; they are still
-    asked for, so that its probes show when it can be trusted again.
+    Ratings of an untrusted service are ignored. They are still requested, so
+    that probes show when the service can be trusted again.
     """
     if answer.rating is None or not rating_health.is_trusted(state.judge):
         return
@@ -192,7 +193,7 @@
     rating_model.learn(state, place, rating, noise)
 
 
-def _best_begin(
+def _best_start(
     policy: cascade_data.Learnt,
     state: cascade_data.CascadeState,
     question: Question,
@@ -203,103 +204,106 @@
     if not _is_plausible(state, question):
         return best
     usable = rating_health.is_usable(state.judge, now)
-    price, caution = _terms(policy, state, question, usable)
-    best_worth = _worth_unchecked(state, question, last, (price, -caution))
-    for begin in _cheaper(state, question, usable):
+    price, confidence_z = _price_and_confidence(policy, state, question, usable)
+    best_utility = _unchecked_utility(
+        state, question, last, (price, -confidence_z)
+    )
+    for begin in _cheaper_starts(state, question, usable):
         if begin.checked:
-            worth = _worth_checked(state, question, begin.stage)
+            utility = _checked_utility(state, question, begin.stage)
         else:
-            terms = (price, caution)
-            worth = _worth_unchecked(state, question, begin.stage, terms)
-        if worth > best_worth:
+            terms = (price, confidence_z)
+            utility = _unchecked_utility(state, question, begin.stage, terms)
+        if utility > best_utility:
             best = begin
-            best_worth = worth
+            best_utility = utility
     return best
 
 
 def _is_plausible(state: cascade_data.CascadeState, question: Question) -> bool:
-    """Tell whether the last stage is rated as its declaration promises.
+    """Return whether the last stage's ratings come close to the target.
 
-    A service that rates everything low makes all stages look equally bad, and
-    then the cheapest looks best. The last stage is trusted before that.
+    A rating service that rates everything low makes all stages look equally
+    bad, and then the cheapest would win. In that case the ratings are ignored
+    and the last stage, declared the strongest, is used.
     """
     chance = stage_chance.of_last(state, question)
-    return chance > question.cascade.quality_target - MOST_DOUBTED
+    return chance > question.cascade.quality_target - MAX_LAST_STAGE_SHORTFALL
 
 
-def _cheaper(
+def _cheaper_starts(
     state: cascade_data.CascadeState, question: Question, usable: bool
 ) -> Iterator[cascade_data.Begin]:
-    """Yield the ways to begin that fit the time, but for the last stage."""
+    """Yield the options, besides the last stage, that meet the deadlines."""
     for stage, offer in enumerate(question.offers[:-1]):
         in_time = offer.first_token_s <= question.first_token_left_s
         if offer.open and in_time:
             yield cascade_data.Begin(stage, checked=False)
-        if offer.open and usable and _fits(state, question, stage):
+        if offer.open and usable and _fits_deadlines(state, question, stage):
             yield cascade_data.Begin(stage, checked=True)
 
 
-def _fits(
+def _fits_deadlines(
     state: cascade_data.CascadeState, question: Question, stage: int
 ) -> bool:
-    """Tell whether a stage, its rating and the last stage fit the time."""
+    """Return whether a stage, its rating and the last stage fit in time."""
     spent = question.offers[stage].whole_s
     spent += rating_health.longest_s(state.judge)
-    strong = question.offers[-1]
-    if not strong.open:
+    last_offer = question.offers[-1]
+    if not last_offer.open:
         return False
-    if spent + strong.first_token_s > question.first_token_left_s:
+    if spent + last_offer.first_token_s > question.first_token_left_s:
         return False
-    return spent + strong.whole_s <= question.whole_left_s
+    return spent + last_offer.whole_s <= question.whole_left_s
 
 
-def _worth_unchecked(
+def _unchecked_utility(
     state: cascade_data.CascadeState,
     question: Question,
     stage: int,
     terms: tuple[float, float],
 ) -> float:
-    """Return the worth at a price and with a caution."""
-    price, caution = terms
+    """Return the utility of a stage at a price and a confidence bound."""
+    price, confidence_z = terms
     place = stage_chance.place_of(question, stage, escalated=False)
     chance = rating_model.chance(
         rating_model.belief(state, place),
         stage_chance.reading(state, question),
-        caution,
+        confidence_z,
     )
     return price * chance - question.offers[stage].cost
 
 
-def _worth_checked(
+def _checked_utility(
     state: cascade_data.CascadeState, question: Question, stage: int
 ) -> float:
-    """Return the expected worth over the ratings the answer may get."""
+    """Return the expected utility over the ratings the answer may get."""
     place = stage_chance.place_of(question, stage, escalated=False)
     known = rating_model.belief(state, place)
     reading = stage_chance.reading(state, question)
-    price = _price(state, question)
-    strong = question.offers[-1]
-    escalated = stage_chance.of_last(state, question) - strong.cost / price
+    price = _quality_price(state, question)
+    last_offer = question.offers[-1]
+    escalated = stage_chance.of_last(state, question) - last_offer.cost / price
     best = rating_model.expected_best(known, reading, escalated)
-    rating_cost = RATING_COST_PART * strong.cost
+    rating_cost = RATING_COST_PART * last_offer.cost
     return price * best - question.offers[stage].cost - rating_cost
 
 
-def _give_or_escalate(
+def _return_or_escalate(
     policy: cascade_data.Learnt,
     state: cascade_data.CascadeState,
     question: Question,
     latest: cascade_data.Answer,
 ) -> cascade_data.Decision:
     last = len(question.offers) - 1
-    strong = question.offers[last]
-    late = strong.whole_s > question.whole_left_s
-    if latest.stage == last or late or not strong.open:
+    last_offer = question.offers[last]
+    too_late = last_offer.whole_s > question.whole_left_s
+    if latest.stage == last or too_late or not last_offer.open:
         return cascade_data.GiveOut(latest.stage)
     place = stage_chance.place_of(question, latest.stage, escalated=False)
-    price = _price(state, question)
+    price = _quality_price(state, question)
     chance = stage_chance.of_answer(state, question, place, latest)
-    escalated = stage_chance.of_last(state, question) - strong.cost / price
+    escalated = stage_chance.of_last(state, question) - last_offer.cost / price
     if _is_worth_rating(policy, state, question, latest, (chance, escalated)):
         return cascade_data.RateAgain(latest.stage)
     if escalated > chance:
@@ -312,65 +316,73 @@
     state: cascade_data.CascadeState,
     question: Question,
     answer: cascade_data.Answer,
-    worths: tuple[float, float],
+    utilities: tuple[float, float],
 ) -> bool:
-    """Tell whether one more rating is worth its cost.
+    """Return whether the benefit of one more rating exceeds its cost.
 
-    It is where the answer stands on the edge: a wrong choice there costs a
-    second answer, or a poor one given out.
+    It does for answers close to the decision boundary, where a wrong choice
+    costs a needless second answer or returns a poor one.
     """
     if answer.rating is None or answer.ratings >= policy.most_ratings:
         return False
-    if not _fits_again(state, question):
+    if not _rerating_fits_deadlines(state, question):
         return False
     place = stage_chance.place_of(question, answer.stage, escalated=False)
     known = stage_chance.after_rating(state, question, place, answer)
     best = rating_model.expected_best(
-        known, stage_chance.reading(state, question), worths[1]
+        known, stage_chance.reading(state, question), utilities[1]
     )
-    strong = question.offers[-1]
-    rating_cost = RATING_COST_PART * strong.cost / _price(state, question)
-    return best - max(worths) > rating_cost
+    last_offer = question.offers[-1]
+    rating_cost = (
+        RATING_COST_PART * last_offer.cost / _quality_price(state, question)
+    )
+    return best - max(utilities) > rating_cost
 
 
-def _fits_again(state: cascade_data.CascadeState, question: Question) -> bool:
-    """Tell whether another rating and the last stage fit the time."""
-    strong = question.offers[-1]
+def _rerating_fits_deadlines(
+    state: cascade_data.CascadeState, question: Question
+) -> bool:
+    """Return whether another rating and the last stage fit in time."""
+    last_offer = question.offers[-1]
     spent = rating_health.longest_s(state.judge)
-    if spent + strong.first_token_s > question.first_token_left_s:
+    if spent + last_offer.first_token_s > question.first_token_left_s:
         return False
-    return spent + strong.whole_s <= question.whole_left_s
+    return spent + last_offer.whole_s <= question.whole_left_s
 
 
-def _price(state: cascade_data.CascadeState, question: Question) -> float:
-    """Return what a good answer is worth, in the unit of costs."""
+def _quality_price(
+    state: cascade_data.CascadeState, question: Question
+) -> float:
+    """Return the value of a good answer, in the unit of costs."""
     ledger = _ledger(state, question)
-    return math.exp(ledger.price) * _unit(ledger, question)
+    return math.exp(ledger.price) * _cost_unit(ledger, question)
 
 
-def _terms(
+def _price_and_confidence(
     policy: cascade_data.Learnt,
     state: cascade_data.CascadeState,
     question: Question,
     usable: bool,
 ) -> tuple[float, float]:
-    """Return the price and the caution that hold with or without ratings."""
+    """Return the price and confidence bound, with or without ratings."""
     if usable:
-        return _price(state, question), policy.caution
-    return _most_price(state, question), policy.blind_caution
+        return _quality_price(state, question), policy.confidence_z
+    return _unrated_price(state, question), policy.unrated_confidence_z
 
 
-def _most_price(state: cascade_data.CascadeState, question: Question) -> float:
-    """Return the price without ratings, at which only quality counts.
+def _unrated_price(
+    state: cascade_data.CascadeState, question: Question
+) -> float:
+    """Return the price without ratings, so high that cost hardly matters.
 
-    What a check would have caught is then given out, so nothing may be
-    traded against it: quality is held and cost is not.
+    Poor answers that a rating would have caught are returned then, so quality
+    must not be traded for a lower cost.
     """
-    unit = _unit(_ledger(state, question), question)
-    return math.exp(BLIND_PRICE) * unit
+    unit = _cost_unit(_ledger(state, question), question)
+    return math.exp(UNRATED_LOG_PRICE) * unit
 
 
-def _unit(ledger: cascade_data.Ledger, question: Question) -> float:
+def _cost_unit(ledger: cascade_data.Ledger, question: Question) -> float:
     return ledger.unit or question.offers[-1].cost
 
 
--- a/beryllug/core/cascade_data.py
+++ b/beryllug/core/cascade_data.py
@@ -1,8 +1,8 @@
-"""Records about the choice of a cascade's stage.
+"""Data types of the stage selection in a cascade.
 
-Quality here is the share of answers that are *good*: whose true rating is at
-least the cascade's `min_rating`. A rating that arrives is a noisy reading of
-the true one.
+Quality is the share of *good* answers: those whose true rating is at least
+the cascade's `min_rating`. A received rating is a noisy measurement of the
+true rating.
 """
 
 from collections.abc import Sequence
@@ -16,14 +16,14 @@
 
 
 class Offer(NamedTuple):
-    """What one stage would take.
+    """The expected cost and duration of one stage.
 
     Attributes:
         model: Model of the stage.
         cost: Expected cost of an answer, in millionths of the currency.
         first_token_s: Expected seconds to its first token.
         whole_s: Expected seconds to its end.
-        open: Whether its pool takes another request now.
+        open: Whether its pool accepts another request now.
     """
 
     model: str
@@ -34,15 +34,15 @@
 
 
 class Question(NamedTuple):
-    """One request to a cascade, at the moment of a decision.
+    """One request to a cascade, at the time of a decision.
 
     Attributes:
         account_id: The client account.
         kind: Kind of request that quality is learnt for.
         cascade: The declared cascade.
         offers: The stages that may run it, cheapest first.
-        first_token_left_s: Seconds until the first token is owed.
-        whole_left_s: Seconds until the whole answer is owed.
+        first_token_left_s: Seconds until the first token is due.
+        whole_left_s: Seconds until the whole answer is due.
     """
 
     account_id: str
@@ -54,13 +54,13 @@
 
 
 class Answer(NamedTuple):
-    """A whole answer that was not given out yet.
+    """A complete answer that was not returned yet.
 
     Attributes:
         stage: Index into the offers.
-        rating: Its rating, or None when none came in time; the mean of them
-            when it was rated more than once.
-        ratings: How many ratings that is.
+        rating: Its rating, or the mean if it was rated more than once; None
+            if no rating arrived in time.
+        ratings: Number of ratings in `rating`.
     """
 
     stage: int
@@ -69,12 +69,12 @@
 
 
 class Given(NamedTuple):
-    """An answer that was given out, with what decided it.
+    """An answer that was returned, with the request it belongs to.
 
     Attributes:
-        question: The question as it stood.
+        question: The request at the time of the decision.
         answer: The answer.
-        escalated: Whether an earlier stage was passed over for it.
+        escalated: Whether the answer of an earlier stage was rejected.
     """
 
     question: Question
@@ -83,11 +83,12 @@
 
 
 class Sample(StrEnum):
-    """Why an answer that was given out is rated afterwards.
+    """Why an answer is rated after it was returned.
 
-    LEARN is drawn where little is known and says nothing of the whole; AUDIT
-    is drawn from all answers alike, so that their share of good ones shows
-    how the choices turn out and not how they were meant.
+    LEARN samples are drawn where few ratings are known, so they are not
+    representative. AUDIT samples are drawn uniformly from all answers, so
+    their share of good ones measures the actual quality and not the predicted
+    one.
     """
 
     NONE = 'none'
@@ -100,8 +101,8 @@
 
     Attributes:
         stage: Index into the offers.
-        checked: Whether its answer is rated before it is given out; else it
-            is streamed to the caller as it comes.
+        checked: Whether its answer is rated before it is returned; otherwise
+            it is streamed to the caller as it is generated.
     """
 
     stage: int
@@ -109,55 +110,56 @@
 
 
 class RateAgain(NamedTuple):
-    """Have the answer of a stage rated once more before deciding."""
+    """Request another rating of a stage's answer before deciding."""
 
     stage: int
 
 
 class GiveOut(NamedTuple):
-    """Give out the answer of a stage that already ran."""
+    """Return the answer of a stage that already ran."""
 
     stage: int
 
 
 @dataclass(frozen=True, slots=True)
 class Learnt:
-    """Least expected cost that holds the quality target.
+    """Minimizes the expected cost at the quality target.
 
     Attributes:
-        caution: Standard errors by which an unchecked stage's chance of a
-            good answer is lowered.
-        blind_caution: The same while there are no ratings.
-        most_ratings: Ratings that one answer may be given while its caller
-            waits. In doubt a second one costs less than a second answer.
-        audit_part: Part of the answers given out that are audited.
-        learn_first: Weight of the ratings of a place up to which more of its
-            unchecked answers are rated; without them the last stage would
-            stay what was declared.
+        confidence_z: Standard errors by which an unchecked stage's
+            probability of a good answer is lowered.
+        unrated_confidence_z: The same while there are no ratings.
+        most_ratings: Maximum ratings of one answer while its caller waits.
+            Near the decision boundary a second rating costs less than a
+            second answer.
+        audit_fraction: Fraction of the returned answers that are audited.
+        learning_weight: Weight of the ratings of a stage and kind of request
+            below which more of its unchecked answers are rated. Without these
+            the estimate of the last stage would stay at its prior.
     """
 
-    caution: float = 0.0
-    blind_caution: float = 1.5
+    confidence_z: float = 0.0
+    unrated_confidence_z: float = 1.5
     most_ratings: int = 1
-    audit_part: float = 0.1
-    learn_first: float = 10.0
+    audit_fraction: float = 0.1
+    learning_weight: float = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class FixedThreshold:
-    """Cheap first, given out from a fixed rating on: a baseline."""
+    """First stage, escalated below a fixed rating: a baseline."""
 
     threshold: float
 
 
 @dataclass(frozen=True, slots=True)
 class AlwaysStrong:
-    """The last stage for everything: a baseline."""
+    """The last stage for all requests: a baseline."""
 
 
 @dataclass(frozen=True, slots=True)
 class AlwaysCheap:
-    """The first stage for everything: a baseline."""
+    """The first stage for all requests: a baseline."""
 
 
 Decision = GiveOut | Begin | RateAgain
@@ -165,12 +167,12 @@
 
 
 class CellKey(NamedTuple):
-    """What a distribution of ratings is kept for.
+    """Key of a learnt distribution of ratings.
 
     Attributes:
         model: Model of the stage.
-        escalated: Whether an earlier stage's answer was passed over, which
-            is done for the harder requests.
+        escalated: Whether an earlier stage's answer was rejected, which
+            happens for the harder requests.
         kind: Kind of request, or empty for all.
         account_id: The client account, or empty for all.
     """
@@ -182,12 +184,12 @@
 
 
 class Known(NamedTuple):
-    """What was worked out from a cell and the wider one.
+    """Cached combination of an account's cell and its parent cell.
 
     Attributes:
-        counts: Counts of both cells at that time.
-        mass: Part of the answers in each bin.
-        weight: How many ratings that rests on.
+        counts: Counts of both cells when it was computed.
+        mass: Fraction of the answers in each bin.
+        weight: Number of ratings behind it.
     """
 
     counts: tuple[int, int]
@@ -197,13 +199,13 @@
 
 @dataclass(slots=True)
 class Cell:
-    """Ratings of one place.
+    """Histogram of the true ratings for one key.
 
     Attributes:
-        count: How many there were.
-        weight: How many there were, older ones counting less.
-        mass: What they say of each bin of the true rating.
-        known: What was last worked out from it and the wider cell.
+        count: Number of ratings.
+        weight: Number of ratings, exponentially decayed.
+        mass: Decayed sum of the posterior of each bin of the true rating.
+        known: Cached combination with the parent cell.
     """
 
     count: int = 0
@@ -216,39 +218,40 @@
 
 @dataclass(slots=True)
 class Judge:
-    """What this process knows of the rating service.
+    """Measurements of the rating service by this process.
 
     Attributes:
-        delay_s: Smoothed seconds until a rating comes.
-        deviation_s: Smoothed deviation of these.
-        failures: Ratings in a row that failed or came too late.
-        asked_again_at: While it counts as gone, when it is tried again.
-        noise: Smoothed squared difference of two ratings of one answer.
+        delay_s: Smoothed seconds until a rating arrives.
+        deviation_s: Smoothed absolute deviation of the delay.
+        failures: Consecutive ratings that failed or were too late.
+        retry_at: When an unreachable service is tried again.
+        noise: Smoothed variance of a rating, from two ratings of one answer.
         excess: Smoothed rating of answers known to be wrong, by model.
     """
 
     delay_s: float = 0.3
     deviation_s: float = 0.1
     failures: int = 0
-    asked_again_at: float = 0.0
+    retry_at: float = 0.0
     noise: float = 0.0
     excess: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Ledger:
-    """How the answers of one cascade stand to the target.
+    """Quality of one cascade's answers relative to its target.
 
     Attributes:
-        price: Logarithm of what a good answer is worth, in mean costs of the
-            last stage.
-        unit: That mean cost. One for all kinds of request, since the target
-            counts each answer once: short answers are checked more closely
-            than long ones, whose second try costs more.
-        answers: Answers given out.
-        meant: Smoothed chance of these of being good.
-        audit: True ratings of those that were audited.
-        audit_meant: Sum of the chances of those, older ones counting less.
+        price: Logarithm of the value of a good answer, in units of `unit`.
+        unit: Mean cost of the last stage. It is shared by all kinds of
+            request, since the target counts each answer once: short answers
+            are checked more closely than long ones, whose second attempt
+            costs more.
+        answers: Number of returned answers.
+        meant: Smoothed probability that a returned answer is good.
+        audit: True ratings of the audited answers.
+        audit_expected: Decayed sum of the probabilities of the audited
+            answers.
     """
 
     price: float = 1.2
@@ -256,12 +259,12 @@
     answers: int = 0
     meant: float = 0.0
     audit: Cell = field(default_factory=Cell)
-    audit_meant: float = 0.0
+    audit_expected: float = 0.0
 
 
 @dataclass(slots=True)
 class CascadeState:
-    """All that one process learnt; only its routing service changes it."""
+    """The state learnt by one process; only its routing service changes it."""
 
     cells: dict[CellKey, Cell] = field(default_factory=dict)
     ledgers: dict[str, Ledger] = field(default_factory=dict)
--- a/beryllug/core/rating_health.py
+++ b/beryllug/core/rating_health.py
@@ -1,10 +1,10 @@
-"""How far the rating service can be relied on.
+"""Measures how reliable the rating service is.
 
-Three readings need no knowledge of the truth: how long ratings take and how
-often they fail; two ratings of one answer, whose difference is their noise;
-and the rating of an answer put to another request of the same account, which
-must come out low. When such a mismatched pair is rated high, ratings no longer
-tell good from bad, and the service counts as gone.
+Three measurements need no ground truth: the latency and failures of ratings;
+two ratings of one answer, whose difference shows the noise; and the rating of
+an answer paired with another request of the same account, which must be low.
+If such mismatched pairs are rated high, ratings no longer separate good
+answers from bad ones, and the service is treated as unavailable.
 """
 
 from enum import StrEnum
@@ -13,41 +13,41 @@
 
 SMOOTHING = 0.1
 PROBE_SMOOTHING = 0.2
-FAILURES_GONE = 3
-BASE_GONE_S = 4.0
-MOST_GONE_S = 64.0
+FAILURES_UNREACHABLE = 3
+BASE_BACKOFF_S = 4.0
+MAX_BACKOFF_S = 64.0
 DEVIATIONS = 3.0
-FIRST_NOISE = 0.006
+INITIAL_NOISE = 0.006
 HARMLESS_EXCESS = 0.1
-CHANCE_EXCESS = 0.16
-MOST_EXCESS = 0.4
-DOUBT = 1.25
-PROBE_PART = 0.08
+MIN_CORRECTED_EXCESS = 0.16
+UNTRUSTED_EXCESS = 0.4
+EXCESS_CORRECTION_FACTOR = 1.25
+PROBE_FRACTION = 0.08
 LONGEST_WAIT_S = 5.0
 
 
 class Probe(StrEnum):
-    """A rating that is asked for to learn about the rating service."""
+    """An additional rating that measures the rating service."""
 
     REPEAT = 'repeat'
     MISMATCH = 'mismatch'
 
 
 def probe(draw: float) -> Probe | None:
-    """Return the probe that goes with a rated answer, mostly none.
+    """Return the probe to send after a rated answer; usually none.
 
     Args:
         draw: A random number from 0 to 1.
     """
-    if draw < PROBE_PART:
+    if draw < PROBE_FRACTION:
         return Probe.REPEAT
-    if draw < 2 * PROBE_PART:
+    if draw < 2 * PROBE_FRACTION:
         return Probe.MISMATCH
     return None
 
 
 def rated(judge: cascade_data.Judge, delay_s: float) -> None:
-    """Take a rating that came after so many seconds."""
+    """Record a rating that arrived after this delay."""
     judge.failures = 0
     step = delay_s - judge.delay_s
     judge.delay_s += SMOOTHING * step
@@ -55,20 +55,21 @@
 
 
 def missed(judge: cascade_data.Judge, waited_s: float, now: float) -> None:
-    """Take a rating that failed or did not come in time."""
+    """Record a rating that failed or did not arrive in time."""
     judge.failures += 1
     if waited_s > judge.delay_s:
         judge.delay_s += SMOOTHING * (waited_s - judge.delay_s)
-    over = judge.failures - FAILURES_GONE
+    over = judge.failures - FAILURES_UNREACHABLE
     if over >= 0:
-        pause_s = min(BASE_GONE_S * 2**over, MOST_GONE_S)
-        judge.asked_again_at = now + pause_s
+        pause_s = min(BASE_BACKOFF_S * 2**over, MAX_BACKOFF_S)
+        judge.retry_at = now + pause_s
 
 
 def repeated(judge: cascade_data.Judge, first: float, second: float) -> None:
-    """Take two ratings of one answer.
+    """Record two ratings of one answer.
 
-    Two that both stand at an end of the scale agree whatever the noise is.
+    A pair with a rating at an end of the scale is ignored: clipped ratings
+    agree whatever the noise is.
     """
     if min(first, second) <= 0 or max(first, second) >= 1:
         return
@@ -76,52 +77,53 @@
     if judge.noise:
         judge.noise += SMOOTHING * (squared - judge.noise)
     else:
-        judge.noise = (FIRST_NOISE + squared) / 2
+        judge.noise = (INITIAL_NOISE + squared) / 2
 
 
 def mismatched(judge: cascade_data.Judge, model: str, rating: float) -> None:
-    """Take the rating of a model's answer put to another request."""
+    """Record the rating of a model's answer to a different request."""
     known = judge.excess.get(model, HARMLESS_EXCESS)
     judge.excess[model] = known + PROBE_SMOOTHING * (rating - known)
 
 
 def noise(judge: cascade_data.Judge) -> float:
-    """Return the variance of a rating around the true one."""
-    return judge.noise or FIRST_NOISE
+    """Return the variance of a rating around the true rating."""
+    return judge.noise or INITIAL_NOISE
 
 
 def corrected(judge: cascade_data.Judge, model: str, rating: float) -> float:
-    """Return a rating less what its model's answers are overrated by.
+    """Return a rating minus the amount its model's answers are overrated.
 
-    Somewhat more is taken off, since the top of the scale is cut: an answer
-    at the end of it may be overrated by less than a wrong one.
+    The measured excess is increased by a factor because ratings are clipped
+    at the top of the scale: an answer near the top may be overrated by less
+    than a wrong one.
     """
     excess = judge.excess.get(model, 0)
-    if excess < CHANCE_EXCESS:
+    if excess < MIN_CORRECTED_EXCESS:
         return rating
-    return rating - DOUBT * (excess - HARMLESS_EXCESS)
+    return rating - EXCESS_CORRECTION_FACTOR * (excess - HARMLESS_EXCESS)
 
 
 def longest_s(judge: cascade_data.Judge) -> float:
-    """Return how long a rating is waited for."""
+    """Return the longest time to wait for a rating."""
     return judge.delay_s + DEVIATIONS * judge.deviation_s
 
 
 def is_reachable(judge: cascade_data.Judge, now: float) -> bool:
-    """Tell whether the service is asked; while it is gone, now and then."""
-    return judge.failures < FAILURES_GONE or now >= judge.asked_again_at
+    """Return whether to send requests; an unreachable service is retried."""
+    return judge.failures < FAILURES_UNREACHABLE or now >= judge.retry_at
 
 
 def is_trusted(judge: cascade_data.Judge) -> bool:
-    """Tell whether ratings still tell good answers from wrong ones.
+    """Return whether ratings still separate good answers from wrong ones.
 
-    A service that lost this for one model's answers has lost it: what the
-    models are rated is compared.
+    A service that fails this for one model's answers fails it for all, since
+    the ratings of the models are compared with each other.
     """
-    return all(excess < MOST_EXCESS for excess in judge.excess.values())
+    return all(excess < UNTRUSTED_EXCESS for excess in judge.excess.values())
 
 
 def is_usable(judge: cascade_data.Judge, now: float) -> bool:
-    """Tell whether a rating can be waited for and believed."""
+    """Return whether ratings arrive in time and can be trusted."""
     in_time = longest_s(judge) <= LONGEST_WAIT_S
     return in_time and is_reachable(judge, now) and is_trusted(judge)
--- a/beryllug/core/rating_model.py
+++ b/beryllug/core/rating_model.py
@@ -1,14 +1,14 @@
-"""Learnt distributions of true ratings, and the chance of a good answer.
+"""Learnt distributions of true ratings, and the probability of a good answer.
 
-A rating is a noisy reading of an answer's true rating, and most answers that
-matter lie near the least rating of a good one. So the distribution of *true*
-ratings is learnt, as a histogram: each rating adds to the bins what it says of
-them, given what was known before (an online expectation maximisation). Nothing
-is supposed of its shape; a normal distribution and a mixture of two were
-measured, and were off by 8 and by 2 percent where answers are given out.
+A rating is a noisy measurement of an answer's true rating, and most answers
+that matter lie near the minimum rating of a good one. So the distribution of
+*true* ratings is learnt, as a histogram: each rating adds its posterior to the
+bins, with the previous estimate as the prior (online expectation
+maximization). No shape is assumed: a normal distribution and a mixture of two
+were off by 8 and by 2 percent near the ratings at which answers are returned.
 
 Cells are kept by model, kind of request and account. A cell with few ratings
-leans on the wider one above it, so a new account starts from what is known of
+is shrunk towards its parent cell, so a new account starts from the ratings of
 its kind of request.
 """
 
@@ -21,13 +21,13 @@
 from beryllug.core import cascade_data
 
 BINS = cascade_data.BINS
-LEAN = 10.0
+PRIOR_WEIGHT = 10.0
 KEPT = 1000
-FADE = 1 - 1 / KEPT
-AUDIT_FADE = 1 - 1 / (2 * KEPT)
-AUDIT_LEAN = 100.0
-KERNELS = 64
-LIKELIHOODS = 4096
+DECAY = 1 - 1 / KEPT
+AUDIT_DECAY = 1 - 1 / (2 * KEPT)
+AUDIT_PRIOR_WEIGHT = 100.0
+KERNEL_CACHE_SIZE = 64
+LIKELIHOOD_CACHE_SIZE = 4096
 RATING_DIGITS = 2
 NOISE_STEP = 0.001
 CENTERS = tuple((place + 0.5) / BINS for place in range(BINS))
@@ -36,11 +36,11 @@
 
 
 class Place(NamedTuple):
-    """A stage of a request, for which ratings are alike.
+    """The attributes that answers with a common rating distribution share.
 
     Attributes:
         model: Model of the stage.
-        escalated: Whether an earlier stage was passed over.
+        escalated: Whether the answer of an earlier stage was rejected.
         kind: Kind of request.
         account_id: The client account.
         last: Whether it is the last stage, declared the strongest.
@@ -54,11 +54,11 @@
 
 
 class Belief(NamedTuple):
-    """What is believed of the true ratings at a place.
+    """Estimated distribution of the true ratings.
 
     Attributes:
-        mass: Part of the answers in each bin.
-        weight: How many ratings that rests on, those leant on included.
+        mass: Fraction of the answers in each bin.
+        weight: Number of ratings behind it, including those of the prior.
     """
 
     mass: Row
@@ -66,11 +66,11 @@
 
 
 class Reading(NamedTuple):
-    """How ratings are to be read.
+    """Parameters for interpreting ratings.
 
     Attributes:
-        noise: Variance of a rating around the true one.
-        least: Least true rating of a good answer.
+        noise: Variance of a rating around the true rating.
+        least: Minimum true rating of a good answer.
     """
 
     noise: float
@@ -83,65 +83,66 @@
     rating: float,
     noise: float,
 ) -> None:
-    """Take a rating into the cell of its place and the wider ones."""
+    """Add a rating to its cell and to the parent cell."""
     posterior = _posterior(belief(state, place).mass, rating, noise)
     for key in _keys(place):
-        _add(state.cells.setdefault(key, cascade_data.Cell()), posterior, FADE)
+        _add(state.cells.setdefault(key, cascade_data.Cell()), posterior, DECAY)
 
 
 def audit(
     ledger: cascade_data.Ledger, known: Belief, rating: float, reading: Reading
 ) -> None:
-    """Take the rating of an answer that was drawn for an audit.
+    """Record the rating of an answer that was drawn for an audit.
 
     Args:
-        ledger: The ledger of its cascade.
-        known: What was believed of it when it was given out.
+        ledger: The quality record of its cascade.
+        known: Its estimated distribution when it was returned.
         rating: The new rating.
-        reading: How ratings are read.
+        reading: Noise and minimum rating.
     """
     prior = known.mass
     if ledger.audit.weight:
-        prior = _leant(ledger.audit, known.mass)[0]
+        prior = _shrunk(ledger.audit, known.mass)[0]
     posterior = _posterior(prior, rating, reading.noise)
-    _add(ledger.audit, posterior, AUDIT_FADE)
-    meant = chance(known, reading)
-    ledger.audit_meant = ledger.audit_meant * AUDIT_FADE + meant
+    _add(ledger.audit, posterior, AUDIT_DECAY)
+    expected = chance(known, reading)
+    ledger.audit_expected = ledger.audit_expected * AUDIT_DECAY + expected
 
 
-def audited_error(ledger: cascade_data.Ledger, least: float) -> float:
-    """Return how far audited answers are better than they were meant to be.
+def audit_error(ledger: cascade_data.Ledger, least: float) -> float:
+    """Return the actual minus the predicted quality of audited answers.
 
-    Answers whose chance was overrated are chosen more often, so the chances
-    by which they were chosen come out too high on the mean.
+    Answers whose probability was overestimated are chosen more often, so the
+    predicted probabilities of the chosen answers are too high on average.
     """
-    good = _dot(ledger.audit.mass, _good(least))
-    weight = ledger.audit.weight + AUDIT_LEAN
-    return (good - ledger.audit_meant) / weight
+    good = _dot(ledger.audit.mass, _good_fractions(least))
+    weight = ledger.audit.weight + AUDIT_PRIOR_WEIGHT
+    return (good - ledger.audit_expected) / weight
 
 
-def _add(cell: cascade_data.Cell, posterior: Row, fade: float) -> None:
+def _add(cell: cascade_data.Cell, posterior: Row, decay: float) -> None:
     cell.count += 1
-    cell.weight = cell.weight * fade + 1
+    cell.weight = cell.weight * decay + 1
     cell.mass = [
-        old * fade + new for old, new in zip(cell.mass, posterior, strict=True)
+        old * decay + new for old, new in zip(cell.mass, posterior, strict=True)
     ]
 
 
 def belief(state: cascade_data.CascadeState, place: Place) -> Belief:
-    """Return what is believed of the true ratings at a place."""
-    first = LAST_SHAPE if place.last else FIRST_SHAPE
+    """Return the estimated distribution of the true ratings of a stage."""
+    root_prior = LAST_STAGE_PRIOR if place.last else DEFAULT_PRIOR
     kind_key, account_key = _keys(place)
     kind = state.cells.get(kind_key)
     account = state.cells.get(account_key)
     if kind is None:
-        return Belief(first, LEAN)
+        return Belief(root_prior, PRIOR_WEIGHT)
     if account is None:
-        return Belief(*_leant(kind, first))
-    # One decision asks several times, and most learn nothing in between.
+        return Belief(*_shrunk(kind, root_prior))
+    # Cached, since one decision reads it several times, usually without a
+    # new rating in between.
     known = account.known
     if known is None or known.counts != (kind.count, account.count):
-        mass, total = _leant(account, _leant(kind, first)[0])
+        mass, total = _shrunk(account, _shrunk(kind, root_prior)[0])
         counts = (kind.count, account.count)
         known = cascade_data.Known(counts, mass, total)
         account.known = known
@@ -149,52 +150,52 @@
 
 
 def weight(state: cascade_data.CascadeState, place: Place) -> float:
-    """Return how many ratings of its kind of request a place has had."""
+    """Return the decayed number of ratings of a stage and kind of request."""
     cell = state.cells.get(_keys(place)[0])
     return cell.weight if cell else 0
 
 
 def after_rating(known: Belief, rating: float, noise: float) -> Belief:
-    """Return what is believed of one answer once it has a rating."""
+    """Return the estimate for one answer after it was rated."""
     return Belief(_posterior(known.mass, rating, noise), known.weight)
 
 
-def chance(known: Belief, reading: Reading, caution: float = 0) -> float:
-    """Return the chance that an answer is good.
+def chance(known: Belief, reading: Reading, confidence_z: float = 0) -> float:
+    """Return the probability that an answer is good.
 
     Args:
-        known: What is believed of it.
-        reading: How ratings are read.
-        caution: Standard errors by which the chance is lowered, or raised
-            when negative.
+        known: Its estimated distribution.
+        reading: Noise and minimum rating.
+        confidence_z: Standard errors by which the probability is lowered, or
+            raised if negative.
     """
-    good = _dot(known.mass, _good(reading.least))
+    good = _dot(known.mass, _good_fractions(reading.least))
     error = math.sqrt(max(good * (1 - good), 0) / (known.weight + 1))
-    return min(max(good - caution * error, 0), 1)
+    return min(max(good - confidence_z * error, 0), 1)
 
 
-def expected_best(known: Belief, reading: Reading, otherwise: float) -> float:
-    """Return the mean of the better of an answer's chance and another value.
+def expected_best(known: Belief, reading: Reading, alternative: float) -> float:
+    """Return the expected value of rating an answer and then choosing.
 
-    Over the ratings that the answer may get: what can be had by rating it and
-    then choosing.
+    This is the mean, over the ratings that the answer may get, of the greater
+    of its probability of being good and the alternative.
 
     Args:
-        known: What is believed of its place.
-        reading: How ratings are read.
-        otherwise: The value to be had without the answer.
+        known: Estimated distribution of the answer.
+        reading: Noise and minimum rating.
+        alternative: The value of not using the answer.
     """
-    good = tuple(map(operator.mul, known.mass, _good(reading.least)))
+    good = tuple(map(operator.mul, known.mass, _good_fractions(reading.least)))
     return sum(
-        max(_dot(column, good), otherwise * _dot(column, known.mass))
+        max(_dot(column, good), alternative * _dot(column, known.mass))
         for column in _kernel(_rounded(reading.noise))
     )
 
 
-def _leant(cell: cascade_data.Cell, wider: Row) -> tuple[Row, float]:
-    total = cell.weight + LEAN
+def _shrunk(cell: cascade_data.Cell, wider: Row) -> tuple[Row, float]:
+    total = cell.weight + PRIOR_WEIGHT
     mass = [
-        (own + LEAN * other) / total
+        (own + PRIOR_WEIGHT * other) / total
         for own, other in zip(cell.mass, wider, strict=True)
     ]
     return mass, total
@@ -207,9 +208,9 @@
     return [part / total for part in joint]
 
 
-@functools.lru_cache(maxsize=LIKELIHOODS)
+@functools.lru_cache(maxsize=LIKELIHOOD_CACHE_SIZE)
 def _likelihood(rating: float, noise: float) -> Row:
-    """Return the chance of a rating given each bin, but for a factor."""
+    """Return the likelihood of a rating for each bin, up to a factor."""
     return tuple(
         math.exp(-((rating - center) ** 2) / (2 * noise)) for center in CENTERS
     )
@@ -221,13 +222,13 @@
 
 
 def _rounded(noise: float) -> float:
-    """Round a variance so that few kernels are ever computed."""
+    """Round a variance so that few distinct kernels are computed."""
     return max(round(noise / NOISE_STEP), 1) * NOISE_STEP
 
 
-@functools.lru_cache(maxsize=KERNELS)
+@functools.lru_cache(maxsize=KERNEL_CACHE_SIZE)
 def _kernel(noise: float) -> tuple[Row, ...]:
-    """Return for each bin of the rating its chance given each true bin."""
+    """Return the probability of each rating bin given each true bin."""
     columns = []
     for center in CENTERS:
         raw = [
@@ -239,28 +240,29 @@
     return tuple(zip(*columns, strict=True))
 
 
-@functools.lru_cache(maxsize=KERNELS)
-def _good(least: float) -> Row:
-    """Return which part of each bin is good."""
+@functools.lru_cache(maxsize=KERNEL_CACHE_SIZE)
+def _good_fractions(least: float) -> Row:
+    """Return the fraction of each bin that is good."""
     return tuple(
         min(max(place + 1 - least * BINS, 0), 1) for place in range(BINS)
     )
 
 
-def _shape(rise: float, fall: float) -> Row:
+def _prior(rise: float, fall: float) -> Row:
     raw = [center**rise * (1 - center) ** fall for center in CENTERS]
     total = sum(raw)
     return tuple(part / total for part in raw)
 
 
-# What is supposed of a model that nothing is known of: smooth, for a step in
-# it would stay in what is learnt; the last stage is declared the strongest.
-FIRST_SHAPE = _shape(rise=1, fall=0.5)
-LAST_SHAPE = _shape(rise=7, fall=1)
+# Priors for models without ratings. They are smooth, since a step in the prior
+# would remain in the learnt distribution. The last stage has a higher prior
+# because it is declared the strongest.
+DEFAULT_PRIOR = _prior(rise=1, fall=0.5)
+LAST_STAGE_PRIOR = _prior(rise=7, fall=1)
 
 
 def _keys(place: Place) -> tuple[cascade_data.CellKey, ...]:
-    """Return the cells of a place: of its kind, and of its account in it."""
+    """Return the keys of the cells of its kind and of its account."""
     model, escalated, kind, account_id, _ = place
     return (
         cascade_data.CellKey(model, escalated, kind),
--- a/beryllug/core/stage_chance.py
+++ b/beryllug/core/stage_chance.py
@@ -1,8 +1,7 @@
-"""The chance that the answer of a cascade's stage is good.
+"""The probability that the answer of a cascade's stage is good.
 
-Joins the learnt distribution of true ratings at the stage's place with the
-ratings that an answer has had, read as far as the rating service can be relied
-on.
+Combines the learnt distribution of the stage's true ratings with the ratings
+of the answer, corrected for the measured bias and noise of the rating service.
 """
 
 from beryllug.core import cascade_data, rating_health, rating_model
@@ -13,7 +12,7 @@
 def place_of(
     question: Question, stage: int, escalated: bool
 ) -> rating_model.Place:
-    """Return the place of a stage's answer, where ratings are alike."""
+    """Return the attributes that select the distribution of a stage."""
     return rating_model.Place(
         question.offers[stage].model,
         escalated,
@@ -26,7 +25,7 @@
 def reading(
     state: cascade_data.CascadeState, question: Question
 ) -> rating_model.Reading:
-    """Return how ratings are read now for a question's cascade."""
+    """Return the current rating noise and the cascade's minimum rating."""
     return rating_model.Reading(
         rating_health.noise(state.judge), question.cascade.min_rating
     )
@@ -38,7 +37,7 @@
     place: rating_model.Place,
     answer: cascade_data.Answer,
 ) -> rating_model.Belief:
-    """Return what is believed of one answer, its ratings known."""
+    """Return the estimate for one answer, given its ratings."""
     known = rating_model.belief(state, place)
     if answer.rating is None:
         return known
@@ -53,13 +52,13 @@
     place: rating_model.Place,
     answer: cascade_data.Answer,
 ) -> float:
-    """Return the chance that an answer is good, by its ratings if any."""
+    """Return the probability that an answer is good, given any ratings."""
     known = after_rating(state, question, place, answer)
     return rating_model.chance(known, reading(state, question))
 
 
 def of_last(state: cascade_data.CascadeState, question: Question) -> float:
-    """Return the chance of the last stage after an earlier one failed."""
+    """Return the probability for the last stage after an escalation."""
     last = len(question.offers) - 1
     place = place_of(question, last, escalated=True)
     return of_answer(state, question, place, cascade_data.Answer(last, None))
