--- a/beryllug/core/answer_data.py
+++ b/beryllug/core/answer_data.py
@@ -1,15 +1,15 @@
-"""Messages about large answers that are kept in the platform."""
+"""Messages about large answers that are stored in the platform."""
 
 from typing import NamedTuple
 
 
 class AnswerBody(NamedTuple):
-    """A large answer to be kept in the platform.
+    """A large answer to be stored in the platform.
 
     Attributes:
-        name: Its day and request id, as the outcome row names it.
+        name: Its day and request id, as stored in the outcome row.
         body: The answer.
-        found: Whether there is such an answer, in a reply.
+        found: In a reply, whether the answer exists.
     """
 
     name: str
@@ -18,6 +18,6 @@
 
 
 class AnswerKey(NamedTuple):
-    """Ask for a kept answer by its name."""
+    """A request for a stored answer by its name."""
 
     name: str
--- a/beryllug/core/answer_name.py
+++ b/beryllug/core/answer_name.py
@@ -1,7 +1,7 @@
-"""Names of kept answers: the day, then the request.
+"""Names of stored answers: the day, then the request.
 
-Answers expire by days. With the day first, those of one day stand under one
-prefix, and expiry lists only what it will delete.
+Answers expire by day. With the day first, those of one day share a prefix, and
+expiry lists only the names that it will delete.
 """
 
 DAY_S = 86400
@@ -9,22 +9,22 @@
 
 
 def make(request_id: str, now: float) -> str:
-    """Return the name of an answer that is kept now, in wall seconds."""
+    """Return the name of an answer that is stored at this wall-clock time."""
     return f'{day_of(now)}{SEPARATOR}{request_id}'
 
 
 def day_of(now: float) -> int:
-    """Return the number of a wall-clock second's day."""
+    """Return the day number of a wall-clock time in seconds."""
     return int(now // DAY_S)
 
 
 def expired_days(now: float, retention_s: float, looked_back: int) -> range:
-    """Return the days whose every answer is older than the retention.
+    """Return the latest days whose answers are all older than the retention.
 
     Args:
-        now: Wall-clock second.
+        now: Wall-clock time in seconds.
         retention_s: How long answers are kept.
-        looked_back: How many expired days may still hold some.
+        looked_back: Number of expired days that may still have answers.
     """
     last = day_of(now - retention_s)
     return range(last - looked_back, last)
--- a/beryllug/core/brake.py
+++ b/beryllug/core/brake.py
@@ -1,12 +1,12 @@
-"""An entry's own brake on the candidate of a roll-out.
+"""A local circuit breaker of an entry host for the candidate of a roll-out.
 
-Evidence of the whole fleet takes a second or two to come back as a verdict.
-A version that crashes or fails answer after answer must not reach callers
-meanwhile: the entry that sees it gives out no further answer of it from the
-very next dispatch on. A brake is no verdict. It ends by itself, at first for
-one answer at a time, and the fleet's test decides what the failures mean.
+A verdict based on the evidence of the whole fleet takes a second or two. In
+the meantime a version that crashes or fails repeatedly must not reach further
+callers, so the entry host that observes the failures stops dispatching to it
+at once. This is no verdict: the block expires by itself, at first for one
+answer at a time, and the fleet-wide test decides about the version.
 
-The brake also keeps the entry's share of the exposure budget.
+The state also tracks the entry host's share of the exposure budget.
 """
 
 import math
@@ -14,23 +14,25 @@
 from enum import StrEnum
 from typing import Final
 
-# A sequential probability ratio test of "fails as often as not" against
-# "fails as seldom as a version that may stay". Two failures without a success
-# between them reach the threshold, which two chance failures of a version
-# with five failures in a thousand do once in 40,000 answers.
-BAD_RATE: Final = 0.5
-TOLERATED_RATE: Final = 0.05
+# A sequential probability ratio test of a bad failure rate against the
+# highest acceptable one. Two failures without a success between them reach
+# the threshold. For a version with five failures in a thousand this happens by
+# chance once in 40,000 answers.
+BAD_FAILURE_RATE: Final = 0.5
+ACCEPTABLE_FAILURE_RATE: Final = 0.05
 THRESHOLD: Final = 4.5
-FAILURE_SCORE: Final = math.log(BAD_RATE / TOLERATED_RATE)
-SUCCESS_SCORE: Final = math.log((1 - BAD_RATE) / (1 - TOLERATED_RATE))
-# After a hold one failure is enough to brake again.
-PROBATION_SCORE: Final = THRESHOLD - FAILURE_SCORE / 2
-FIRST_HOLD_S: Final = 10.0
-LONGEST_HOLD_S: Final = 320.0
+FAILURE_SCORE: Final = math.log(BAD_FAILURE_RATE / ACCEPTABLE_FAILURE_RATE)
+SUCCESS_SCORE: Final = math.log(
+    (1 - BAD_FAILURE_RATE) / (1 - ACCEPTABLE_FAILURE_RATE)
+)
+# After a block a single failure blocks the candidate again.
+HALF_OPEN_SCORE: Final = THRESHOLD - FAILURE_SCORE / 2
+FIRST_BLOCK_S: Final = 10.0
+LONGEST_BLOCK_S: Final = 320.0
 
 
 class Outcome(StrEnum):
-    """How an answer of the candidate ended, as far as the version did it."""
+    """The outcome of an answer, as far as the candidate caused it."""
 
     GOOD = 'good'
     FAILED = 'failed'
@@ -39,76 +41,76 @@
 
 @dataclass(slots=True)
 class Brake:
-    """State of one candidate at one entry.
+    """State of one candidate at one entry host.
 
     Attributes:
-        total: Answers that may have been given out since the start.
+        total: Total answers allowed by the exposure budget since the start.
         given: Answers that were dispatched since the start.
         open: Answers in flight.
-        score: Logarithm of the likelihood ratio, not under 0.
-        held_until: Second of the monotonic clock until which it holds.
-        holds: Holds without a good stretch between them.
+        score: Logarithm of the likelihood ratio, at least 0.
+        blocked_until: Monotonic time until which the candidate is blocked.
+        holds: Consecutive blocks since the score was last 0.
     """
 
     total: int = 0
     given: int = 0
     open: int = 0
     score: float = 0.0
-    held_until: float = float('-inf')
+    blocked_until: float = float('-inf')
     holds: int = 0
 
 
 def deal(brake: Brake, total: int) -> None:
-    """Take in the entry's share; a late message never lowers it."""
+    """Update the allowed total; a delayed message never lowers it."""
     brake.total = max(brake.total, total)
 
 
 def remaining(brake: Brake, now: float) -> int:
-    """Return how many answers may be given out to new sessions now."""
+    """Return how many answers new sessions may get from the candidate."""
     if is_held(brake, now):
         return 0
     left = max(0, brake.total - brake.given)
     if brake.holds:
-        # On probation one answer at a time is out, so a version that still
-        # fails costs one answer a hold.
+        # After a block only one answer at a time is dispatched, so a version
+        # that still fails costs one answer for each block.
         return min(left, max(0, 1 - brake.open))
     return left
 
 
 def is_held(brake: Brake, now: float) -> bool:
-    """Tell whether the entry holds the candidate back."""
-    return now < brake.held_until
+    """Return whether the candidate is blocked."""
+    return now < brake.blocked_until
 
 
 def give(brake: Brake) -> None:
-    """Count an answer that is dispatched, for pinned sessions too."""
+    """Count a dispatched answer, including those of pinned sessions."""
     brake.given += 1
     brake.open += 1
 
 
 def end(brake: Brake, outcome: Outcome, now: float) -> bool:
-    """Take in how an answer ended.
+    """Record the outcome of an answer.
 
     Returns:
-        Whether the brake acted now, which is to be reported at once.
+        Whether this blocked the candidate, which is to be reported at once.
     """
     brake.open = max(0, brake.open - 1)
     if outcome is Outcome.GOOD:
-        _relax(brake)
+        _record_success(brake)
         return False
     score = brake.score + FAILURE_SCORE
-    # A lost server is never waved through: one is enough.
+    # A single crash of a backend server is enough to block the candidate.
     brake.score = THRESHOLD if outcome is Outcome.CRASHED else score
     if brake.score < THRESHOLD or is_held(brake, now):
         return False
-    hold_s = min(FIRST_HOLD_S * 2**brake.holds, LONGEST_HOLD_S)
-    brake.held_until = now + hold_s
+    block_s = min(FIRST_BLOCK_S * 2**brake.holds, LONGEST_BLOCK_S)
+    brake.blocked_until = now + block_s
     brake.holds += 1
-    brake.score = PROBATION_SCORE
+    brake.score = HALF_OPEN_SCORE
     return True
 
 
-def _relax(brake: Brake) -> None:
+def _record_success(brake: Brake) -> None:
     brake.score = max(0, brake.score + SUCCESS_SCORE)
     if brake.score == 0:
         brake.holds = 0
--- a/beryllug/core/brake_test.py
+++ b/beryllug/core/brake_test.py
@@ -1,4 +1,4 @@
-"""Tests of an entry's own brake."""
+"""Tests of the local circuit breaker of an entry host."""
 
 import unittest
 
@@ -31,13 +31,13 @@
 
 
 class BrakeTest(unittest.TestCase):
-    """When an entry holds a candidate back, and for how long."""
+    """When an entry host blocks a candidate, and for how long."""
 
     def test_acts(self) -> None:
-        """A version fails its first callers, and the entry sees it first.
+        """A version that fails its first callers is blocked at once.
 
-        The failing answers come back, then the next caller asks. Waiting for
-        the fleet's verdict would give that caller the bad version as well.
+        The entry host observes the failures before the fleet-wide verdict. If
+        it waited for that, the next caller would get the bad version as well.
         """
         for title, outcomes, expected in ACTS:
             with self.subTest(title):
@@ -45,21 +45,21 @@
                 self.assertEqual(acted, expected)
                 self.assertEqual(brake.remaining(state, 0.0) == 0, expected)
 
-    def test_probation(self) -> None:
-        """A braked version that still fails costs one answer a hold.
+    def test_half_open(self) -> None:
+        """A blocked version that still fails costs one answer for each block.
 
-        The hold ends, one answer is given out; it fails, and the next hold
-        is twice as long. A good stretch ends the probation.
+        After a block one answer is dispatched. If it fails, the next block is
+        twice as long. Several successes end the limit of one answer.
         """
         state, _ = _after((FAILED, FAILED))
-        now = brake.FIRST_HOLD_S
+        now = brake.FIRST_BLOCK_S
         self.assertEqual(brake.remaining(state, now), 1)
         brake.give(state)
         self.assertEqual(brake.remaining(state, now), 0)
         self.assertTrue(brake.end(state, FAILED, now))
-        now += brake.FIRST_HOLD_S
+        now += brake.FIRST_BLOCK_S
         self.assertEqual(brake.remaining(state, now), 0)
-        now += brake.FIRST_HOLD_S
+        now += brake.FIRST_BLOCK_S
         for _ in range(6):
             self.assertEqual(brake.remaining(state, now), 1)
             brake.give(state)
@@ -67,10 +67,10 @@
         self.assertGreater(brake.remaining(state, now), 1)
 
     def test_share(self) -> None:
-        """Messages about the share come late, twice and out of order.
+        """Messages about the share arrive late, twice and out of order.
 
-        The total only rises, so each deals its answers out once; pinned
-        sessions may go beyond it and then block new ones.
+        The total never decreases, so each answer is allowed once. Pinned
+        sessions may exceed the total, and new sessions then get none.
         """
         state = brake.Brake()
         for total, left in ((3, 3), (3, 3), (2, 3), (5, 5)):
--- a/beryllug/core/estimates.py
+++ b/beryllug/core/estimates.py
@@ -1,23 +1,24 @@
-"""Estimates of how long answers take, learnt from those that came.
+"""Estimates of the duration of answers, learnt from completed ones.
 
-Kept by version and class of request: mean time to first token on a server
-with free slots, and mean time a request occupies a slot. Both are smoothed, so
-they follow a new version within some tens of answers.
+Estimates are kept by version and request class: the mean time to first token
+on a server with free slots, and the mean time that a request occupies a slot.
+Both are exponentially smoothed, so they adapt to a new version within some
+tens of answers.
 """
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 SMOOTHING = 0.05
-FIRST_SAMPLES = 20
+MEAN_SAMPLES = 20
 DEFAULT_FIRST_TOKEN_S = 0.2
 DEFAULT_SERVICE_S = 2.0
-QUIET_SHARE = 0.9
-RISE = 0.3
+FREE_SLOTS_LOAD_SHARE = 0.9
+RISE_FACTOR = 0.3
 
 
 class Key(NamedTuple):
-    """What an estimate is kept for.
+    """Key of an estimate.
 
     Attributes:
         name: The version as ``model:version`` or the name of the service.
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True)
 class Estimate:
-    """Smoothed times, in seconds, and how many answers made them."""
+    """Smoothed times, in seconds, and the number of answers behind them."""
 
     first_token_s: float = DEFAULT_FIRST_TOKEN_S
     service_s: float = DEFAULT_SERVICE_S
@@ -46,7 +47,7 @@
 
 
 def get(state: EstimateState, key: Key) -> Estimate:
-    """Return the estimate of a key, a default one at its first use."""
+    """Return the estimate of a key; create a default one if missing."""
     found = state.known.get(key)
     if found is None:
         found = Estimate()
@@ -61,31 +62,31 @@
     service_s: float,
     load_share: float,
 ) -> None:
-    """Take one answer.
+    """Update the estimate of a key with one answer.
 
     Args:
         state: The estimates to change.
-        key: What the answer was of.
+        key: Version or service and request class of the answer.
         first_token_s: Seconds from dispatch to the first token.
         service_s: Seconds from the first token to the end of the answer.
-        load_share: Load of the server at dispatch over its slots. Only an
-            answer from a server with free slots tells how long a first token
-            takes by itself; the others contain the wait for a slot.
+        load_share: Load of the server at dispatch divided by its slots. Only
+            answers from a server with free slots update the time to first
+            token; that of the others includes the wait for a slot.
     """
     found = get(state, key)
     found.samples += 1
     weight = _weight(found.samples)
     found.service_s += weight * (service_s - found.service_s)
-    if load_share <= QUIET_SHARE:
+    if load_share <= FREE_SLOTS_LOAD_SHARE:
         found.quiet_samples += 1
         weight = _weight(found.quiet_samples)
         if first_token_s > found.first_token_s:
-            weight *= RISE
+            weight *= RISE_FACTOR
         found.first_token_s += weight * (first_token_s - found.first_token_s)
 
 
 def _weight(samples: int) -> float:
-    """Return a plain mean's weight at first, then the smoothing constant."""
-    if samples <= FIRST_SAMPLES:
+    """Return the weight of an arithmetic mean, later a constant one."""
+    if samples <= MEAN_SAMPLES:
         return 1 / samples
     return SMOOTHING
--- a/beryllug/core/evidence.py
+++ b/beryllug/core/evidence.py
@@ -1,21 +1,22 @@
 """Sequential comparison of a candidate version with its incumbent.
 
-Evidence is looked at after every report, so a test with a fixed sample size
-would sooner or later stop a good version by chance. This is a test by
-betting: a wealth that a good candidate can't be expected to raise, at any
-time. Whenever it is looked at, the chance that a good candidate's wealth was
-ever 1/a or more is at most a.
+Evidence is evaluated after every report, so a test with a fixed sample size
+would sooner or later stop a good version by chance. This is an anytime-valid
+test by betting: if the candidate is good, the wealth plus the stake that is
+not paid in yet is a nonnegative supermartingale that starts at 1. At any time,
+the probability that a good candidate's wealth ever reached 1/a is at most a.
 
 A block of answers of both versions multiplies the wealth by the likelihood
 under "the candidate has rate c, the incumbent b" over the likelihood under
-"both have the rate in between", weighted by their answers. Its expectation
-is at most 1 for any rate that both share, also for one that changes: an
-outage that hits both versions alike raises nobody's wealth. The same holds
-for parts of answers, by convexity, which admits ratings.
+"both have the mean rate", weighted by their answers. Its expectation is at
+most 1 for any rate that both share, also for one that changes: an outage that
+hits both versions alike does not raise the wealth. By convexity the same
+holds for fractional outcomes, which admits ratings.
 
 Two refinements keep the power. The bet is spread over several rates c, from
-the least that counts as bad. And the wealth is paid in over time: a version
-that turns bad is measured from money that has not been lost on its good time.
+the lowest that counts as bad. And the stake is paid in over time, so that a
+version that turns bad later is bet against with wealth that was not lost
+while it was good.
 """
 
 import itertools
@@ -26,29 +27,30 @@
 from beryllug.core import evidence_data, rpc_data
 
 ALTERNATIVES: Final = 4
-TOP_RATE: Final = 0.9
-HIGHEST_BOUNDARY: Final = 0.95
-LEAST_RATE: Final = 1e-6
-# Odds against a rate well over the boundary that clear an account.
-SUITS_ODDS: Final = 20
-SUITS_AT: Final = math.log(SUITS_ODDS)
-# With fewer answers of the incumbent than this share there is nothing to
-# compare with, and its rate is taken from memory.
-COMPARED_SHARE: Final = 0.125
-MEMORY_BLOCK: Final = 16
-MEMORY_ANSWERS: Final = 4096
-MEMORY_SIGMAS: Final = 2.0
-MEMORY_WEIGHT: Final = 16
-# Part of the wealth is there from the start; a part is paid in with the
-# density c / (c + n)^2 over the candidate's answers n, and the last one,
-# halved each time, when a comparison is reopened.
-PAY_IN_ANSWERS: Final = 800
-FIRST_PAY: Final = 0.66
-LATER_PAY: Final = 0.17
-REOPEN_PAY: Final = 0.17
-LEAST_CREDIT: Final = -2.0
-MOST_GROWTH: Final = 16
-MOST_CREDIT: Final = math.log(MOST_GROWTH)
+MAX_ALTERNATIVE_RATE: Final = 0.9
+MAX_BOUNDARY: Final = 0.95
+MIN_RATE: Final = 1e-6
+# Odds against a rate well above the boundary at which the candidate is
+# acceptable for an account.
+ACCEPTABLE_ODDS: Final = 20
+ACCEPTABLE_LOG_ODDS: Final = math.log(ACCEPTABLE_ODDS)
+# With fewer answers of the incumbent per answer of the candidate the versions
+# are not compared, and the incumbent's rate of earlier blocks is used.
+MIN_INCUMBENT_RATIO: Final = 0.125
+UNPAIRED_BLOCK_ANSWERS: Final = 16
+MAX_BASELINE_ANSWERS: Final = 4096
+BASELINE_SIGMAS: Final = 2.0
+BASELINE_PSEUDO_ANSWERS: Final = 16
+# One part of the stake is available from the start, one is paid in with the
+# density c / (c + n)^2 over the candidate's answers n, and the last, halved
+# each time, when a comparison is reopened.
+STAKE_SCHEDULE_ANSWERS: Final = 800
+INITIAL_STAKE: Final = 0.66
+SCHEDULED_STAKE: Final = 0.17
+REOPEN_STAKE: Final = 0.17
+MIN_CREDIT: Final = -2.0
+MAX_BUDGET_GROWTH: Final = 16
+MAX_CREDIT: Final = math.log(MAX_BUDGET_GROWTH)
 
 Trial = evidence_data.Trial
 Sample = evidence_data.Sample
@@ -57,7 +59,7 @@
 def samples(
     counts: rpc_data.VersionEvidence,
 ) -> Iterator[evidence_data.Sample]:
-    """Yield what an entry counted, one sample for each measure."""
+    """Yield the counts of an entry host as one sample for each measure."""
     yield Sample(counts.answers, counts.errors)
     yield Sample(counts.answers, counts.crashes)
     yield Sample(counts.answers, counts.late)
@@ -67,7 +69,7 @@
 
 def begin() -> Trial:
     """Return the state of a test before its first answer."""
-    return Trial(wealth=(math.log(FIRST_PAY),) * ALTERNATIVES)
+    return Trial(wealth=(math.log(INITIAL_STAKE),) * ALTERNATIVES)
 
 
 def observe(
@@ -76,7 +78,7 @@
     candidate: Sample,
     incumbent: Sample,
 ) -> Trial:
-    """Take in answers of both versions."""
+    """Return the test with answers of both versions added."""
     if not candidate.answers and not incumbent.answers:
         return trial
     joined = trial._replace(
@@ -84,87 +86,87 @@
         incumbent=_add(trial.incumbent, incumbent),
     )
     if _is_comparable(joined):
-        return _close(joined, bad)
-    if joined.candidate.answers >= MEMORY_BLOCK:
-        return _close_alone(joined, bad)
+        return _close_block(joined, bad)
+    if joined.candidate.answers >= UNPAIRED_BLOCK_ANSWERS:
+        return _close_unpaired_block(joined, bad)
     return joined
 
 
 def new_stage(trial: Trial) -> Trial:
-    """Begin the evidence of a stage anew; the wealth stays."""
+    """Reset the evidence of the stage and keep the wealth."""
     return trial._replace(lean=0, best=0)
 
 
 def reopen(trial: Trial, times: int) -> Trial:
-    """Begin to compare anew, with a further part of the wealth.
+    """Restart the comparison with a further part of the stake.
 
     Args:
         trial: The test.
         times: How often it was reopened before.
     """
-    paid = math.log(REOPEN_PAY) - (times + 1) * math.log(2)
+    paid = math.log(REOPEN_STAKE) - (times + 1) * math.log(2)
     wealth = tuple(_log_add(before, paid) for before in trial.wealth)
     return new_stage(trial)._replace(wealth=wealth, alarm=0)
 
 
-def suits(trial: Trial) -> bool:
-    """Tell whether it is unlikely by now that the candidate is very bad."""
-    return trial.gross <= -SUITS_AT
+def is_acceptable(trial: Trial) -> bool:
+    """Return whether the candidate is unlikely to be very bad."""
+    return trial.high_rate_ratio <= -ACCEPTABLE_LOG_ODDS
 
 
 def weight(trial: Trial) -> float:
     """Return the logarithm of the wealth, the evidence of a bad candidate."""
     most = max(trial.wealth)
-    # A wealth under its stake decides nothing; its mean needs no computing.
+    # A wealth below 1 never reaches a threshold, so the mean is not needed.
     return _log_mean(trial.wealth) if most > 0 else most
 
 
 def boundary(bad: evidence_data.Bad, incumbent_rate: float) -> float:
-    """Return the least rate that counts as bad beside an incumbent."""
+    """Return the lowest bad rate of a candidate, given its incumbent."""
     rate = max(bad.rate, bad.ratio * incumbent_rate, bad.gap + incumbent_rate)
-    return min(rate, HIGHEST_BOUNDARY)
+    return min(rate, MAX_BOUNDARY)
 
 
 def _is_comparable(trial: Trial) -> bool:
-    """Tell whether the open block may be closed; outcomes play no part."""
-    least = COMPARED_SHARE * trial.candidate.answers
+    """Return whether the open block may be closed, whatever its outcomes."""
+    least = MIN_INCUMBENT_RATIO * trial.candidate.answers
     return 0 < least <= trial.incumbent.answers
 
 
-def _close(trial: Trial, bad: evidence_data.Bad) -> Trial:
+def _close_block(trial: Trial, bad: evidence_data.Bad) -> Trial:
     """Close a block in which both versions answered."""
     rate = _incumbent_rate(trial, bad)
     bets = _alternatives(boundary(bad, rate))
     seen = trial.seen + trial.candidate.answers
-    paid = math.log(_paid(seen) - _paid(trial.seen))
+    paid = math.log(_paid_in(seen) - _paid_in(trial.seen))
     wealth = tuple(
         _log_add(before, paid) + _compare(trial, bet, rate)
         for before, bet in zip(trial.wealth, bets, strict=True)
     )
     closed = trial._replace(seen=seen, wealth=wealth, alarm=0)
-    return _next_block(closed, bad)
+    return _start_next_block(closed, bad)
 
 
-def _close_alone(trial: Trial, bad: evidence_data.Bad) -> Trial:
-    """Close a block in which the candidate answered nearly all.
+def _close_unpaired_block(trial: Trial, bad: evidence_data.Bad) -> Trial:
+    """Close a block with too few answers of the incumbent.
 
-    With nothing to compare with, an outage that would hit both versions
-    looks like a bad candidate. It can raise the alarm, after which both
-    versions answer again; it is no bet against the candidate.
+    Without a comparison, an outage that affects both versions looks like a
+    bad candidate. It can raise the alarm, after which both versions receive
+    requests again, but it does not change the wealth.
     """
-    null = _remembered(trial, bad)
+    null = _incumbent_upper_rate(trial, bad)
     _, second, *_ = _alternatives(boundary(bad, _incumbent_rate(trial, bad)))
-    high = max(second, min(2 * null, HIGHEST_BOUNDARY))
+    high = max(second, min(2 * null, MAX_BOUNDARY))
     raised = trial.alarm + _log_ratio(trial.candidate, high, null)
-    return _next_block(trial._replace(alarm=max(0, raised)), bad)
+    return _start_next_block(trial._replace(alarm=max(0, raised)), bad)
 
 
-def _next_block(trial: Trial, bad: evidence_data.Bad) -> Trial:
-    """Take the block into the evidence that the candidate is good.
+def _start_next_block(trial: Trial, bad: evidence_data.Bad) -> Trial:
+    """Add the block to the evidence that the candidate is good.
 
-    That is an ordinary likelihood ratio against the incumbent's known rate:
-    the bets allow for an incumbent that is as bad, and lose little on a
-    candidate that is as good.
+    This is an ordinary likelihood ratio against the incumbent's known rate.
+    The wealth is no substitute: it allows for an equally bad incumbent, and
+    falls only slowly for an equally good candidate.
     """
     rate = _incumbent_rate(trial, bad)
     least, high, *_ = _alternatives(boundary(bad, rate))
@@ -173,22 +175,23 @@
     return trial._replace(
         candidate=Sample(),
         incumbent=Sample(),
-        base=_fade(_add(trial.base, trial.incumbent)),
+        base=_decay(_add(trial.base, trial.incumbent)),
         lean=lean,
         best=min(trial.best, lean),
-        credit=min(max(trial.credit - ratio, LEAST_CREDIT), MOST_CREDIT),
-        gross=trial.gross + _log_ratio(trial.candidate, high, rate),
+        credit=min(max(trial.credit - ratio, MIN_CREDIT), MAX_CREDIT),
+        high_rate_ratio=trial.high_rate_ratio
+        + _log_ratio(trial.candidate, high, rate),
     )
 
 
 def _incumbent_rate(trial: Trial, bad: evidence_data.Bad) -> float:
     known = _add(trial.base, bad.prior)
-    return max(known.bad / known.answers, LEAST_RATE)
+    return max(known.bad / known.answers, MIN_RATE)
 
 
 def _alternatives(least: float) -> Iterator[float]:
-    """Yield the rates that are bet on, from the least one upwards."""
-    top = max(least, TOP_RATE)
+    """Yield the alternative rates in ascending order."""
+    top = max(least, MAX_ALTERNATIVE_RATE)
     for step in range(ALTERNATIVES):
         yield least * (top / least) ** (step / (ALTERNATIVES - 1))
 
@@ -201,18 +204,18 @@
     return _log_ratio(new, rate, null) + _log_ratio(old, incumbent_rate, null)
 
 
-def _remembered(trial: Trial, bad: evidence_data.Bad) -> float:
-    """Return a rate that the incumbent hardly exceeded.
+def _incumbent_upper_rate(trial: Trial, bad: evidence_data.Bad) -> float:
+    """Return an upper confidence bound on the incumbent's rate.
 
-    What little the incumbent answered lately may only raise it.
+    The few answers of the incumbent in the open block can only raise it.
     """
     known = _add(trial.base, bad.prior)
     rate = _incumbent_rate(trial, bad)
     spread = math.sqrt(rate * (1 - rate) / known.answers)
-    upper = rate + MEMORY_SIGMAS * spread + 1 / known.answers
-    lately = Sample(MEMORY_WEIGHT, MEMORY_WEIGHT * upper)
-    joined = _add(lately, trial.incumbent)
-    return min(max(upper, joined.bad / joined.answers), HIGHEST_BOUNDARY)
+    upper = rate + BASELINE_SIGMAS * spread + 1 / known.answers
+    pseudo = Sample(BASELINE_PSEUDO_ANSWERS, BASELINE_PSEUDO_ANSWERS * upper)
+    joined = _add(pseudo, trial.incumbent)
+    return min(max(upper, joined.bad / joined.answers), MAX_BOUNDARY)
 
 
 def _log_ratio(sample: Sample, rate: float, null: float) -> float:
@@ -222,13 +225,13 @@
     )
 
 
-def _paid(answers: float) -> float:
-    """Return the share of the later wealth that is paid in by then."""
-    return LATER_PAY * answers / (PAY_IN_ANSWERS + answers)
+def _paid_in(answers: float) -> float:
+    """Return the part of the stake that is paid in after these answers."""
+    return SCHEDULED_STAKE * answers / (STAKE_SCHEDULE_ANSWERS + answers)
 
 
-def _fade(sample: Sample) -> Sample:
-    if sample.answers <= MEMORY_ANSWERS:
+def _decay(sample: Sample) -> Sample:
+    if sample.answers <= MAX_BASELINE_ANSWERS:
         return sample
     return Sample(sample.answers / 2, sample.bad / 2)
 
--- a/beryllug/core/evidence_book.py
+++ b/beryllug/core/evidence_book.py
@@ -1,9 +1,10 @@
-"""An entry's book of evidence: counts that wait to be reported.
+"""An entry host's buffer of evidence that was not reported yet.
 
-One report is on its way at a time and is sent again unchanged until it is
-acknowledged; what happens meanwhile is counted for the next one. So the book
-is bounded by versions and accounts, however long control is away, and a
-report whose acknowledgement was lost counts once.
+One report is in flight at a time. It is resent unchanged until it is
+acknowledged, and new events are counted for the next one. So the size of the
+buffer is bounded by the versions and accounts, however long the control
+processes are unreachable, and a report whose acknowledgement was lost is
+counted once.
 """
 
 from dataclasses import dataclass, field
@@ -13,18 +14,18 @@
 
 
 class Subject(NamedTuple):
-    """What a count is about: a version, for one client account."""
+    """Key of a count: a version and a client account."""
 
     version: config_data.VersionRef
     account_id: str
 
 
 class Answer(NamedTuple):
-    """How an answer ended.
+    """The outcome of an answer.
 
     Attributes:
-        failed: It failed through the version, a lost server included.
-        late: It missed its target.
+        failed: The version caused a failure, including a lost server.
+        late: It missed its latency target.
         crashed: Its backend server was lost.
     """
 
@@ -35,11 +36,11 @@
 
 @dataclass(slots=True)
 class Book:
-    """The evidence of one entry process.
+    """The unreported evidence of one entry process.
 
     Attributes:
         entry: Name of the process and of its start.
-        sequence: Sequence number of the last report that was made.
+        sequence: Sequence number of the last report.
         pending: The report that is not acknowledged yet.
         counts: Counts for the next report.
         running: Requests in flight.
@@ -55,12 +56,12 @@
 
 
 def start(book: Book, subject: Subject) -> None:
-    """Count a request that is dispatched."""
+    """Count a dispatched request."""
     book.running[subject] = book.running.get(subject, 0) + 1
 
 
 def end(book: Book, subject: Subject, answer: Answer) -> None:
-    """Count an answer; every `start` has exactly one."""
+    """Count an answer; a `start` is followed by one `end` or `drop`."""
     _stop_running(book, subject)
     counts = _counts(book, subject)
     book.counts[subject] = counts._replace(
@@ -72,9 +73,10 @@
 
 
 def drop(book: Book, subject: Subject) -> None:
-    """Forget a started request that says nothing of the version.
+    """Discard a started request that is no evidence about the version.
 
-    The caller went away, or the server refused it as not run.
+    The caller disconnected, or the server refused the request without running
+    it.
     """
     _stop_running(book, subject)
 
@@ -82,7 +84,7 @@
 def rate(
     book: Book, subject: Subject, rating: float, min_rating: float
 ) -> None:
-    """Count a rating, from 0 to 1, of an answer counted before."""
+    """Count a rating, from 0 to 1, of an answer that was counted before."""
     counts = _counts(book, subject)
     book.counts[subject] = counts._replace(
         rated=counts.rated + 1,
@@ -92,13 +94,13 @@
 
 
 def skip_rating(book: Book, subject: Subject) -> None:
-    """Count an answer without failure that will not be rated."""
+    """Count a successful answer that will not be rated."""
     counts = _counts(book, subject)
     book.counts[subject] = counts._replace(unrated=counts.unrated + 1)
 
 
 def move(book: Book, subject: Subject) -> None:
-    """Count a session that was moved off the version."""
+    """Count a session that was moved to another version."""
     counts = _counts(book, subject)
     book.counts[subject] = counts._replace(moved=counts.moved + 1)
 
@@ -127,7 +129,7 @@
 
 
 def acknowledge(book: Book, sequence: int) -> None:
-    """Take in that the report with this number was taken."""
+    """Record that the report with this sequence number was received."""
     if book.pending is not None and book.pending.sequence == sequence:
         book.pending = None
 
--- a/beryllug/core/evidence_book_test.py
+++ b/beryllug/core/evidence_book_test.py
@@ -1,4 +1,4 @@
-"""Tests of an entry's book of evidence."""
+"""Tests of an entry host's buffer of unreported evidence."""
 
 import unittest
 
@@ -9,13 +9,13 @@
 
 
 class EvidenceBookTest(unittest.TestCase):
-    """Each answer is reported once, whatever becomes of the reports."""
+    """Each answer is counted once, even if a report is resent."""
 
     def test_lost_acknowledgement(self) -> None:
-        """A report was taken and its acknowledgement was lost.
+        """A report whose acknowledgement was lost is resent.
 
-        The entry sends it again, unchanged and under the same number, while
-        further answers are counted for the next one.
+        It is unchanged and has the same sequence number; further answers are
+        counted for the next report.
         """
         book = evidence_book.Book('entry-1/boot')
         self._answer(book, failed=True)
@@ -31,8 +31,8 @@
         self.assertEqual([counts.answers for counts in sent], [1, 1])
         self.assertEqual([counts.errors for counts in sent], [1, 0])
 
-    def test_levels(self) -> None:
-        """Requests in flight stand in each report until they end."""
+    def test_running(self) -> None:
+        """Requests in flight are part of each report until they end."""
         book = evidence_book.Book('entry-1/boot')
         evidence_book.start(book, SUBJECT)
         evidence_book.start(book, SUBJECT)
--- a/beryllug/core/evidence_bounds.py
+++ b/beryllug/core/evidence_bounds.py
@@ -1,8 +1,9 @@
-"""From which rates on a candidate counts as bad.
+"""The rates at which a candidate counts as bad.
 
-The operator declares an error rate and a least mean rating. The other bounds
-are set here, each as a distance from the incumbent, and all of them so that
-a candidate is never blamed for what its incumbent does as well.
+The operator declares a maximum error rate and a minimum mean rating. The
+other bounds are set here. All of them are also relative to the incumbent's
+rate, so that a candidate is never rejected for failures that its incumbent
+has as well.
 """
 
 import functools
@@ -18,9 +19,9 @@
 LOW_GAP: Final = 0.15
 LOSS_RATIO: Final = 1.3
 LOSS_GAP: Final = 0.05
-RATIO: Final = 2
-# What is assumed of an incumbent before it was measured: so many answers, and
-# the share of them that ended badly.
+DEFAULT_RATIO: Final = 2
+# Prior for an incumbent without measurements: a number of answers and the
+# share of them that were bad.
 PRIOR_ANSWERS: Final = 40
 PRIOR_ERROR_PART: Final = 0.2
 PRIOR_LOSS_PART: Final = 0.5
@@ -33,34 +34,38 @@
 @functools.lru_cache
 def of(declared: config_data.Rollout) -> tuple[evidence_data.Bad, ...]:
     """Return the bounds of a declared roll-out, one for each measure."""
-    return tuple(_of(declared, measure) for measure in evidence_data.MEASURES)
+    return tuple(
+        _bounds_for(declared, measure) for measure in evidence_data.MEASURES
+    )
 
 
 def needs_rating(declared: config_data.Rollout) -> bool:
-    """Tell whether the candidate must be judged by ratings."""
+    """Return whether ratings are required to judge the candidate."""
     return declared.min_rating > 0
 
 
-def _of(
+def _bounds_for(
     declared: config_data.Rollout, measure: evidence_data.Measure
 ) -> evidence_data.Bad:
     match measure:
         case evidence_data.Measure.ERROR:
             rate = declared.max_error_rate
-            return _bad(rate, RATIO, 0, PRIOR_ERROR_PART * rate)
+            return _with_prior(rate, DEFAULT_RATIO, 0, PRIOR_ERROR_PART * rate)
         case evidence_data.Measure.CRASH:
             prior = evidence_data.Sample(PRIOR_CRASH_ANSWERS, PRIOR_CRASHES)
             return evidence_data.Bad(CRASH_RATE, CRASH_RATIO, 0, prior)
         case evidence_data.Measure.LATE:
-            return _bad(LATE_RATE, RATIO, LATE_GAP, PRIOR_LATE)
+            return _with_prior(LATE_RATE, DEFAULT_RATIO, LATE_GAP, PRIOR_LATE)
         case evidence_data.Measure.LOW:
-            return _bad(LOW_RATE, RATIO, LOW_GAP, PRIOR_LOW)
+            return _with_prior(LOW_RATE, DEFAULT_RATIO, LOW_GAP, PRIOR_LOW)
         case evidence_data.Measure.LOSS:
             rate = 1 - declared.min_rating
-            return _bad(rate, LOSS_RATIO, LOSS_GAP, PRIOR_LOSS_PART * rate)
+            return _with_prior(
+                rate, LOSS_RATIO, LOSS_GAP, PRIOR_LOSS_PART * rate
+            )
 
 
-def _bad(
+def _with_prior(
     rate: float, ratio: float, gap: float, prior: float
 ) -> evidence_data.Bad:
     sample = evidence_data.Sample(PRIOR_ANSWERS, PRIOR_ANSWERS * prior)
--- a/beryllug/core/evidence_data.py
+++ b/beryllug/core/evidence_data.py
@@ -1,11 +1,11 @@
-"""Records of the comparison of a candidate with its incumbent."""
+"""Data types of the comparison of a candidate with its incumbent."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class Measure(StrEnum):
-    """What is compared; each is a share of answers that ended badly."""
+    """A compared metric; each is a share of bad answers."""
 
     ERROR = 'error'
     CRASH = 'crash'
@@ -19,11 +19,11 @@
 
 
 class Sample(NamedTuple):
-    """Answers of one version and how many of them ended badly.
+    """Answers of one version and how many of them were bad.
 
     Attributes:
         answers: Answers that were measured.
-        bad: How many ended badly; for the loss of rating a sum of parts.
+        bad: Number of bad answers; fractional for the rating loss.
     """
 
     answers: float = 0
@@ -31,16 +31,16 @@
 
 
 class Bad(NamedTuple):
-    """From which rate on a candidate counts as bad.
+    """Lower bounds on the rate at which a candidate counts as bad.
 
-    The rate is the greatest of the three, so a candidate is never blamed for
-    what its incumbent does as well.
+    The greatest of the three applies, so a candidate is never rejected for
+    failures that its incumbent has as well.
 
     Attributes:
-        rate: Least rate that counts as bad.
+        rate: Absolute rate.
         ratio: Multiple of the incumbent's rate.
         gap: Distance above the incumbent's rate.
-        prior: What is assumed of an incumbent before it was measured.
+        prior: Assumed answers of an incumbent without measurements.
     """
 
     rate: float
@@ -54,19 +54,21 @@
 
     Attributes:
         wealth: Logarithm of the wealth of each alternative rate.
-        candidate: Candidate's answers of the open block.
-        incumbent: Incumbent's answers of the open block.
-        base: Incumbent's answers of the closed blocks; old ones fade.
-        seen: Candidate's answers of the closed blocks.
-        lean: Logarithm of the likelihood ratio of bad against good since
-            the present stage began.
-        best: Least value that `lean` has had.
-        credit: Evidence that the candidate is good, within bounds, so that
-            it is soon used up when a good candidate turns bad.
-        gross: Logarithm of the likelihood ratio of a rate well over the
-            least bad one against good, since the beginning.
-        alarm: Logarithm of the likelihood ratio of very bad against what is
-            remembered of the incumbent, not under 0.
+        candidate: Candidate's answers in the open block.
+        incumbent: Incumbent's answers in the open block.
+        base: Incumbent's answers in the closed blocks; halved when there are
+            too many, so that old ones lose weight.
+        seen: Candidate's answers in the closed blocks in which both versions
+            answered.
+        lean: Log likelihood ratio of bad to good since the start of the
+            stage.
+        best: Minimum of `lean`, at most 0.
+        credit: Evidence that the candidate is good. It is bounded, so that
+            it falls soon after a good candidate turns bad.
+        high_rate_ratio: Log likelihood ratio of a rate well above the lowest
+            bad one to good, since the start of the test.
+        alarm: Log likelihood ratio of very bad to the upper bound of the
+            incumbent's rate, at least 0.
     """
 
     wealth: tuple[float, ...]
@@ -77,5 +79,5 @@
     lean: float = 0
     best: float = 0
     credit: float = 0
-    gross: float = 0
+    high_rate_ratio: float = 0
     alarm: float = 0
--- a/beryllug/core/evidence_test.py
+++ b/beryllug/core/evidence_test.py
@@ -19,23 +19,25 @@
 
 
 def _outcomes(
-    answers: int, rate: float, parts: tuple[float, ...]
+    answers: int, rate: float, bad_parts: tuple[float, ...]
 ) -> Iterator[tuple[float, float]]:
-    """Yield each sum of bad parts with its chance."""
-    for drawn in itertools.product(parts, repeat=answers):
+    """Yield each sum of bad outcomes with its probability."""
+    for drawn in itertools.product(bad_parts, repeat=answers):
         bad = sum(1 for part in drawn if part)
         yield sum(drawn), rate**bad * (1 - rate) ** (answers - bad)
 
 
-def _expected(bad: evidence_data.Bad, rate: float, whole: float) -> float:
-    """Return the expected wealth of each bet after two blocks, the greatest.
+def _expected(bad: evidence_data.Bad, rate: float, bad_part: float) -> float:
+    """Return the greatest expected wealth of any bet after two blocks.
 
-    Both versions have the same rate, by enumeration of all outcomes.
+    Both versions have the same rate. All outcomes are enumerated.
     """
     totals = dict.fromkeys(range(evidence.ALTERNATIVES), 0.0)
-    parts = (0.0, whole)
+    bad_parts = (0.0, bad_part)
     blocks = list(
-        itertools.product(_outcomes(1, rate, parts), _outcomes(2, rate, parts))
+        itertools.product(
+            _outcomes(1, rate, bad_parts), _outcomes(2, rate, bad_parts)
+        )
     )
     for first, second in itertools.product(blocks, repeat=2):
         trial = evidence.begin()
@@ -48,7 +50,7 @@
     return max(totals.values())
 
 
-def _play(
+def _simulate(
     seed: int, rates: Iterator[tuple[float, float]], old_answers: int
 ) -> Iterator[Trial]:
     """Yield the state after each answer of the candidate."""
@@ -65,35 +67,37 @@
         yield trial
 
 
-def _detected(seed: int, rates: Iterator[tuple[float, float]]) -> int | None:
-    """Return after how many answers the wealth is a thousandfold."""
-    for answers, trial in enumerate(_play(seed, rates, 4)):
+def _answers_to_detection(
+    seed: int, rates: Iterator[tuple[float, float]]
+) -> int | None:
+    """Return the number of answers after which the wealth exceeds 1000."""
+    for answers, trial in enumerate(_simulate(seed, rates, 4)):
         if evidence.weight(trial) > math.log(1000):
             return answers
     return None
 
 
 class EvidenceTest(unittest.TestCase):
-    """A good candidate is not stopped by chance, a bad one soon is."""
+    """A good candidate is not stopped by chance; a bad one is stopped soon."""
 
     def test_wealth_is_not_expected_to_grow(self) -> None:
-        """A good version would be stopped if it is looked at often enough.
+        """A good version must not be stopped by repeated evaluation.
 
-        That is what happens to tests of a fixed sample size. Here the
-        expected wealth of every bet stays under the stake, for every rate
-        that both versions share, and for parts of an answer as well.
+        Tests with a fixed sample size fail that way. Here the expected wealth
+        of every bet stays below the stake, for every rate that both versions
+        share and for fractional outcomes as well.
         """
-        for bad, rate, whole in itertools.product(
+        for bad, rate, bad_part in itertools.product(
             (ERROR, LOSS), COMMON_RATES, (1.0, 0.4)
         ):
-            with self.subTest(bad=bad.rate, rate=rate, whole=whole):
-                self.assertLessEqual(_expected(bad, rate, whole), 0.86)
+            with self.subTest(bad=bad.rate, rate=rate, bad_part=bad_part):
+                self.assertLessEqual(_expected(bad, rate, bad_part), 0.86)
 
     def test_wrong_stops(self) -> None:
-        """A common outage comes and goes while a good version is looked at.
+        """An outage of both versions does not stop a good candidate.
 
-        Both versions fail alike. The chance that the wealth is ever twenty
-        is at most 0.85 in twenty, which is 8.5 of 200 runs.
+        Both versions fail alike. The probability that the wealth ever reaches
+        20 is at most 0.85 / 20, which is 8.5 of 200 runs.
         """
         rates = [
             *itertools.repeat((0.01, 0.01), 100),
@@ -101,16 +105,18 @@
         ]
         runs = 0
         for seed in range(200):
-            played = _play(seed, iter(rates), 2)
-            most = max(evidence.weight(trial) for trial in played)
+            states = _simulate(seed, iter(rates), 2)
+            most = max(evidence.weight(trial) for trial in states)
             runs += most > math.log(20)
         self.assertLessEqual(runs, 8)
 
     def test_detection(self) -> None:
-        """A version fails for some of its callers from the start."""
+        """A version that fails for some callers from the start is detected."""
         for rate, most in ((0.5, 12), (0.2, 40), (0.1, 110)):
             found = [
-                _detected(seed, itertools.repeat((rate, 0.005), 1000))
+                _answers_to_detection(
+                    seed, itertools.repeat((rate, 0.005), 1000)
+                )
                 for seed in range(11)
             ]
             with self.subTest(rate=rate):
@@ -118,13 +124,14 @@
                 self.assertLessEqual(answers[5], most)
 
     def test_turns_bad(self) -> None:
-        """A version answers well for long, then one in five fails.
+        """A version that turns bad after a long good period is detected.
 
-        A bet placed at the start has lost nearly all by then; only wealth
-        that is paid in later notices within a few dozen answers.
+        One in five of its answers then fails. A bet placed at the start has
+        lost nearly all its wealth by then; only the stake that is paid in
+        later detects the change within a few dozen answers.
         """
         found = [
-            _detected(
+            _answers_to_detection(
                 seed,
                 itertools.chain(
                     itertools.repeat((0.005, 0.005), 1500),
@@ -137,10 +144,11 @@
         self.assertLessEqual(answers[2], 1580)
 
     def test_alone(self) -> None:
-        """All new sessions go to the candidate when an outage comes.
+        """An outage while only the candidate answers raises the alarm.
 
-        Nothing is left to compare with. That raises the alarm, after which
-        both versions answer again, but it is no bet against the candidate.
+        All new sessions go to the candidate, so there is no comparison. Both
+        versions receive requests again after the alarm, but the wealth does
+        not change.
         """
         trial = evidence.observe(
             evidence.begin(), ERROR, Sample(), Sample(500, 2)
--- a/beryllug/core/exposure.py
+++ b/beryllug/core/exposure.py
@@ -1,14 +1,14 @@
 """The exposure budget of a candidate and its shares.
 
-What bounds the callers whom a bad version reaches is the number of answers
-given out and not yet judged. The operator declares the most that may be out.
-It begins with a small part of that and grows with evidence that the
-candidate is good, so that the expected number of bad answers out stays about
-the same; it shrinks again when evidence turns.
-
-The budget is dealt to entries as totals that only rise. What was dealt counts
-as given out, reported or not: an entry that is cut off or dies may have used
-all of it.
+The number of callers that a bad version affects is bounded by the number of
+its answers that are not judged yet. The operator declares a maximum for these.
+The budget starts at a small part of that and grows with the evidence that the
+candidate is good, so that the expected number of unjudged bad answers stays
+about constant. It shrinks again when the evidence turns against the candidate.
+
+The budget is allocated to entry hosts as totals that never decrease. Allocated
+answers count as used whether they were reported or not, since an entry host
+that is partitioned or dies may have used all of them.
 """
 
 import heapq
@@ -17,31 +17,33 @@
 
 from beryllug.core import config_data, rollout_data, rpc_data
 
-START_PART: Final = 16
-LEAST_UNJUDGED: Final = 4
-# Answers that will never be rated leave the budget with those that were, so
-# many for one rating and a part of the budget without any.
-RELEASED_A_RATING: Final = 10
-RELEASED_PART: Final = 4
+INITIAL_DIVISOR: Final = 16
+MIN_UNJUDGED: Final = 4
+# Answers that will never be rated are released from the budget: up to
+# RELEASED_PER_RATING for each rating, plus 1 / UNRATED_DIVISOR of the budget
+# without any rating.
+RELEASED_PER_RATING: Final = 10
+UNRATED_DIVISOR: Final = 4
 SILENT_S: Final = 30.0
 WRITE_OFF_S: Final = 900.0
-# Most of the budget is for answers out, not for shares that lie unused.
-STOCK_PART: Final = 4
+# Unused shares take at most 1 / UNUSED_DIVISOR of the limit in total, but may
+# be 1 each. Most of the budget is for answers that wait to be judged.
+UNUSED_DIVISOR: Final = 4
 
 Exposure = rollout_data.Exposure
 EntryShare = rollout_data.EntryShare
 
 
 def limit(declared: config_data.Rollout, credit: float) -> int:
-    """Return how many answers may be out and not judged.
+    """Return the maximum number of unjudged answers.
 
     Args:
         declared: The roll-out.
         credit: Logarithm of the evidence that the candidate is good.
     """
     most = declared.exposure_budget
-    first = max(most / START_PART, LEAST_UNJUDGED)
-    grown = max(first * math.exp(credit), LEAST_UNJUDGED)
+    first = max(most / INITIAL_DIVISOR, MIN_UNJUDGED)
+    grown = max(first * math.exp(credit), MIN_UNJUDGED)
     return int(min(most, grown))
 
 
@@ -52,14 +54,14 @@
     *,
     braked: bool,
 ) -> Exposure | None:
-    """Take in who reported; None when the report was taken in before."""
+    """Record the sender of a report; return None for a duplicate report."""
     share = exposure.shares.get(report.entry, EntryShare())
     if report.sequence <= share.sequence:
         return None
     share = share._replace(
         sequence=report.sequence, heard_at=now, braked=braked
     )
-    return _put(exposure, report.entry, share)
+    return _with_share(exposure, report.entry, share)
 
 
 def count(
@@ -69,13 +71,13 @@
     *,
     needs_rating: bool,
 ) -> Exposure:
-    """Take in an entry's counts of the candidate."""
+    """Add an entry host's counts of the candidate."""
     share = exposure.shares[entry]
     share = share._replace(given=share.given + counts.answers)
     judged = counts.answers
     if needs_rating:
         judged = counts.errors + counts.rated
-    return _put(exposure, entry, share)._replace(
+    return _with_share(exposure, entry, share)._replace(
         judged=exposure.judged + judged,
         rated=exposure.rated + counts.rated,
         unrated=exposure.unrated + counts.unrated,
@@ -84,22 +86,22 @@
 
 
 def release(exposure: Exposure, declared: config_data.Rollout) -> Exposure:
-    """Let answers that will never be rated leave the budget.
+    """Release answers that will never be rated from the budget.
 
-    To be called when a rating of either version has arrived. In an outage of
+    Call this when a rating of either version has arrived. During an outage of
     the rating service nothing is judged, so nothing may be released either:
-    silence would be taken for good evidence. But the answers whose ratings it
-    lost must leave the budget afterwards, or the roll-out stands still for
-    ever. A candidate that is never rated at all is held after a part of its
-    budget.
+    missing ratings would count as good evidence. But the answers whose ratings
+    were lost must be released afterwards, or the roll-out would be stuck for
+    ever. A candidate without any rating is held once a part of its budget is
+    used.
     """
-    most = RELEASED_A_RATING * exposure.rated
-    most += declared.exposure_budget // RELEASED_PART
+    most = RELEASED_PER_RATING * exposure.rated
+    most += declared.exposure_budget // UNRATED_DIVISOR
     return exposure._replace(released=min(exposure.unrated, most))
 
 
 def out(exposure: Exposure) -> int:
-    """Return the answers that may have been given out."""
+    """Return the number of answers that may have been served."""
     shares = exposure.shares.values()
     return exposure.closed + sum(
         max(share.dealt, share.given) for share in shares
@@ -107,27 +109,27 @@
 
 
 def deal(exposure: Exposure, unjudged: int, now: float) -> Exposure:
-    """Deal what the budget has left to the entries with the least stock."""
+    """Allocate the free budget to the entry hosts with the least unused."""
     total = out(exposure)
     free = exposure.judged + exposure.released + unjudged - total
     live = {
         entry: share
         for entry, share in exposure.shares.items()
-        if _takes(share, now)
+        if _is_eligible(share, now)
     }
     if free <= 0 or not live:
         return exposure
-    most = max(1, unjudged // (STOCK_PART * len(live)))
-    dealt = _fill(live, free, most)
+    most = max(1, unjudged // (UNUSED_DIVISOR * len(live)))
+    dealt = _raise_lowest(live, free, most)
     return exposure._replace(shares={**exposure.shares, **dealt})
 
 
 def write_off(exposure: Exposure, now: float) -> Exposure:
-    """Drop entries that were silent for long and return their stock.
+    """Remove entry hosts without recent reports and reclaim their shares.
 
-    An entry that died took its share along. Kept for ever, such shares would
-    use the budget up and hold a good candidate; how much may have been given
-    out unreported stands in `lost`.
+    The unused share of a dead entry host is never reported. If such shares
+    were kept for ever, they would use up the budget and block a good
+    candidate. `lost` counts the answers that may have been served unreported.
     """
     gone = [
         entry
@@ -144,7 +146,7 @@
     return exposure
 
 
-def _put(exposure: Exposure, entry: str, share: EntryShare) -> Exposure:
+def _with_share(exposure: Exposure, entry: str, share: EntryShare) -> Exposure:
     return exposure._replace(shares={**exposure.shares, entry: share})
 
 
@@ -152,14 +154,14 @@
     return {entry: share for entry, share in shares.items() if entry != gone}
 
 
-def _takes(share: EntryShare, now: float) -> bool:
+def _is_eligible(share: EntryShare, now: float) -> bool:
     return not share.braked and now - share.heard_at < SILENT_S
 
 
-def _fill(
+def _raise_lowest(
     live: dict[str, EntryShare], free: int, most: int
 ) -> dict[str, EntryShare]:
-    """Raise the lowest stock by one until all is dealt or all have enough."""
+    """Raise the lowest unused share by one until nothing or no need is left."""
     heap = [
         (max(0, share.dealt - share.given), entry)
         for entry, share in live.items()
@@ -169,8 +171,8 @@
         entry: max(share.dealt, share.given) for entry, share in live.items()
     }
     while free > 0 and heap[0][0] < most:
-        stock, entry = heap[0]
-        heapq.heapreplace(heap, (stock + 1, entry))
+        unused, entry = heap[0]
+        heapq.heapreplace(heap, (unused + 1, entry))
         dealt[entry] += 1
         free -= 1
     return {
--- a/beryllug/core/exposure_test.py
+++ b/beryllug/core/exposure_test.py
@@ -24,35 +24,35 @@
     )
 
 
-def _heard(now: float = 0.0, sequence: int = 1) -> rollout_data.Exposure:
+def _reported(now: float = 0.0, sequence: int = 1) -> rollout_data.Exposure:
     state = rollout_data.Exposure({})
     for entry in ENTRIES:
-        heard = exposure.hear(
+        reported = exposure.hear(
             state, _report(entry, sequence), now, braked=entry == ENTRIES[0]
         )
-        assert heard is not None
-        state = heard
+        assert reported is not None
+        state = reported
     return state
 
 
-def _take(
+def _count(
     state: rollout_data.Exposure, entry: str, counts: rpc_data.VersionEvidence
 ) -> rollout_data.Exposure:
     return exposure.count(state, entry, counts, needs_rating=True)
 
 
 class ExposureTest(unittest.TestCase):
-    """What is out and not judged stays within the budget."""
+    """The number of unjudged answers stays within the budget."""
 
     def test_bound(self) -> None:
-        """Entries use their shares up while ratings come when they like.
+        """Entry hosts use their shares while ratings arrive at random times.
 
-        Whatever the order, no more is dealt than was judged and the budget
-        allows beyond it, and no total ever falls.
+        In any order, no more is allocated than the judged answers plus the
+        limit, and no total ever decreases.
         """
         for seed in range(10):
             rng = random.Random(seed)
-            state = _heard()
+            state = _reported()
             for step in range(200):
                 state = self._step(rng, state)
                 unjudged = exposure.limit(DECLARED, rng.uniform(-2, 3))
@@ -67,31 +67,31 @@
                     )
 
     def test_reported_twice(self) -> None:
-        """The acknowledgement of a report is lost and it comes again."""
-        state = _heard(sequence=3)
+        """A report that is sent again after a lost reply is ignored."""
+        state = _reported(sequence=3)
         for sequence in (3, 2):
             again = exposure.hear(
                 state, _report(ENTRIES[1], sequence), 1.0, braked=False
             )
             self.assertIsNone(again)
 
-    def test_who_is_dealt(self) -> None:
-        """An entry that holds the candidate back, or is silent, gets none."""
-        dealt = exposure.deal(_heard(), 10, now=1.0).shares
+    def test_eligible_entries(self) -> None:
+        """An entry host that blocks the candidate or is silent gets none."""
+        dealt = exposure.deal(_reported(), 10, now=1.0).shares
         self.assertEqual(dealt[ENTRIES[0]].dealt, 0)
         self.assertEqual({dealt[entry].dealt for entry in ENTRIES[1:]}, {1})
         later = exposure.SILENT_S + 1
-        silent = exposure.deal(_heard(), 10, now=later).shares
+        silent = exposure.deal(_reported(), 10, now=later).shares
         self.assertEqual({share.dealt for share in silent.values()}, {0})
 
     def test_dead_entries(self) -> None:
-        """Entry hosts die with shares that they may have used up.
+        """Shares of dead entry hosts, which may have used them, are kept.
 
-        Their shares stay taken, so nothing is dealt twice. Much later they
-        are returned, or such deaths would use up the budget for ever.
+        So nothing is allocated twice. Much later the shares are reclaimed, or
+        repeated failures of entry hosts would use up the budget for ever.
         """
-        state = exposure.deal(_heard(), 10, now=0.0)
-        state = _take(state, ENTRIES[1], _counts(1))
+        state = exposure.deal(_reported(), 10, now=0.0)
+        state = _count(state, ENTRIES[1], _counts(1))
         out = exposure.out(state)
         soon = exposure.write_off(state, exposure.WRITE_OFF_S - 1)
         self.assertEqual(exposure.out(soon), out)
@@ -100,28 +100,30 @@
         self.assertEqual((exposure.out(late), late.lost), (1, 4))
 
     def test_silence(self) -> None:
-        """The rating service is down: answers are out and none is judged.
+        """During an outage of the rating service no answer is judged.
 
-        What it will never rate leaves the budget only when ratings arrive
-        again, and without any of the candidate's only a part of it.
+        The answers that it will never rate are released only when ratings
+        arrive again; without a rating of the candidate only a part of the
+        budget is released.
         """
-        state = exposure.deal(_heard(), 5, now=0.0)
+        state = exposure.deal(_reported(), 5, now=0.0)
         for entry in ENTRIES[1:]:
-            state = _take(state, entry, _counts(1, unrated=1))
+            state = _count(state, entry, _counts(1, unrated=1))
         self.assertEqual(exposure.deal(state, 5, now=1.0), state)
         released = exposure.release(state, DECLARED)
         self.assertEqual(released.released, 5)
         self.assertNotEqual(exposure.deal(released, 5, now=1.0), released)
-        many = _take(released, ENTRIES[1], _counts(100, unrated=100))
+        many = _count(released, ENTRIES[1], _counts(100, unrated=100))
         self.assertEqual(exposure.release(many, DECLARED).released, 40)
 
     def test_pinned_sessions(self) -> None:
-        """Sessions on the candidate ask on, beyond the entry's share.
+        """Sessions on the candidate may exceed the entry host's share.
 
-        They keep their version; new sessions wait until that is judged.
+        They keep their version. New sessions get the candidate only after the
+        excess is judged.
         """
-        state = exposure.deal(_heard(), 5, now=0.0)
-        state = _take(state, ENTRIES[1], _counts(8))
+        state = exposure.deal(_reported(), 5, now=0.0)
+        state = _count(state, ENTRIES[1], _counts(8))
         self.assertEqual(exposure.out(state), 12)
         self.assertEqual(exposure.deal(state, 5, now=1.0), state)
 
@@ -133,7 +135,7 @@
         used = rng.randint(0, max(0, share.dealt - share.given))
         waiting = sum(one.given for one in state.shares.values())
         rated = rng.randint(0, max(0, waiting - state.judged) // 2)
-        return _take(state, entry, _counts(used, rated=rated))
+        return _count(state, entry, _counts(used, rated=rated))
 
 
 if __name__ == '__main__':
--- a/beryllug/core/pace.py
+++ b/beryllug/core/pace.py
@@ -1,7 +1,7 @@
-"""Paces writes to a rate, with bursts: the generic cell rate algorithm.
+"""Limits the rate of writes, with bursts: the generic cell rate algorithm.
 
-A quiet shard commits at once; a busy one is held to its rate, and the rows
-that come meanwhile share a commit.
+An idle shard commits at once. A busy one is limited to its rate, and the rows
+that arrive in the meantime share a commit.
 """
 
 from dataclasses import dataclass
@@ -9,12 +9,12 @@
 
 @dataclass(slots=True)
 class Pace:
-    """A rate and how much of it is used.
+    """A rate limit and its state.
 
     Attributes:
-        interval_s: Time between two at the full rate.
-        burst: How many may come at once after a quiet time.
-        due: When the next would be due at the full rate.
+        interval_s: Time between two events at the full rate.
+        burst: Maximum number of events at once after an idle period.
+        due: Theoretical arrival time of the next event at the full rate.
     """
 
     interval_s: float
@@ -23,11 +23,11 @@
 
 
 def wait_s(pace: Pace, now: float) -> float:
-    """Return how long to wait before the next may come."""
+    """Return the time to wait before the next event is allowed."""
     earliest = pace.due - (pace.burst - 1) * pace.interval_s
     return max(0.0, earliest - now)
 
 
 def spend(pace: Pace, now: float) -> None:
-    """Count one that comes now."""
+    """Count an event at this time."""
     pace.due = max(pace.due, now) + pace.interval_s
--- a/beryllug/core/rollout.py
+++ b/beryllug/core/rollout.py
@@ -1,10 +1,10 @@
-"""What becomes of a roll-out, from its evidence alone.
+"""Decides the progress of a roll-out from its evidence alone.
 
-A stage is passed on evidence, never on time: the odds that the candidate is
-bad must have fallen by as much as the next stage multiplies its callers.
-Silence holds the stage. A candidate is stopped when the test of all accounts
-or of one account rejects it, also after it was promoted, as long as its
-roll-out stands in the configuration; no evidence takes that back.
+A stage is passed on evidence and never on time: the odds that the candidate is
+bad must have fallen by at least the factor by which the next stage multiplies
+its callers. Without evidence the stage is held. A candidate is stopped when
+the test over all accounts or of one account rejects it, also after it was
+promoted, as long as its roll-out is in the configuration. A stop is final.
 """
 
 import functools
@@ -34,12 +34,12 @@
 def begin(
     declared: config_data.Rollout, accounts: int, before: Record | None
 ) -> Record:
-    """Return the record of a roll-out that was newly declared.
+    """Return the record of a newly declared roll-out.
 
     A candidate that was stopped stays stopped under its name, also when its
-    roll-out is taken out of the configuration and declared again.
+    roll-out is removed from the configuration and declared again.
     """
-    stopped = () if before is None else _stopped(before)
+    stopped = () if before is None else _stopped_candidates(before)
     record = Record(
         model=declared.model,
         candidate=declared.candidate,
@@ -60,12 +60,14 @@
 def resume(
     record: Record | None, declared: config_data.Rollout, accounts: int
 ) -> Record:
-    """Return the record to go on with under the present declaration.
+    """Return the record adapted to the current declaration.
 
-    With other stages than before it goes on at the greatest that is not over
-    the share it had reached, so no stage is skipped.
+    If the stages have changed, it continues at the greatest one that does not
+    exceed the share it had reached, so no stage is skipped.
     """
-    if record is None or _subject(record) != _declared_subject(declared):
+    if record is None or _compared_versions(record) != _declared_versions(
+        declared
+    ):
         return begin(declared, accounts, record)
     stages = declared.stages
     if record.stage < len(stages) and stages[record.stage] == record.percent:
@@ -81,13 +83,13 @@
     report: rpc_data.EvidenceReport,
     now: float,
 ) -> Record:
-    """Take in an entry's report, once.
+    """Return the record with an entry host's report added, at most once.
 
     Args:
         record: The roll-out.
         declared: Its declaration.
-        report: The report; counts of other models are left out.
-        now: Wall-clock second.
+        report: The report; counts of other models are ignored.
+        now: Wall-clock time in seconds.
     """
     candidate = config_data.VersionRef(record.model, record.candidate)
     heard = exposure.hear(
@@ -98,26 +100,26 @@
     record = record._replace(exposure=heard)
     for account_id, counts in _by_account(record, report).items():
         record = _absorb_account(record, declared, account_id, counts)
-        record = _expose(record, declared, report.entry, counts)
+        record = _count_exposure(record, declared, report.entry, counts)
     return record
 
 
 def decide(
     record: Record, declared: config_data.Rollout
 ) -> rollout_data.Decision:
-    """Choose what becomes of the roll-out."""
+    """Return the decision that the evidence supports."""
     if record.verdict is view_data.Verdict.STOPPED:
         return rollout_data.Hold(record.reason)
     worst = rollout_checks.rejection(record)
-    if worst is not None and worst.odds >= rollout_checks.STOP_AT:
+    if worst is not None and worst.odds >= rollout_checks.STOP_LOG_ODDS:
         where = worst.account_id or 'all accounts'
         return rollout_data.Stop(f'{worst.measure} for {where}')
     alarm = rollout_checks.alarm(record)
     if alarm:
-        return _alarmed(record, alarm)
+        return _decide_on_alarm(record, alarm)
     if record.verdict is view_data.Verdict.PROMOTED:
         return rollout_data.Hold('promoted')
-    return _proceed(record, declared)
+    return _advance_or_hold(record, declared)
 
 
 def carry_out(
@@ -125,7 +127,7 @@
     declared: config_data.Rollout,
     decision: rollout_data.Decision,
 ) -> Record:
-    """Return the record after a decision."""
+    """Return the record with a decision applied."""
     match decision:
         case rollout_data.Hold(reason):
             return record._replace(reason=reason)
@@ -141,12 +143,12 @@
             return record._replace(
                 stage=stage,
                 percent=declared.stages[stage],
-                scopes=_each(record.scopes, evidence.new_stage),
+                scopes=_map_trials(record.scopes, evidence.new_stage),
             )
 
 
 def deal(record: Record, declared: config_data.Rollout, now: float) -> Record:
-    """Deal what the exposure budget allows; nothing without a running one."""
+    """Allocate the free exposure budget if the roll-out is running."""
     if record.verdict is not view_data.Verdict.RUNNING:
         return record
     kept = exposure.write_off(record.exposure, now)
@@ -155,7 +157,7 @@
 
 
 def status(record: Record) -> view_data.RolloutStatus:
-    """Return what entries and operators see of it."""
+    """Return the status that is shown to entry hosts and operators."""
     return view_data.RolloutStatus(
         model=record.model,
         candidate=record.candidate,
@@ -192,7 +194,7 @@
     if not listed and len(record.scopes) > MAX_ACCOUNTS:
         account_id = OTHERS
     scopes = dict(record.scopes)
-    for name in (rollout_data.EVERYONE, account_id):
+    for name in (rollout_data.ALL_ACCOUNTS, account_id):
         scopes[name] = _observe(record, declared, scopes.get(name), pair)
     return record._replace(scopes=scopes)
 
@@ -226,7 +228,7 @@
     return evidence.samples(counts)
 
 
-def _expose(
+def _count_exposure(
     record: Record,
     declared: config_data.Rollout,
     entry: str,
@@ -242,21 +244,23 @@
     return record._replace(exposure=state)
 
 
-def _alarmed(record: Record, alarm: str) -> rollout_data.Decision:
-    """Compare again where the candidate serves nearly all, else wait."""
+def _decide_on_alarm(record: Record, alarm: str) -> rollout_data.Decision:
+    """Reopen the comparison above half of the sessions, else hold."""
     promoted = record.verdict is view_data.Verdict.PROMOTED
     if promoted or 2 * record.percent > rollout_data.ALL_PERCENT:
         return rollout_data.Reopen(alarm)
     return rollout_data.Hold(alarm)
 
 
-def _proceed(
+def _advance_or_hold(
     record: Record, declared: config_data.Rollout
 ) -> rollout_data.Decision:
-    """Go on when nothing is missing."""
-    lacking = next(rollout_checks.lacking(record, declared), None)
-    if lacking is not None:
-        return rollout_data.Hold(lacking)
+    """Advance or promote if no evidence is missing, else hold."""
+    missing_evidence = next(
+        rollout_checks.missing_evidence(record, declared), None
+    )
+    if missing_evidence is not None:
+        return rollout_data.Hold(missing_evidence)
     if record.stage + 1 < len(declared.stages):
         return rollout_data.Advance()
     return rollout_data.Promote()
@@ -265,7 +269,7 @@
 def _reopen(
     record: Record, declared: config_data.Rollout, reason: str
 ) -> Record:
-    """Go back to a stage at which the incumbent answers as well."""
+    """Go back to the last stage with at most half of the sessions."""
     compared = [
         stage
         for stage in declared.stages
@@ -279,14 +283,14 @@
         percent=declared.stages[stage],
         reason=reason,
         reopened=record.reopened + 1,
-        scopes=_each(record.scopes, reopen),
+        scopes=_map_trials(record.scopes, reopen),
     )
 
 
 Scopes = dict[str, tuple[evidence_data.Trial, ...]]
 
 
-def _each(
+def _map_trials(
     scopes: Scopes,
     change: Callable[[evidence_data.Trial], evidence_data.Trial],
 ) -> Scopes:
@@ -296,15 +300,15 @@
     }
 
 
-def _subject(record: Record) -> tuple[str, str]:
+def _compared_versions(record: Record) -> tuple[str, str]:
     return record.candidate, record.incumbent
 
 
-def _declared_subject(declared: config_data.Rollout) -> tuple[str, str]:
+def _declared_versions(declared: config_data.Rollout) -> tuple[str, str]:
     return declared.candidate, declared.incumbent
 
 
-def _stopped(record: Record) -> tuple[str, ...]:
+def _stopped_candidates(record: Record) -> tuple[str, ...]:
     if record.verdict is not view_data.Verdict.STOPPED:
         return record.stopped
     kept = [name for name in record.stopped if name != record.candidate]
--- a/beryllug/core/rollout_data.py
+++ b/beryllug/core/rollout_data.py
@@ -1,6 +1,6 @@
-"""Records of a roll-out, as they stand in the platform.
+"""Data types of a roll-out, as stored in the platform.
 
-The record is written as a MessagePack array, so fields are only added at the
+A record is stored as a MessagePack array, so fields may only be added at the
 end and with a default.
 """
 
@@ -9,19 +9,19 @@
 
 from beryllug.core import evidence_data, view_data
 
-EVERYONE = ''
+ALL_ACCOUNTS = ''
 ALL_PERCENT = 100
 
 
 class EntryShare(NamedTuple):
-    """An entry's share of the exposure budget.
+    """An entry host's share of the exposure budget.
 
     Attributes:
-        dealt: Answers that it may have given out since then.
-        given: Answers that it reported.
-        sequence: Its last report that was taken in.
-        heard_at: Wall-clock second of that report.
-        braked: Whether it holds the candidate back by itself.
+        dealt: Total answers that it was allowed to serve.
+        given: Total answers that it reported.
+        sequence: Sequence number of its last recorded report.
+        heard_at: Wall-clock time of that report, in seconds.
+        braked: Whether it blocks the candidate locally.
     """
 
     dealt: int = 0
@@ -32,18 +32,18 @@
 
 
 class Exposure(NamedTuple):
-    """What was given out of a candidate, and how much of it was judged.
+    """The answers of a candidate, and how many of them were judged.
 
     Attributes:
-        shares: The shares by name of the entry process and of its start;
-            a new dictionary with each change.
-        closed: Answers given out by entries that are no longer listed.
-        lost: Answers that such entries may have given out unreported.
+        shares: The shares by name of the entry process and of its start. A
+            change makes a new dictionary.
+        closed: Answers reported by entry hosts that were removed.
+        lost: Answers that such hosts may have served unreported.
         judged: Answers that were judged, by their failure or rating.
         rated: Ratings of the candidate that arrived.
         unrated: Answers of the candidate that will not be rated.
-        released: How many of these no longer use the budget.
-        moved: Sessions that were moved off the candidate.
+        released: How many of the unrated ones no longer use the budget.
+        moved: Sessions that were moved to another version.
     """
 
     shares: dict[str, EntryShare]
@@ -57,21 +57,21 @@
 
 
 class Record(NamedTuple):
-    """A roll-out: its state and the sums of its evidence.
+    """The state and the aggregated evidence of a roll-out.
 
     Attributes:
         model: The model.
         candidate: Version that is rolled out.
         incumbent: Version that it is compared with.
-        percent: Share of new sessions at the present stage.
+        percent: Share of new sessions at the current stage.
         scopes: The tests, one for each of `MEASURES`, by client account;
-            under the empty name those over all accounts.
-        exposure: Budget and its shares.
-        accounts: Client accounts over which the chance of a wrong stop is
-            spread; fixed at the start.
+            those over all accounts have an empty key.
+        exposure: Exposure budget and its shares.
+        accounts: Number of client accounts among which the probability of a
+            false stop is divided; fixed at the start.
         stage: Index of the stage.
         verdict: Running, promoted or stopped.
-        reason: Why the verdict fell, or why the stage is held.
+        reason: Why the verdict was reached or the stage is held.
         reopened: How often the comparison was reopened.
         stopped: Candidates that were stopped before, the latest last.
     """
@@ -92,31 +92,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Stay at the stage; evidence does not suffice for anything else."""
+    """Change nothing, for the given reason."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Advance:
-    """Go on to the next stage."""
+    """Proceed to the next stage."""
 
 
 @dataclass(frozen=True, slots=True)
 class Promote:
-    """The candidate was proved at all stages."""
+    """Promote the candidate, which has passed all stages."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reopen:
-    """Compare again: it serves nearly all and does worse than remembered."""
+    """Compare with the incumbent again at an earlier stage.
+
+    The candidate serves nearly all requests, so there is no comparison, and
+    does worse than the incumbent did in earlier blocks.
+    """
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """The candidate is bad."""
+    """Reject the candidate."""
 
     reason: str
 
--- a/beryllug/core/rollout_test.py
+++ b/beryllug/core/rollout_test.py
@@ -1,4 +1,4 @@
-"""Tests of what becomes of a roll-out."""
+"""Tests of the decisions about a roll-out."""
 
 import random
 import unittest
@@ -37,10 +37,10 @@
 
 
 class Fleet:
-    """Feeds a roll-out with reports of one entry."""
+    """Feeds a roll-out with the reports of one entry host."""
 
     def __init__(self, record: Record, declared: config_data.Rollout) -> None:
-        """Begin with a record."""
+        """Start with a record."""
         self.record = record
         self.declared = declared
         self.sequence = 0
@@ -48,7 +48,7 @@
         self.stages = [record.stage]
 
     def report(self, *counts: rpc_data.VersionEvidence) -> None:
-        """Report, decide and deal."""
+        """Add a report, then decide and allocate."""
         self.sequence += 1
         report = rpc_data.EvidenceReport('entry/1', self.sequence, counts)
         self.record = rollout.absorb(
@@ -57,7 +57,7 @@
         self.decide()
 
     def decide(self) -> None:
-        """Decide and deal without a report."""
+        """Decide and allocate without a report."""
         decision = rollout.decide(self.record, self.declared)
         self.record = rollout.carry_out(self.record, self.declared, decision)
         self.record = rollout.deal(self.record, self.declared, self.sequence)
@@ -76,7 +76,7 @@
             self.report(*(_rate(part, rated) for part in counts))
 
     def bad(self, reports: int) -> None:
-        """Report answers of which all of the candidate's fail."""
+        """Report good answers of the incumbent and bad of the candidate."""
         for _ in range(reports):
             self.report(
                 *(_counts(NEW, name, 1, 1) for name in ACCOUNTS),
@@ -89,10 +89,10 @@
 
 
 class RolloutTest(unittest.TestCase):
-    """Evidence, and nothing else, moves a roll-out."""
+    """A roll-out changes only on evidence."""
 
     def test_good(self) -> None:
-        """A good candidate goes through every stage and is promoted."""
+        """A good candidate passes every stage and is promoted."""
         fleet = _fleet()
         fleet.good(60)
         self.assertIs(fleet.record.verdict, Verdict.PROMOTED)
@@ -100,10 +100,10 @@
         self.assertEqual(fleet.stages, sorted(fleet.stages))
 
     def test_silence(self) -> None:
-        """Nothing fails, but the ratings the roll-out waits for don't come.
+        """A stage without failures is held while required ratings are missing.
 
-        No evidence is not good evidence: the stage is held, and what may be
-        given out stays within the budget however long it takes.
+        Missing evidence must not count as good evidence. The number of
+        answers allowed stays within the budget however long it takes.
         """
         fleet = _fleet(DECLARED)
         fleet.good(60)
@@ -117,9 +117,10 @@
         self.assertIs(fleet.record.verdict, Verdict.PROMOTED)
 
     def test_bad_for_one_account(self) -> None:
-        """A version fails for one client account and suits forty others.
+        """A version that fails for one of 41 client accounts is stopped.
 
-        Over all accounts its rate is passable; this account's callers fail.
+        Over all accounts its error rate is acceptable, but all requests of
+        this account fail.
         """
         fleet = _fleet()
         for _ in range(20):
@@ -134,9 +135,10 @@
         self.assertEqual(fleet.record.reason, 'error for kutch')
 
     def test_stop_is_final(self) -> None:
-        """A stopped version answers well again, and is declared again.
+        """A stopped version stays stopped under its name.
 
-        Its verdict stays, under its name, also after another roll-out.
+        It does so after later good answers, when it is declared again, and
+        after a roll-out of another candidate.
         """
         fleet = _fleet()
         while fleet.record.verdict is Verdict.RUNNING:
@@ -152,7 +154,7 @@
         self.assertIs(record.verdict, Verdict.STOPPED)
 
     def test_reported_twice(self) -> None:
-        """A report comes again because its acknowledgement was lost."""
+        """A report that is sent again after a lost reply is ignored."""
         fleet = _fleet()
         fleet.report(_counts(NEW, 'kutch', 3, 1))
         report = rpc_data.EvidenceReport(
@@ -162,10 +164,10 @@
         self.assertEqual(again, fleet.record)
 
     def test_interrupted(self) -> None:
-        """The holder dies at some stage and the next one takes over.
+        """A new lease holder resumes the roll-out of one that died.
 
-        It goes on from the record at that stage. With other stages declared
-        meanwhile it goes on at the greatest share already reached.
+        It continues at the recorded stage. If the stages were changed, it
+        continues at the greatest one within the share already reached.
         """
         cases = (
             ((5, 25, 50, 100), 1, 25),
@@ -184,10 +186,11 @@
                 )
 
     def test_worse_once_promoted(self) -> None:
-        """The candidate has all sessions when its answers begin to fail.
+        """A promoted candidate whose answers begin to fail is stopped.
 
-        There is no incumbent left to compare with. It answers again beside
-        the candidate; if only the candidate fails, that is stopped.
+        It has all sessions, so there is no incumbent to compare with. The
+        comparison is reopened, and the candidate is stopped because only its
+        answers fail.
         """
         fleet = _fleet()
         fleet.good(60)
@@ -199,7 +202,7 @@
         self.assertIs(fleet.record.verdict, Verdict.STOPPED)
 
     def test_common_outage_once_promoted(self) -> None:
-        """As before, but the incumbent fails as well: a common outage."""
+        """A promoted candidate survives an outage of both versions."""
         fleet = _fleet()
         fleet.good(60)
         rng = random.Random(1)
@@ -213,9 +216,10 @@
         self.assertNotIn(Verdict.STOPPED, fleet.verdicts)
 
     def test_alarm_skips_no_stage(self) -> None:
-        """At the first stage one account has only the candidate, which fails.
+        """An alarm at the first stage must not raise the candidate's share.
 
-        Comparing again must not mean a greater share than was reached.
+        One account has answers of only the candidate, which fails. Reopening
+        the comparison must not go to a greater share than was reached.
         """
         fleet = _fleet()
         fleet.good(1)
@@ -224,10 +228,11 @@
         self.assertEqual(fleet.record.percent, 5)
 
     def test_judged_once(self) -> None:
-        """A roll-out without a least rating is rated all the same.
+        """Answers of a roll-out without a minimum rating are judged once.
 
-        Its answers are judged when they end. Counted again when they turn
-        out unrated, they would be dealt twice.
+        They are judged when they end, though they may be rated as well. If
+        they were released again as unrated, their budget would be allocated
+        twice.
         """
         fleet = _fleet()
         fleet.good(5, rated=5)
@@ -235,7 +240,7 @@
         self.assertEqual(state.judged + state.released, 100)
 
     def test_many_accounts(self) -> None:
-        """Evidence of very many accounts takes a bounded place."""
+        """The number of accounts with evidence of their own is bounded."""
         fleet = _fleet()
         for place in range(2 * rollout.MAX_ACCOUNTS):
             fleet.report(_counts(NEW, f'account-{place}', 1, 0))
