--- a/beryllug/core/orders.py
+++ b/beryllug/core/orders.py
@@ -1,16 +1,17 @@
-"""Which orders bring the engines of a pool to their desired state.
-
-Every version that is neither withdrawn nor stopped shall be loaded on all
-live engines of its pool, so a candidate is there before its first stage. A
-withdrawn version shall be nowhere, once no work of it can be left. A stopped
-candidate stays where it is, and so does a version that is not declared: it
-may be one of a later revision, or be under test by hand.
-
-An order states the desired end and may be repeated. It is derived from what
-engines report, so whatever a late order changed is put right by the next one.
-Where engines ignore fencing tokens a late order can still be obeyed. It may
-load anything, but must never unload the last copy, so an unload is only sent
-to such an engine while another one keeps the version.
+"""Computes the orders that bring the engines of a pool to the desired state.
+
+Every version that is neither withdrawn nor stopped is to be loaded on all live
+engines of its pool, so that a candidate is loaded before its first stage. A
+withdrawn version is unloaded everywhere once no request for it can be left. A
+stopped candidate stays where it is loaded, and so does an undeclared version:
+it may belong to a later revision or be under manual test.
+
+An order states the desired state and is idempotent. Orders are derived from
+the reports of engines, so the effect of a delayed order is corrected by the
+next one. An engine that ignores fencing tokens may still execute a delayed
+order of an earlier lease holder. A load is harmless then, but an unload must
+never remove the last copy, so it is only sent to such an engine while another
+one keeps the version.
 """
 
 from collections import Counter
@@ -18,13 +19,13 @@
 
 from beryllug.core import config_data, orders_data, rendezvous, view_data
 
-SHARE_AT_ONCE = 10
-LONGEST_REPEAT_S = 60.0
-DOUBLINGS = 10
-UNLOADS_AT_ONCE = 1
-ASSERTS_AT_ONCE = 32
+LOADS_AT_ONCE_DIVISOR = 10
+MAX_REPEAT_S = 60.0
+MAX_DOUBLINGS = 10
+MAX_UNLOADS_AT_ONCE = 1
+MAX_ASSERTS_AT_ONCE = 32
 
-Refs = frozenset[config_data.VersionRef]
+VersionRefs = frozenset[config_data.VersionRef]
 
 
 def note(
@@ -32,24 +33,28 @@
     pool: str,
     world: orders_data.World,
 ) -> None:
-    """Forget orders whose effect is seen, or whose engine is gone."""
+    """Remove orders that are done or obsolete, or whose engine is gone."""
     loaded = {sight.server_id: sight.loaded for sight in world.sights}
     book.asserted &= loaded.keys()
-    wanted = _wanted(pool, world)
+    desired = _desired(pool, world)
     for step in tuple(book.tried):
         seen = loaded.get(step.server_id)
-        if seen is None or _is_done(step, seen) or not _holds(step, wanted):
+        if (
+            seen is None
+            or _is_done(step, seen)
+            or not _is_desired(step, desired)
+        ):
             book.tried.pop(step)
 
 
 def note_withdrawn(
     book: orders_data.Book, pool: str, world: orders_data.World, now: float
 ) -> None:
-    """Remember since when each withdrawn version is seen as such."""
+    """Record when each withdrawn version was first seen as withdrawn."""
     withdrawn = _withdrawn(pool, world.document)
     for ref in tuple(book.withdrawn):
         if ref not in withdrawn:
-            # Declared as live again: a later withdrawal counts from anew.
+            # No longer withdrawn: a later withdrawal restarts the time.
             book.withdrawn.pop(ref)
     for ref in withdrawn:
         book.withdrawn.setdefault(ref, now)
@@ -65,34 +70,39 @@
     """Return the orders to send now, the most urgent first.
 
     Args:
-        book: What this sender remembers; brought up to date before.
+        book: The state of this sender, updated by `note` before.
         pool: The pool.
         world: Document, roll-outs and reports.
-        terms: Durations and bounds.
-        now: The present second.
+        terms: Durations and limits.
+        now: The current time in seconds.
 
     Returns:
-        At most one order an engine; none while the sender must wait.
+        At most one order per engine; none while the sender must wait.
     """
     if not _may_send(book, pool, terms, now):
         return []
     waiting = [
-        step for step in book.tried if _waits(book.tried[step], now, terms)
+        step
+        for step in book.tried
+        if _is_backing_off(book.tried[step], now, terms)
     ]
-    under_way = Counter(type(step) for step in waiting)
+    in_progress = Counter(type(step) for step in waiting)
     taken = {step.server_id for step in waiting}
     chosen: list[orders_data.Step] = []
-    bounded = (
-        (_loads(book, pool, world), _load_bound(under_way, world, terms)),
+    limited = (
+        (
+            _missing_loads(book, pool, world),
+            _load_limit(in_progress, world, terms),
+        ),
         (
-            _unloads(book, pool, world, terms, now),
-            max(0, UNLOADS_AT_ONCE - under_way[orders_data.Unload]),
+            _allowed_unloads(book, pool, world, terms, now),
+            max(0, MAX_UNLOADS_AT_ONCE - in_progress[orders_data.Unload]),
         ),
-        (_asserts(book, pool, world), ASSERTS_AT_ONCE),
+        (_pending_asserts(book, pool, world), MAX_ASSERTS_AT_ONCE),
     )
-    for offered, bound in bounded:
-        due = _due(book, offered, world, terms, now)
-        chosen.extend(_one_each(due, bound, taken))
+    for candidates, limit in limited:
+        due = _due(book, candidates, world, terms, now)
+        chosen.extend(_one_per_engine(due, limit, taken))
     return chosen
 
 
@@ -104,25 +114,25 @@
     terms: orders_data.Terms,
     now: float,
 ) -> bool:
-    """Tell whether a chosen order is still right by a fresh report.
+    """Return whether a chosen order is still valid after a new report.
 
     Args:
-        book: What this sender remembers.
+        book: The state of this sender.
         pool: The pool.
         step: The order.
-        world: As for the choice, with the fresh report of its engine.
-        terms: Durations and bounds.
-        now: The present second.
+        world: As in `steps`, with a new report of the order's engine.
+        terms: Durations and limits.
+        now: The current time in seconds.
     """
     if not _may_send(book, pool, terms, now):
         return False
     match step:
         case orders_data.Load():
-            return step in _loads(book, pool, world)
+            return step in _missing_loads(book, pool, world)
         case orders_data.Unload():
-            return step in _unloads(book, pool, world, terms, now)
+            return step in _allowed_unloads(book, pool, world, terms, now)
         case orders_data.Assert():
-            return step in _asserts(book, pool, world)
+            return step in _pending_asserts(book, pool, world)
 
 
 def sent(
@@ -132,29 +142,29 @@
     *,
     read_back: bool,
 ) -> None:
-    """Take in that an order was sent, or that sending it failed."""
+    """Record that an order was sent, or that sending it failed."""
     before = book.tried.get(step)
     attempts = before.attempts + 1 if before else 1
-    book.tried[step] = orders_data.Tried(now, attempts, read_back)
+    book.tried[step] = orders_data.SentOrder(now, attempts, read_back)
 
 
 def accepted(book: orders_data.Book, step: orders_data.Step) -> None:
-    """Take in that an engine accepted an order with this token."""
+    """Record that an engine accepted an order with the current token."""
     book.asserted.add(step.server_id)
     if isinstance(step, orders_data.Assert):
         book.tried.pop(step, None)
 
 
 def keeper(ref: config_data.VersionRef, world: orders_data.World) -> str | None:
-    """Return the engine that keeps a version which all others unload."""
-    having = [one.server_id for one in world.sights if ref in one.loaded]
-    return next(iter(rendezvous.order(ref.version, having)), None)
+    """Return the engine that keeps the last copy of a withdrawn version."""
+    engines = [one.server_id for one in world.sights if ref in one.loaded]
+    return next(iter(rendezvous.order(ref.version, engines)), None)
 
 
 def is_loaded(
     ref: config_data.VersionRef, loads: Iterable[view_data.ServerLoad]
 ) -> bool:
-    """Tell whether some engine reported a version as loaded."""
+    """Return whether any engine reported a version as loaded."""
     return any(ref in load.loaded for load in loads)
 
 
@@ -164,18 +174,19 @@
     terms: orders_data.Terms,
     now: float,
 ) -> bool:
-    """Tell whether the sender may send at all.
+    """Return whether the sender may send orders.
 
-    An order of the holder before may still be on its way after its lease has
-    lapsed. Engines that ignore the token would take it after ours and end in
-    its state, so we begin when its longest time is over.
+    An order of the previous lease holder may still be in transit after its
+    lease expired. An engine that ignores the token could execute it after one
+    of this sender and end in the old state, so the sender first waits for the
+    maximum duration of an order.
     """
     if book.superseded:
         return False
     return pool.checks_fencing or now >= book.since + terms.settle_s
 
 
-def _wanted(pool: str, world: orders_data.World) -> Refs:
+def _desired(pool: str, world: orders_data.World) -> VersionRefs:
     stopped = {
         config_data.VersionRef(status.model, status.candidate)
         for status in world.rollouts
@@ -191,7 +202,7 @@
     )
 
 
-def _withdrawn(pool: str, document: config_data.Document) -> Refs:
+def _withdrawn(pool: str, document: config_data.Document) -> VersionRefs:
     return frozenset(
         version.ref
         for model in document.models
@@ -200,15 +211,15 @@
     )
 
 
-def _loads(
+def _missing_loads(
     book: orders_data.Book, pool: config_data.Pool, world: orders_data.World
 ) -> list[orders_data.Step]:
-    """Return missing loads: least tried, then fewest copies first."""
+    """Return missing loads by ascending attempts, then ascending copies."""
     copies = Counter(ref for sight in world.sights for ref in sight.loaded)
     missing: list[orders_data.Step] = [
         orders_data.Load(sight.server_id, ref)
         for sight in world.sights
-        for ref in _wanted(pool.name, world) - sight.loaded
+        for ref in _desired(pool.name, world) - sight.loaded
     ]
     return sorted(
         missing,
@@ -221,7 +232,7 @@
     )
 
 
-def _unloads(
+def _allowed_unloads(
     book: orders_data.Book,
     pool: config_data.Pool,
     world: orders_data.World,
@@ -234,124 +245,126 @@
             orders_data.Unload(sight.server_id, ref)
             for sight in world.sights
             if ref in sight.loaded
-            and _work_ended(book, ref, sight, terms, now)
-            and not _must_keep(pool, ref, sight, world)
+            and _is_drained(book, ref, sight, terms, now)
+            and not _is_last_copy(pool, ref, sight, world)
         )
     return sorted(found, key=lambda step: _attempts(book, step))
 
 
-def _work_ended(
+def _is_drained(
     book: orders_data.Book,
     ref: config_data.VersionRef,
     sight: orders_data.Sight,
     terms: orders_data.Terms,
     now: float,
 ) -> bool:
-    """Tell whether no work of a withdrawn version is left on an engine.
+    """Return whether an engine has no request for a withdrawn version left.
 
-    Unloaded too early, an answer would break off half way. Once the grace
-    time is over no entry process sends any more, so an engine seen idle
-    after it has none left. One that is never idle is taken to be done after
-    the longest time that a request takes.
+    Unloading too early would truncate an answer. After the grace period no
+    entry process sends requests for the version any more, so an engine that
+    is idle later has none left. One that is never idle is assumed to be done
+    after the longest duration of a request.
     """
     since = book.withdrawn.get(ref)
     if since is None:
         return False
-    sure_from = since + terms.grace_s
-    if not sight.busy and sight.seen_at > sure_from:
-        return now > sure_from
-    return now > sure_from + terms.longest_s
+    grace_ends_at = since + terms.grace_s
+    if not sight.busy and sight.seen_at > grace_ends_at:
+        return now > grace_ends_at
+    return now > grace_ends_at + terms.longest_s
 
 
-def _must_keep(
+def _is_last_copy(
     pool: config_data.Pool,
     ref: config_data.VersionRef,
     sight: orders_data.Sight,
     world: orders_data.World,
 ) -> bool:
-    """Tell whether an engine has the copy that stays.
+    """Return whether an engine has the copy that must be kept.
 
-    An unload that comes late, when the version is declared as live again,
-    would take its only copy where engines ignore the fencing token: callers
-    would get errors until it is loaded. So one engine keeps it as long as
-    the version is declared.
+    An engine that ignores fencing tokens may execute a delayed unload after
+    the version was reinstated. If that removed the only copy, callers would
+    get errors until it is loaded again. So one engine keeps the version as
+    long as it is declared.
     """
     if pool.checks_fencing:
         return False
     return keeper(ref, world) == sight.server_id
 
 
-def _asserts(
+def _pending_asserts(
     book: orders_data.Book, pool: config_data.Pool, world: orders_data.World
 ) -> list[orders_data.Step]:
-    wanted = _wanted(pool.name, world)
+    desired = _desired(pool.name, world)
     return [
-        orders_data.Assert(sight.server_id, min(wanted & sight.loaded))
+        orders_data.Assert(sight.server_id, min(desired & sight.loaded))
         for sight in world.sights
-        if sight.server_id not in book.asserted and wanted & sight.loaded
+        if sight.server_id not in book.asserted and desired & sight.loaded
     ]
 
 
-def _one_each(
-    due: list[orders_data.Step], bound: int, taken: set[str]
+def _one_per_engine(
+    due: list[orders_data.Step], limit: int, taken: set[str]
 ) -> Iterable[orders_data.Step]:
-    """Take orders up to a bound, at most one an engine."""
+    """Yield orders up to a limit, at most one per engine."""
     for step in due:
-        if bound and step.server_id not in taken:
-            bound -= 1
+        if limit and step.server_id not in taken:
+            limit -= 1
             taken.add(step.server_id)
             yield step
 
 
 def _due(
     book: orders_data.Book,
-    offered: list[orders_data.Step],
+    candidates: list[orders_data.Step],
     world: orders_data.World,
     terms: orders_data.Terms,
     now: float,
 ) -> list[orders_data.Step]:
-    """Leave out what was sent and must not be repeated yet."""
+    """Return the orders without those that must not be repeated yet."""
     seen = {sight.server_id: sight.seen_at for sight in world.sights}
     return [
         step
-        for step in offered
+        for step in candidates
         if step not in book.tried
         or _may_repeat(book.tried[step], seen[step.server_id], terms, now)
     ]
 
 
 def _may_repeat(
-    tried: orders_data.Tried,
+    tried: orders_data.SentOrder,
     seen_at: float,
     terms: orders_data.Terms,
     now: float,
 ) -> bool:
-    """Tell whether an order may be sent again.
+    """Return whether an order may be sent again.
 
-    Reports lag: one from before the order still shows the old state. An
-    engine whose clock is behind by much would never show a later one, so
-    after the longest time it is repeated all the same.
+    Reports are delayed: one from before the order still shows the old state.
+    Reports of an engine whose clock is far behind never appear to be later
+    than the order, so it is repeated after the maximum time in any case.
     """
-    if _waits(tried, now, terms):
+    if _is_backing_off(tried, now, terms):
         return False
     if not tried.read_back or seen_at > tried.sent_at:
         return True
-    return now >= tried.sent_at + LONGEST_REPEAT_S
+    return now >= tried.sent_at + MAX_REPEAT_S
 
 
-def _waits(
-    tried: orders_data.Tried, now: float, terms: orders_data.Terms
+def _is_backing_off(
+    tried: orders_data.SentOrder, now: float, terms: orders_data.Terms
 ) -> bool:
-    doubled = terms.repeat_s * (1 << min(tried.attempts - 1, DOUBLINGS))
-    return now < tried.sent_at + min(doubled, LONGEST_REPEAT_S)
+    delay_s = terms.repeat_s * (1 << min(tried.attempts - 1, MAX_DOUBLINGS))
+    return now < tried.sent_at + min(delay_s, MAX_REPEAT_S)
 
 
-def _load_bound(
-    under_way: Counter[type], world: orders_data.World, terms: orders_data.Terms
+def _load_limit(
+    in_progress: Counter[type],
+    world: orders_data.World,
+    terms: orders_data.Terms,
 ) -> int:
-    """Return how many more loads may begin: the others go on serving."""
-    most = max(terms.at_once, len(world.sights) // SHARE_AT_ONCE)
-    return max(0, most - under_way[orders_data.Load])
+    """Return how many more loads may start; other engines keep serving."""
+    most = max(terms.at_once, len(world.sights) // LOADS_AT_ONCE_DIVISOR)
+    return max(0, most - in_progress[orders_data.Load])
 
 
 def _attempts(book: orders_data.Book, step: orders_data.Step) -> int:
@@ -359,7 +372,7 @@
     return tried.attempts if tried else 0
 
 
-def _is_done(step: orders_data.Step, loaded: Refs) -> bool:
+def _is_done(step: orders_data.Step, loaded: VersionRefs) -> bool:
     match step:
         case orders_data.Load():
             return step.ref in loaded
@@ -369,6 +382,6 @@
             return False
 
 
-def _holds(step: orders_data.Step, wanted: Refs) -> bool:
-    """Tell whether an order still states a desired end."""
-    return isinstance(step, orders_data.Unload) == (step.ref not in wanted)
+def _is_desired(step: orders_data.Step, desired: VersionRefs) -> bool:
+    """Return whether an order still leads to the desired state."""
+    return isinstance(step, orders_data.Unload) == (step.ref not in desired)
--- a/beryllug/core/orders_data.py
+++ b/beryllug/core/orders_data.py
@@ -1,7 +1,7 @@
-"""Records about orders to model engines.
+"""Data types of orders to model engines.
 
-Seconds are of the monotonic clock of the process that decides; the wall clock
-of a load report is converted before it comes here.
+Times are seconds of the monotonic clock of the deciding process; wall-clock
+times of load reports are converted before.
 """
 
 from dataclasses import dataclass, field
@@ -11,19 +11,19 @@
 
 
 class Terms(NamedTuple):
-    """Durations in seconds, and bounds, of the orders to one pool.
+    """Durations in seconds, and limits, of the orders to one pool.
 
     Attributes:
-        write_s: Longest time that a sender lets an order take.
+        write_s: Timeout of sending an order.
         settle_s: How long a new sender waits before its first order to
             engines that ignore fencing tokens.
-        grace_s: How long a version must have been withdrawn before it is
-            unloaded: until then an entry process that was cut off may send
-            work of it.
-        longest_s: After this time a withdrawn version counts as without work
-            although its server was never seen idle.
-        repeat_s: Time before the first repetition of an order; it doubles.
-        at_once: Least bound on loads under way in a pool.
+        grace_s: Minimum time from the withdrawal of a version to its unload.
+            Until then a partitioned entry process may send requests for it.
+        longest_s: Time after the grace period at which a withdrawn version
+            counts as drained although its server was never seen idle.
+        repeat_s: Delay before an order is first repeated; doubled each time.
+        at_once: Limit on concurrent loads in a small pool; large pools may
+            have more.
     """
 
     write_s: float
@@ -35,13 +35,13 @@
 
 
 class Sight(NamedTuple):
-    """What is known of one live engine of a pool.
+    """The latest report of one live engine of a pool.
 
     Attributes:
         server_id: The engine.
-        address: Where orders go.
+        address: Where orders are sent.
         loaded: Versions that it reported as loaded.
-        busy: Requests that ran or waited there, of whatever version.
+        busy: Number of running and waiting requests, of any version.
         seen_at: When that was measured.
     """
 
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Load:
-    """The version shall be loaded on the server."""
+    """Load the version on the server."""
 
     server_id: str
     ref: config_data.VersionRef
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Unload:
-    """The version shall not be loaded on the server."""
+    """Unload the version from the server."""
 
     server_id: str
     ref: config_data.VersionRef
@@ -70,10 +70,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Assert:
-    """The version, which is loaded, shall stay so.
+    """Keep the version, which is already loaded on the server.
 
-    It shows the engine the newest fencing token. Without it an engine for
-    which the new sender has nothing to do would still obey the old one.
+    This sends the newest fencing token to the engine. Otherwise an engine for
+    which a new sender has no orders would still accept those of the old one.
     """
 
     server_id: str
@@ -83,14 +83,14 @@
 Step = Load | Unload | Assert
 
 
-class Tried(NamedTuple):
-    """An order that was sent and whose effect was not seen yet.
+class SentOrder(NamedTuple):
+    """An order that was sent and whose effect was not reported yet.
 
     Attributes:
-        sent_at: Before the last time it was sent.
+        sent_at: Time just before it was last sent.
         attempts: How often it was sent.
-        read_back: Whether a later report must be seen before it is repeated:
-            it was, or may have been, carried out.
+        read_back: Whether a later report is needed before it is repeated,
+            since it was or may have been executed.
     """
 
     sent_at: float
@@ -99,12 +99,12 @@
 
 
 class World(NamedTuple):
-    """What the desired state of a pool follows from.
+    """The inputs that determine the orders to a pool.
 
     Attributes:
-        document: The document in force.
+        document: The current configuration document.
         rollouts: State of each roll-out.
-        sights: The live engines of the pool that reported.
+        sights: The latest reports of the live engines of the pool.
     """
 
     document: config_data.Document
@@ -114,20 +114,20 @@
 
 @dataclass(slots=True)
 class Book:
-    """What one sender remembers while it holds the lease of a pool.
+    """The state of one sender while it holds the lease of a pool.
 
     Attributes:
         fencing: Its fencing token.
-        since: When it first acted under it.
-        withdrawn: When it first saw each withdrawn version as such.
-        tried: Orders whose effect was not seen yet.
+        since: When it first used this token.
+        withdrawn: When it first saw each withdrawn version as withdrawn.
+        tried: Sent orders whose effect was not reported yet.
         asserted: Engines that accepted an order with its token.
-        superseded: Whether an engine showed a higher token.
+        superseded: Whether an engine reported a higher token.
     """
 
     fencing: int
     since: float
     withdrawn: dict[config_data.VersionRef, float] = field(default_factory=dict)
-    tried: dict[Step, Tried] = field(default_factory=dict)
+    tried: dict[Step, SentOrder] = field(default_factory=dict)
     asserted: set[str] = field(default_factory=set)
     superseded: bool = False
--- a/beryllug/core/orders_test.py
+++ b/beryllug/core/orders_test.py
@@ -1,4 +1,4 @@
-"""Which orders follow from a document, roll-outs and reports."""
+"""Tests of the orders that follow from a document, roll-outs and reports."""
 
 import unittest
 from typing import Any
@@ -16,8 +16,8 @@
 STOPPED = view_data.RolloutStatus('a', '2', 0, view_data.Verdict.STOPPED)
 
 
-Refs = set[config_data.VersionRef]
-Situation = tuple[str, dict[str, Refs], config_data.Document, Any]
+VersionRefs = set[config_data.VersionRef]
+Situation = tuple[str, dict[str, VersionRefs], config_data.Document, Any]
 
 
 def _pool(*, checks: bool) -> config_data.Pool:
@@ -47,31 +47,31 @@
 
 
 def _book(since: float = 0, withdrawn_at: float = 0) -> orders_data.Book:
-    """Return the book of a sender that has shown its token to everyone."""
+    """Return the state of a sender whose token all engines accepted."""
     book = orders_data.Book(3, since, asserted={'x', 'y', 'z'})
     book.withdrawn = {A1: withdrawn_at, A2: withdrawn_at}
     return book
 
 
 class StepsTest(unittest.TestCase):
-    """Orders by situation; engines x, y, z."""
+    """The orders in several situations; the engines are x, y and z."""
 
     def test_situations(self) -> None:
-        """Each situation gives the orders of the table."""
+        """Each situation leads to the orders in the table."""
         both = {A1, A2}
         live = _document()
-        gone = _document(A2)
+        without_a2 = _document(A2)
         load_x = orders_data.Load('x', A2)
         load_y = orders_data.Load('y', A2)
         unload_x = orders_data.Unload('x', A2)
         cases: tuple[Situation, ...] = (
             ('as desired', {'x': both, 'y': both}, live, set()),
             ('candidate missing', {'x': both, 'y': {A1}}, live, {load_y}),
-            ('nothing', {'x': set()}, gone, {orders_data.Load('x', A1)}),
-            ('withdrawn', {'x': both}, gone, {unload_x}),
+            ('nothing', {'x': set()}, without_a2, {orders_data.Load('x', A1)}),
+            ('withdrawn', {'x': both}, without_a2, {unload_x}),
             ('not declared', {'x': {A1, A2, A3}}, live, set()),
             ('two at once', dict.fromkeys('xyz', {A1}), live, 2),
-            ('unloads one by one', dict.fromkeys('xyz', both), gone, 1),
+            ('unloads one by one', dict.fromkeys('xyz', both), without_a2, 1),
             ('both ways', {'x': {A1}, 'y': both}, live, {load_x}),
         )
         for title, loaded, document, expected in cases:
@@ -92,10 +92,11 @@
         pool = _pool(checks=True)
         self.assertEqual(orders.steps(_book(), pool, world, TERMS, NOW), [])
 
-    def test_work_of_withdrawn(self) -> None:
-        """A version is unloaded under its last answers, which break off.
+    def test_draining_of_withdrawn(self) -> None:
+        """A withdrawn version is not unloaded while it may have requests.
 
-        Idle after the grace time, or the longest time of a request later.
+        That would truncate their answers. It is unloaded when the engine is
+        idle after the grace period, or a request's longest duration later.
         """
         cases = (
             ('within the grace time', NOW - 19, 0, False),
@@ -113,7 +114,7 @@
                 self.assertEqual(bool(chosen), expected)
 
     def test_last_copy(self) -> None:
-        """Engines that ignore tokens: one copy stays, whatever the order."""
+        """One copy is kept on engines that ignore fencing tokens."""
         loaded = {name: {A1, A2} for name in 'xyz'}
         pool = _pool(checks=False)
         for left in (3, 2, 1):
@@ -126,7 +127,7 @@
         self.assertEqual(len(kept), 1)
 
     def test_new_sender_waits(self) -> None:
-        """Only engines that ignore tokens make a new sender wait."""
+        """A new sender waits only for engines that ignore fencing tokens."""
         world = _world({'x': {A1}}, _document())
         for checks, age_s, expected in (
             (True, 0, True),
@@ -141,7 +142,7 @@
                 self.assertEqual(bool(chosen), expected)
 
     def test_repetition(self) -> None:
-        """An order is repeated on a later report only, and ever less often."""
+        """An order is repeated only on a later report, with backoff."""
         step = orders_data.Load('x', A2)
         for title, attempts, sent_at, expected in (
             ('just sent', 1, NOW - 1, False),
@@ -151,7 +152,9 @@
         ):
             with self.subTest(title):
                 book = _book()
-                book.tried[step] = orders_data.Tried(sent_at, attempts, True)
+                book.tried[step] = orders_data.SentOrder(
+                    sent_at, attempts, True
+                )
                 world = _world({'x': {A1}}, _document())
                 now = max(NOW, sent_at + 6 * (sent_at > NOW))
                 chosen = orders.steps(
@@ -160,18 +163,18 @@
                 self.assertEqual(chosen == [step], expected)
 
     def test_kinds_differ(self) -> None:
-        """What was tried of one kind says nothing of another."""
+        """Orders of different kinds for one engine and version differ."""
         made = {kind('x', A1) for kind in KINDS}
         self.assertEqual(len(made), len(KINDS))
 
     def test_is_loaded(self) -> None:
-        """A roll-out may begin where some engine reports the candidate."""
+        """A version is loaded if any engine reports it."""
         loads = [view_data.ServerLoad('x', 0, 0, NOW, (A1,))]
         self.assertTrue(orders.is_loaded(A1, loads))
         self.assertFalse(orders.is_loaded(A2, loads))
 
-    def test_token_is_shown(self) -> None:
-        """An engine with nothing to do is told of the new token."""
+    def test_token_is_sent(self) -> None:
+        """An engine that needs no change is sent the new token."""
         book = orders_data.Book(4, 0)
         world = _world({'x': {A1, A2}}, _document())
         pool = _pool(checks=True)
--- a/beryllug/core/versions.py
+++ b/beryllug/core/versions.py
@@ -1,8 +1,9 @@
-"""Which versions a request may run on.
+"""Selects the versions that a request may run on.
 
-Asked anew at every dispatch, retry and escalation, never only at admission: a
-request that waited while its version was withdrawn would otherwise run on the
-withdrawn one. The answer depends on the view and the arguments alone.
+This is evaluated at every dispatch, retry and escalation and not only at
+admission: otherwise a request that was queued while its version was withdrawn
+would run on the withdrawn version. The result depends only on the view and
+the arguments.
 """
 
 import hashlib
@@ -14,7 +15,7 @@
 
 HASH_BYTES = 8
 BUCKETS = 10000
-BUCKETS_A_PERCENT = 100
+BUCKETS_PER_PERCENT = 100
 
 
 class Reason(StrEnum):
@@ -26,11 +27,11 @@
 
 
 class Refusal(NamedTuple):
-    """No version may run the request, which is therefore not run.
+    """A refusal of a request that no version may run.
 
     Attributes:
-        reason: Why.
-        model: The model or cascade that was asked for.
+        reason: Why no version may run it.
+        model: The requested model or cascade.
     """
 
     reason: Reason
@@ -42,9 +43,10 @@
 
     Attributes:
         model: The model of this stage.
-        versions: Allowed versions; later ones serve when the pool of an
-            earlier one cannot.
-        pin_broken: Whether the session had to leave the version it was on.
+        versions: Allowed versions; later ones are used if the pool of an
+            earlier one cannot serve the request.
+        pin_broken: Whether the version that the session was pinned to is no
+            longer available.
     """
 
     model: str
@@ -65,16 +67,16 @@
 
     @property
     def pin_broken(self) -> bool:
-        """Tell whether a stage left the version its session was on."""
+        """Whether a pinned version is unavailable at any stage."""
         return any(stage.pin_broken for stage in self.stages)
 
 
 class Session(NamedTuple):
-    """What decides the version of a request besides the account.
+    """The session properties that determine the version of a request.
 
     Attributes:
         key: Session of the caller, or the request id without one.
-        pins: The version this session is on, one a model at most.
+        pins: Versions that the session is pinned to, at most one per model.
     """
 
     key: str
@@ -84,8 +86,8 @@
 Budgets = Mapping[config_data.VersionRef, int]
 
 
-class _Rollout(NamedTuple):
-    """A declared roll-out beside its state."""
+class _ActiveRollout(NamedTuple):
+    """A declared roll-out with its state."""
 
     declared: config_data.Rollout
     verdict: view_data.Verdict
@@ -114,30 +116,30 @@
     """Return the versions that a request may run on now.
 
     Args:
-        view: The present view.
+        view: The current view.
         account: The client account.
-        asked: Model or cascade that the caller named.
-        session: The caller's session and the versions it is on.
-        budgets: Answers of each candidate that this process may still give
-            out; a candidate that is absent may give none to new sessions.
+        asked: The requested model or cascade.
+        session: The caller's session and its pinned versions.
+        budgets: How many answers of each candidate this process may still
+            serve; new sessions do not get a candidate that is absent.
 
     Returns:
-        The stages with their versions, or why there is none.
+        The stages with their versions, or the reason why there are none.
     """
-    cascade = _cascade(view.document, asked)
+    cascade = _find_cascade(view.document, asked)
     if cascade is None:
-        stage = _stage(view, account, asked, session, budgets)
+        stage = _plan_stage(view, account, asked, session, budgets)
         return stage if isinstance(stage, Refusal) else Plan((stage,))
     if asked not in account.cascades:
         return Refusal(Reason.NOT_ALLOWED, asked)
-    found = [
-        _stage(view, account, model, session, budgets)
+    planned = [
+        _plan_stage(view, account, model, session, budgets)
         for model in cascade.stages
     ]
-    stages = tuple(stage for stage in found if isinstance(stage, Stage))
+    stages = tuple(stage for stage in planned if isinstance(stage, Stage))
     if stages:
         return Plan(stages, cascade)
-    return _worst(asked, found)
+    return _combined_refusal(asked, planned)
 
 
 def is_current(
@@ -145,57 +147,57 @@
     account: config_data.Account,
     ref: config_data.VersionRef,
 ) -> bool:
-    """Tell whether a version may still receive work of an account.
+    """Return whether a version may still receive requests of an account.
 
-    The last look before a byte is written: true only when the account allows
-    the version and it is neither withdrawn nor stopped in its roll-out.
+    This is the last check before a request is written to a server. The account
+    must allow the version, and it must be neither withdrawn nor stopped.
     """
     version = find(view.document, ref)
     if version is None or version.withdrawn or not allows(account, ref):
         return False
-    return ref not in _stopped(view)
+    return ref not in _stopped_versions(view)
 
 
 def allows(account: config_data.Account, ref: config_data.VersionRef) -> bool:
-    """Tell whether an account's declaration covers a version."""
-    return _rank(account, ref) is not None
+    """Return whether an account may use a version."""
+    return _pattern_index(account, ref) is not None
 
 
 def find(
     document: config_data.Document, ref: config_data.VersionRef
 ) -> config_data.Version | None:
     """Return a declared version, or None."""
-    for version in _versions(document, ref.model):
+    for version in _declared_versions(document, ref.model):
         if version.ref == ref:
             return version
     return None
 
 
 def bucket(model: str, candidate: str, session_key: str) -> int:
-    """Return the place of a session among `BUCKETS`, the same on any host.
+    """Return the bucket of a session, which is the same on all hosts.
 
-    The share of a roll-out only moves a bound over these places, so a session
-    that was inside a smaller share is inside every larger one too.
+    A roll-out includes the buckets below a limit that grows with its share, so
+    a session in a smaller share is also in every larger one.
     """
     text = f'{model}\0{candidate}\0{session_key}'.encode()
     digest = hashlib.blake2b(text, digest_size=HASH_BYTES).digest()
     return int.from_bytes(digest, 'big') % BUCKETS
 
 
-def _stage(
+def _plan_stage(
     view: view_data.View,
     account: config_data.Account,
     model: str,
     session: Session,
     budgets: Budgets,
 ) -> Stage | Refusal:
-    declared = _versions(view.document, model)
+    declared = _declared_versions(view.document, model)
     if not declared:
         return Refusal(Reason.UNKNOWN, model)
     allowed = [version for version in declared if allows(account, version.ref)]
     if not allowed:
         return Refusal(Reason.NOT_ALLOWED, model)
-    stopped = _stopped(view)
+    stopped = _stopped_versions(view)
     current = [
         version
         for version in allowed
@@ -203,26 +205,26 @@
     ]
     if not current:
         return Refusal(Reason.WITHDRAWN, model)
-    pin = _pin(session, model)
+    pin = _pinned_version(session, model)
     pinned = tuple(version for version in current if version.ref == pin)
     if pinned:
         return Stage(model, pinned)
-    order = _order(view, account, current, session, budgets)
+    order = _preference_order(view, account, current, session, budgets)
     return Stage(model, order, pin_broken=pin is not None)
 
 
-def _order(
+def _preference_order(
     view: view_data.View,
     account: config_data.Account,
     current: list[config_data.Version],
     session: Session,
     budgets: Budgets,
 ) -> tuple[config_data.Version, ...]:
-    """Order the versions for a session that is on none yet."""
+    """Order the versions for a session without a usable pin."""
     ranked = sorted(
-        current, key=lambda version: _rank(account, version.ref) or 0
+        current, key=lambda version: _pattern_index(account, version.ref) or 0
     )
-    rollout = _rollout(view, ranked[0].ref.model)
+    rollout = _find_rollout(view, ranked[0].ref.model)
     if rollout is None:
         return tuple(ranked)
     others = [
@@ -234,50 +236,52 @@
     old = [version for version in ranked if version.ref == rollout.incumbent]
     if rollout.verdict is view_data.Verdict.PROMOTED:
         return (*new, *old, *others)
-    if new and _takes_candidate(rollout, session, budgets):
+    if new and _gets_candidate(rollout, session, budgets):
         return (*new, *old, *others)
-    # An account that is allowed nothing but the candidate asked for it.
+    # An account that is allowed only the candidate was configured to use it.
     return (*old, *others) or tuple(new)
 
 
-def _takes_candidate(
-    rollout: _Rollout, session: Session, budgets: Budgets
+def _gets_candidate(
+    rollout: _ActiveRollout, session: Session, budgets: Budgets
 ) -> bool:
-    """Tell whether a new session goes to the candidate.
+    """Return whether a new session gets the candidate.
 
-    Without budget it does not: the answers already out and not yet judged are
-    the callers that a bad version reaches before anyone can know.
+    It does not without budget, which limits the unjudged answers: these are
+    the callers that a bad version affects before it is detected.
     """
     if budgets.get(rollout.candidate, 0) <= 0:
         return False
     place = bucket(
         rollout.declared.model, rollout.declared.candidate, session.key
     )
-    return place < rollout.percent * BUCKETS_A_PERCENT
+    return place < rollout.percent * BUCKETS_PER_PERCENT
 
 
-def _rollout(view: view_data.View, model: str) -> _Rollout | None:
-    """Join a model's roll-out with its state; without state none begins."""
+def _find_rollout(view: view_data.View, model: str) -> _ActiveRollout | None:
+    """Return a model's roll-out with its state, or None if not declared."""
     for declared in view.document.rollouts:
         if declared.model == model:
-            return _joined(declared, view.rollouts)
+            return _with_state(declared, view.rollouts)
     return None
 
 
-def _joined(
+def _with_state(
     declared: config_data.Rollout,
     states: Iterable[view_data.RolloutStatus],
-) -> _Rollout:
+) -> _ActiveRollout:
     for state in states:
         same = state.candidate == declared.candidate
         if same and state.model == declared.model:
             last = len(declared.stages) - 1
             percent = declared.stages[min(state.stage, last)]
-            return _Rollout(declared, state.verdict, percent)
-    return _Rollout(declared, view_data.Verdict.RUNNING, 0)
+            return _ActiveRollout(declared, state.verdict, percent)
+    return _ActiveRollout(declared, view_data.Verdict.RUNNING, 0)
 
 
-def _stopped(view: view_data.View) -> frozenset[config_data.VersionRef]:
+def _stopped_versions(
+    view: view_data.View,
+) -> frozenset[config_data.VersionRef]:
     return frozenset(
         config_data.VersionRef(state.model, state.candidate)
         for state in view.rollouts
@@ -285,17 +289,19 @@
     )
 
 
-def _pin(session: Session, model: str) -> config_data.VersionRef | None:
+def _pinned_version(
+    session: Session, model: str
+) -> config_data.VersionRef | None:
     for pin in session.pins:
         if pin.model == model:
             return pin
     return None
 
 
-def _rank(
+def _pattern_index(
     account: config_data.Account, ref: config_data.VersionRef
 ) -> int | None:
-    """Return the place of the first pattern that covers a version."""
+    """Return the index of the first pattern that matches a version."""
     for place, pattern in enumerate(account.allowed):
         if pattern.model == ref.model:
             if pattern.version in {ref.version, config_data.ANY_VERSION}:
@@ -303,7 +309,7 @@
     return None
 
 
-def _versions(
+def _declared_versions(
     document: config_data.Document, name: str
 ) -> tuple[config_data.Version, ...]:
     for model in document.models:
@@ -312,7 +318,7 @@
     return ()
 
 
-def _cascade(
+def _find_cascade(
     document: config_data.Document, name: str
 ) -> config_data.Cascade | None:
     for cascade in document.cascades:
@@ -321,8 +327,8 @@
     return None
 
 
-def _worst(asked: str, found: list[Stage | Refusal]) -> Refusal:
-    reasons = {item.reason for item in found if isinstance(item, Refusal)}
+def _combined_refusal(asked: str, planned: list[Stage | Refusal]) -> Refusal:
+    reasons = {item.reason for item in planned if isinstance(item, Refusal)}
     if Reason.WITHDRAWN in reasons:
         return Refusal(Reason.WITHDRAWN, asked)
     if Reason.NOT_ALLOWED in reasons:
--- a/beryllug/core/versions_test.py
+++ b/beryllug/core/versions_test.py
@@ -1,4 +1,4 @@
-"""Tests of which versions a request may run on."""
+"""Tests of the versions that a request may run on."""
 
 import types
 import unittest
@@ -44,7 +44,7 @@
     return view_data.View(1, document, rollouts)
 
 
-def _refs(
+def _first_stage_refs(
     plan: versions.Plan | versions.Refusal,
 ) -> list[config_data.VersionRef]:
     assert isinstance(plan, versions.Plan)
@@ -52,17 +52,17 @@
     return [version.ref for version in stage.versions]
 
 
-def _first(
+def _first_choice(
     view: view_data.View,
     session: versions.Session,
     budgets: versions.Budgets = PLENTY,
 ) -> config_data.VersionRef:
     plan = versions.candidates(view, ACCOUNT, 'chat', session, budgets)
-    return _refs(plan)[0]
+    return _first_stage_refs(plan)[0]
 
 
 class CandidatesTest(unittest.TestCase):
-    """Only allowed and current versions, the session's own first."""
+    """Only allowed and current versions are returned, a pinned one first."""
 
     def test_refusals(self) -> None:
         """A request that no version may run is refused with the reason."""
@@ -88,11 +88,10 @@
                 self.assertEqual(refusal, versions.Refusal(reason, asked))
 
     def test_pin(self) -> None:
-        """A session leaves its version only when that is withdrawn.
+        """A session keeps its version unless that is withdrawn or stopped.
 
-        The roll-out has moved on to all new sessions, yet a guest whose
-        session began on the incumbent gets the incumbent, and nothing else
-        even as a second choice.
+        All new sessions may get the candidate, yet a session that is pinned to
+        the incumbent gets only the incumbent, without any alternative.
         """
         pinned = versions.Session('s', (OLD,))
         for state in (RUNNING, PROMOTED, STOPPED):
@@ -101,11 +100,11 @@
                     _view((state,)), ACCOUNT, 'chat', pinned, PLENTY
                 )
                 assert isinstance(plan, versions.Plan)
-                self.assertEqual(_refs(plan), [OLD])
+                self.assertEqual(_first_stage_refs(plan), [OLD])
                 self.assertFalse(plan.pin_broken)
 
     def test_pin_broken(self) -> None:
-        """A withdrawn or stopped version loses its sessions, and says so."""
+        """A withdrawn or stopped version loses its sessions with a flag."""
         cases = (
             (_view(withdrawn=frozenset((NEW,))), 'withdrawn'),
             (_view((STOPPED,)), 'stopped'),
@@ -116,12 +115,12 @@
                     view, ACCOUNT, 'chat', versions.Session('s', (NEW,)), PLENTY
                 )
                 assert isinstance(plan, versions.Plan)
-                self.assertEqual(_refs(plan), [OLD])
+                self.assertEqual(_first_stage_refs(plan), [OLD])
                 self.assertTrue(plan.pin_broken)
                 self.assertFalse(versions.is_current(view, ACCOUNT, NEW))
 
     def test_rollout_share(self) -> None:
-        """New sessions meet the candidate by the stage's share only."""
+        """Only the stage's share of new sessions gets the candidate."""
         staged = RUNNING._replace(stage=1)
         cases: tuple[
             tuple[view_data.RolloutStatus, versions.Budgets, float], ...
@@ -136,22 +135,23 @@
         for state, budgets, expected in cases:
             with self.subTest(state=state, budgets=budgets):
                 view = _view((state,))
-                hits = sum(
-                    _first(view, versions.Session(f's{number}'), budgets) == NEW
+                matches = sum(
+                    _first_choice(view, versions.Session(f's{number}'), budgets)
+                    == NEW
                     for number in range(SESSIONS)
                 )
-                self.assertAlmostEqual(hits / SESSIONS, expected, delta=0.02)
+                self.assertAlmostEqual(matches / SESSIONS, expected, delta=0.02)
 
     def test_unstarted_rollout(self) -> None:
-        """A roll-out without a state in the platform exposes nobody."""
-        hits = [
-            _first(_view(()), versions.Session(f's{number}'))
+        """A roll-out without a stored state gets no sessions."""
+        matches = [
+            _first_choice(_view(()), versions.Session(f's{number}'))
             for number in range(100)
         ]
-        self.assertEqual(set(hits), {OLD})
+        self.assertEqual(set(matches), {OLD})
 
     def test_cascade(self) -> None:
-        """A cascade leaves out the stages that nothing may serve."""
+        """A cascade omits the stages without an available version."""
         cases = (
             (NONE_WITHDRAWN, ['chat', 'strong']),
             (frozenset((STRONG,)), ['chat']),
--- a/beryllug/proofs/mutations.py
+++ b/beryllug/proofs/mutations.py
@@ -231,8 +231,8 @@
         'core/orders.py',
         (
             (
-                'return now > sure_from + terms.longest_s',
-                'return now > sure_from',
+                'return now > grace_ends_at + terms.longest_s',
+                'return now > grace_ends_at',
             ),
         ),
         'proofs.orders_test',
@@ -305,7 +305,7 @@
     Mutation(
         'orders: the new token is not shown',
         'core/orders.py',
-        (('ASSERTS_AT_ONCE),', '0),'),),
+        (('MAX_ASSERTS_AT_ONCE),', '0),'),),
         'control.orders_test',
     ),
 )
