--- a/beryllug/core/evidence.py
+++ b/beryllug/core/evidence.py
@@ -10,8 +10,8 @@
 under "the candidate has rate c, the incumbent b" over the likelihood under
 "both have the mean rate", weighted by their answers. Its expectation is at
 most 1 for any rate that both share, also for one that changes: an outage that
-hits both versions alike does not raise the wealth. By convexity the same
-holds for fractional outcomes, which admits ratings.
+hits both versions alike is not expected to raise the wealth. By convexity the
+same holds for fractional outcomes, which admits ratings.
 
 Two refinements keep the power. The bet is spread over several rates c, from
 the lowest that counts as bad. And the stake is paid in over time, so that a
--- a/beryllug/core/evidence_data.py
+++ b/beryllug/core/evidence_data.py
@@ -62,7 +62,7 @@
             answered.
         lean: Log likelihood ratio of bad to good since the start of the
             stage.
-        best: Minimum of `lean`, at most 0.
+        best: Minimum of the above ratio, at most 0.
         credit: Evidence that the candidate is good. It is bounded, so that
             it falls soon after a good candidate turns bad.
         high_rate_ratio: Log likelihood ratio of a rate well above the lowest
--- a/beryllug/core/exposure.py
+++ b/beryllug/core/exposure.py
@@ -161,7 +161,7 @@
 def _raise_lowest(
     live: dict[str, EntryShare], free: int, most: int
 ) -> dict[str, EntryShare]:
-    """Raise the lowest unused share by one until nothing or no need is left."""
+    """Raise the lowest unused shares one by one, up to `most` each."""
     heap = [
         (max(0, share.dealt - share.given), entry)
         for entry, share in live.items()
--- a/beryllug/core/orders.py
+++ b/beryllug/core/orders.py
@@ -70,7 +70,7 @@
     """Return the orders to send now, the most urgent first.
 
     Args:
-        book: The state of this sender, updated by `note` before.
+        book: The state of this sender, updated before this call.
         pool: The pool.
         world: Document, roll-outs and reports.
         terms: Durations and limits.
@@ -246,7 +246,7 @@
             for sight in world.sights
             if ref in sight.loaded
             and _is_drained(book, ref, sight, terms, now)
-            and not _is_last_copy(pool, ref, sight, world)
+            and not _keeps_last_copy(pool, ref, sight, world)
         )
     return sorted(found, key=lambda step: _attempts(book, step))
 
@@ -274,7 +274,7 @@
     return now > grace_ends_at + terms.longest_s
 
 
-def _is_last_copy(
+def _keeps_last_copy(
     pool: config_data.Pool,
     ref: config_data.VersionRef,
     sight: orders_data.Sight,
--- a/beryllug/core/versions.py
+++ b/beryllug/core/versions.py
@@ -259,7 +259,10 @@
 
 
 def _find_rollout(view: view_data.View, model: str) -> _ActiveRollout | None:
-    """Return a model's roll-out with its state, or None if not declared."""
+    """Return a model's roll-out with its state, or None if not declared.
+
+    A roll-out without a stored state has not started: its share is 0 percent.
+    """
     for declared in view.document.rollouts:
         if declared.model == model:
             return _with_state(declared, view.rollouts)
