--- a/beryllug/core/placement/__init__.py
+++ b/beryllug/core/placement/__init__.py
@@ -1,5 +1,5 @@
-"""Where a request runs: which backend server, and which size of model.
+"""Placement of requests: choice of the backend server and of the model size.
 
-Decided from what is listed of the servers, what this process saw of them, and
-which prompts they have probably read before.
+Decisions use the list of servers, the observations of this process, and the
+prompts that each server has probably processed before.
 """
--- a/beryllug/core/placement/backlog.py
+++ b/beryllug/core/placement/backlog.py
@@ -1,10 +1,11 @@
-"""How long a prompt would wait at each model runner before it is read.
-
-A runner reads prompts one after the other, between the tokens of what it
-runs; a long one takes seconds on a large model. Its own reports are priced
-and come late, so each process counts what it has sent and what has not begun
-to answer, in seconds of reading, and the processes tell one another. Without
-this, one runner of five was 10 s behind while others were idle.
+"""Estimated queueing time of a prompt at each model runner.
+
+A runner prefills prompts one after the other, between the decoding steps of its
+running requests; prefilling a long prompt takes seconds on a large model. Load
+reports of runners cost money and arrive late, so each process counts the
+prompts that it has sent and that have no answer yet, in seconds of prefill, and
+shares the count with the other processes. Without this, one runner of five was
+10 s behind while others were idle.
 """
 
 import math
@@ -14,42 +15,44 @@
 
 from beryllug.core.placement import load_sums
 
-# Seconds of a backlog below which it is not told.
-LEAST_TOLD_S = 0.1
-# Seconds a token takes before anything was measured; it is learnt within a
-# few answers.
-FIRST_PACE_S = 0.00003
-# The pace is that of an idle runner, so a faster answer counts for more than
-# a slower one, which has waited.
-FASTER = 0.3
-SLOWER = 0.02
+# Backlogs below this many seconds are not reported to other processes.
+MIN_REPORTED_S = 0.1
+# Seconds to prefill a token before anything was measured; the measured value
+# replaces it within a few answers.
+INITIAL_PACE_S = 0.00003
+# Weights of one answer in the learned pace. The pace is that of an idle runner,
+# so a faster answer counts for more than a slower one, which has been queued.
+FASTER_WEIGHT = 0.3
+SLOWER_WEIGHT = 0.02
 LEAST_TOKENS = 500
-# Weight of one answer in the mean pace of writing; single answers are far
-# from what their callers expected.
-WRITE_WEIGHT = 0.1
-# Tokens before a token by which its reading takes twice as long: attention
-# looks back at all of them.
-DOUBLE_AT_TOKENS = 24000
-# Seconds for which a runner is taken to keep a prompt that it has read.
+# Weight of one answer in the mean decoding pace; single answers differ widely
+# from the expected length.
+DECODE_WEIGHT = 0.1
+# Number of preceding tokens that doubles the cost of prefilling a token:
+# attention looks back at all of them.
+DOUBLE_COST_TOKENS = 24000
+# Seconds for which a runner is assumed to keep a processed prompt in its cache.
 KEPT_S = 30.0
-# Part of a shared prompt that a runner, which all processes prefer for it, is
-# taken to have still to read although this one has not sent it there.
-HOME_PART = 0.25
-MOST_READ = 4000
-# Part of the time that reading is learnt to take in which none is done: the
-# pace is that of the fastest answers.
-QUICKEST_PART = 0.5
+# Fraction of a shared prompt that its preferred runner is assumed to have left
+# to prefill although this process has not sent it there: other processes prefer
+# the same runner for it.
+PREFERRED_UNCACHED_FRACTION = 0.25
+MAX_CACHED_PROMPTS = 4000
+# Fraction of the learned prefill time that a prompt takes at least; in the rest
+# nothing may be prefilled, although the pace is that of the fastest answers.
+MIN_PREFILL_FRACTION = 0.5
 
 
 class Prompt(NamedTuple):
-    """What one attempt asks a model runner to read.
+    """The prompt of one attempt, as a model runner has to process it.
 
     Attributes:
         model: The model.
-        shared: Name of the parts that other requests share.
-        shared_tokens: Tokens in these.
-        own_tokens: Tokens that are the request's own.
-        is_first: Whether runners read it ahead of those that are not.
+        shared: Identifies the parts that other requests share.
+        shared_tokens: Tokens in the shared parts.
+        own_tokens: Tokens that only this request has.
+        is_first: Whether runners process it with priority over prompts without
+            this flag.
     """
 
     model: str
@@ -60,12 +63,12 @@
 
     @property
     def key(self) -> str:
-        """Return what a runner keeps it under: caches are by model."""
+        """Return the cache key of its shared part; caches are by model."""
         return f'{self.model},{self.shared}'
 
 
 class Item(NamedTuple):
-    """A prompt that was sent and has not begun to answer."""
+    """A prompt that was sent and whose answer has not begun."""
 
     prompt: Prompt
     tokens: float
@@ -74,44 +77,45 @@
 
 
 class Part(NamedTuple):
-    """What one process knows of a runner's backlog.
+    """One process's estimate of a runner's backlog.
 
     Attributes:
-        work_s: Seconds of reading that it has sent and that are not over.
-        overdue_s: Seconds by which its latest prompt is overdue: a backlog
-            that nobody told of, or a runner that is slow. All processes see
-            the same one, so it does not add up.
-        first_work_s: The same of prompts that are read first.
-        first_overdue_s: The same of prompts that are read first.
+        work_s: Seconds of unfinished prefill that the process has sent.
+        overdue_s: Seconds by which its most delayed prompt is overdue, from a
+            backlog that nobody reported or a slow runner. All processes observe
+            the same delay, so it is not summed over them.
+        priority_work_s: `work_s` of priority prompts only.
+        priority_overdue_s: `overdue_s` of priority prompts only.
     """
 
     work_s: float
     overdue_s: float
-    first_work_s: float = 0
-    first_overdue_s: float = 0
+    priority_work_s: float = 0
+    priority_overdue_s: float = 0
 
 
 NOTHING = Part(0, 0)
 
 
 class Expected(NamedTuple):
-    """When a runner is expected to answer a prompt.
+    """When a runner is expected to begin its answer to a prompt.
 
     Attributes:
-        wait_s: Seconds of reading that it has before it.
-        read_s: Seconds of reading of the prompt itself.
-        behind_s: Seconds of reading that it has behind it.
-        unread_part: Part of the shared tokens that it has still to read.
+        wait_s: Seconds of prefill queued before the prompt.
+        read_s: Seconds of prefill of the prompt itself.
+        preempted_s: Seconds of queued prefill that the prompt overtakes.
+        uncached_fraction: Fraction of the shared tokens that the runner has to
+            prefill.
     """
 
     wait_s: float
     read_s: float
-    behind_s: float = 0
-    unread_part: float = 1
+    preempted_s: float = 0
+    uncached_fraction: float = 1
 
     @property
     def first_s(self) -> float:
-        """Return the seconds until the answer begins."""
+        """Return the seconds until the answer begins (time to first token)."""
         return self.wait_s + self.read_s
 
 
@@ -120,15 +124,15 @@
 
 @dataclass(slots=True)
 class Backlog:
-    """What is known of the reading that runners still have to do.
+    """What this process knows of the pending prefill work of runners.
 
     Attributes:
-        items: Prompts of this process that have not begun to answer, by
-            runner and a number of their own.
-        others: What the other processes have.
-        read_at: When a runner last read a prompt, as far as known.
-        paces: Seconds to read a token, by model.
-        write_paces: Seconds to write a token that was expected, by model.
+        items: Prompts of this process without an answer yet, by runner and item
+            number.
+        others: Loads reported by the other processes.
+        read_at: When a runner last processed a prompt, as far as known.
+        paces: Seconds to prefill a token, by model.
+        decode_paces: Seconds to decode an expected token, by model.
         number: Number of the last item.
     """
 
@@ -136,7 +140,7 @@
     others: load_sums.Others = field(default_factory=load_sums.Others)
     read_at: dict[tuple[str, str], float] = field(default_factory=dict)
     paces: dict[str, float] = field(default_factory=dict)
-    write_paces: dict[str, float] = field(default_factory=dict)
+    decode_paces: dict[str, float] = field(default_factory=dict)
     number: int = 0
 
 
@@ -148,8 +152,8 @@
     *,
     is_home: bool,
 ) -> int:
-    """Count a prompt that is sent to a runner; returns its number."""
-    part = unread_part(backlog, instance, prompt, now, is_home=is_home)
+    """Record a prompt that is sent to a runner; returns its item number."""
+    part = uncached_fraction(backlog, instance, prompt, now, is_home=is_home)
     tokens = _tokens(prompt, part)
     work_s = tokens * pace(backlog, prompt.model)
     backlog.number += 1
@@ -159,21 +163,21 @@
 
 
 def answers(backlog: Backlog, instance: str, number: int, now: float) -> None:
-    """Take that a runner has begun to answer: it has read the prompt."""
+    """Record that a runner has begun to answer, so prefill is complete."""
     item = backlog.items.get(instance, {}).get(number)
     if item is None:
         return
-    _learn(backlog, item, now)
+    _update_pace(backlog, item, now)
     key = (instance, item.prompt.key)
     backlog.read_at.pop(key, None)
     backlog.read_at[key] = now
-    while len(backlog.read_at) > MOST_READ:
+    while len(backlog.read_at) > MAX_CACHED_PROMPTS:
         backlog.read_at.pop(next(iter(backlog.read_at)))
     end(backlog, instance, number)
 
 
 def end(backlog: Backlog, instance: str, number: int) -> None:
-    """Take that a runner has nothing to read for an item any more."""
+    """Remove an item for which the runner has nothing left to prefill."""
     items = backlog.items.get(instance)
     if items is None:
         return
@@ -203,9 +207,9 @@
     is_home: bool,
 ) -> Expected:
     """Return when a runner is expected to answer a prompt."""
-    part = unread_part(backlog, instance, prompt, now, is_home=is_home)
+    part = uncached_fraction(backlog, instance, prompt, now, is_home=is_home)
     read_s = _tokens(prompt, part) * pace(backlog, prompt.model)
-    whole_s, first_s = _waits_s(backlog, instance, now)
+    whole_s, first_s = _queue_waits_s(backlog, instance, now)
     if prompt.is_first:
         return Expected(first_s, read_s, max(whole_s - first_s, 0), part)
     return Expected(whole_s, read_s, 0, part)
@@ -214,92 +218,95 @@
 def wait_s(
     backlog: Backlog, instance: str, now: float, *, is_first: bool = False
 ) -> float:
-    """Return the seconds of reading that a runner has before a prompt.
+    """Return the seconds of prefill queued at a runner before a prompt.
 
-    Those that are read first wait for one another only. Taken to wait for
-    all, they leave their zone, and the runner that keeps their shared part,
-    for others where they begin no sooner.
+    Priority prompts wait only for one another. If they were assumed to wait for
+    the whole queue, they would leave their zone, and the runner that caches
+    their shared part, for runners where they begin no sooner.
     """
-    whole_s, first_s = _waits_s(backlog, instance, now)
+    whole_s, first_s = _queue_waits_s(backlog, instance, now)
     return first_s if is_first else whole_s
 
 
-def _waits_s(
+def _queue_waits_s(
     backlog: Backlog, instance: str, now: float
 ) -> tuple[float, float]:
-    """Return the seconds before any prompt, and before one read first."""
-    own = own_part(backlog, instance, now)
+    """Return the waits of an ordinary prompt and of a priority prompt."""
+    own = own_backlog(backlog, instance, now)
     told = load_sums.of(backlog.others, instance, now)
     overdue_s = max(own.overdue_s, told.overdue_cs / load_sums.PARTS)
-    first_overdue_s = max(
-        own.first_overdue_s, told.first_overdue_cs / load_sums.PARTS
+    priority_overdue_s = max(
+        own.priority_overdue_s, told.priority_overdue_cs / load_sums.PARTS
     )
     return (
         own.work_s + told.work_cs / load_sums.PARTS + overdue_s,
-        own.first_work_s
-        + told.first_work_cs / load_sums.PARTS
-        + first_overdue_s,
+        own.priority_work_s
+        + told.priority_work_cs / load_sums.PARTS
+        + priority_overdue_s,
     )
 
 
-def own_part(backlog: Backlog, instance: str, now: float) -> Part:
-    """Return what this process knows of a runner's backlog."""
+def own_backlog(backlog: Backlog, instance: str, now: float) -> Part:
+    """Return this process's share of a runner's backlog."""
     known = backlog.items.get(instance)
     if not known:
         return NOTHING
     items = known.values()
     first = [item for item in items if item.prompt.is_first]
-    return Part(*_left_s(items, now), *_left_s(first, now))
+    return Part(*_remaining_s(items, now), *_remaining_s(first, now))
 
 
 def told(backlog: Backlog, now: float) -> dict[str, Part]:
-    """Return this process's part of the backlog, to tell others.
+    """Return this process's share of the backlogs, to report to others.
 
-    What is over before another's next choice is left out: it would be nearly
-    half of all that processes tell one another on a calm day.
+    Work that ends before another process's next choice is left out: it would be
+    nearly half of all that processes report to one another on a calm day.
     """
     parts = {
-        instance: own_part(backlog, instance, now) for instance in backlog.items
+        instance: own_backlog(backlog, instance, now)
+        for instance in backlog.items
     }
     return {
         instance: part
         for instance, part in parts.items()
-        if part.work_s + part.overdue_s >= LEAST_TOLD_S
+        if part.work_s + part.overdue_s >= MIN_REPORTED_S
     }
 
 
 def wrote(
     backlog: Backlog, model: str, tokens_out: int, seconds: float
 ) -> None:
-    """Take how long an answer took from its first to its last event."""
+    """Learn from the time between the first and last event of an answer."""
     if not tokens_out:
         return
     seen = seconds / tokens_out
-    known = backlog.write_paces.get(model, seen)
-    backlog.write_paces[model] = known + WRITE_WEIGHT * (seen - known)
+    known = backlog.decode_paces.get(model, seen)
+    backlog.decode_paces[model] = known + DECODE_WEIGHT * (seen - known)
 
 
 def write_s(backlog: Backlog, model: str, tokens_out: int) -> float:
-    """Return the seconds that an answer is expected to take once begun."""
-    return tokens_out * backlog.write_paces.get(model, 0)
+    """Return the expected seconds between an answer's first and last event."""
+    return tokens_out * backlog.decode_paces.get(model, 0)
 
 
 def least_s(backlog: Backlog, prompt: Prompt) -> float:
-    """Return the seconds until an answer begins at the very least.
+    """Return a lower bound of the seconds until an answer begins.
 
-    Nothing waits, and all that is shared is kept. How long it is written says
-    nothing: the pace is learnt under load, and a caller with less time than
-    that was served by a runner that had nothing else to do.
+    It assumes that nothing is queued and that all shared tokens are cached. The
+    decoding time is left out: its pace is learned under load, and a caller with
+    less time than that was served by a runner that had nothing else to do.
     """
-    return QUICKEST_PART * prompt.own_tokens * pace(backlog, prompt.model)
+    return (
+        MIN_PREFILL_FRACTION * prompt.own_tokens * pace(backlog, prompt.model)
+    )
 
 
 def pace(backlog: Backlog, model: str) -> float:
-    """Return the seconds that a token takes to be read by a model."""
-    return backlog.paces.get(model, FIRST_PACE_S)
+    """Return the seconds that a model takes to prefill a token."""
+    return backlog.paces.get(model, INITIAL_PACE_S)
 
 
-def unread_part(
+def uncached_fraction(
     backlog: Backlog,
     instance: str,
     prompt: Prompt,
@@ -307,15 +314,15 @@
     *,
     is_home: bool,
 ) -> float:
-    """Return the part of the shared tokens that a runner has still to read."""
+    """Return the fraction of the shared tokens that a runner must prefill."""
     read_at = backlog.read_at.get((instance, prompt.key))
     if read_at is not None and now - read_at < KEPT_S:
         return 0
-    return HOME_PART if is_home else 1
+    return PREFERRED_UNCACHED_FRACTION if is_home else 1
 
 
-def _left_s(items: Iterable[Item], now: float) -> tuple[float, float]:
-    """Return the work of some items that is left, and their delay."""
+def _remaining_s(items: Iterable[Item], now: float) -> tuple[float, float]:
+    """Return the remaining work of some items and their largest delay."""
     work_s = 0.0
     overdue_s = 0.0
     for item in items:
@@ -326,24 +333,24 @@
 
 
 def _tokens(prompt: Prompt, part: float) -> float:
-    """Return the tokens that a runner has to read of a prompt.
+    """Return the cost of a prompt at a runner, in tokens.
 
-    Those far into a long prompt count for more, by what they look back at.
+    Tokens far into a long prompt cost more, by the tokens they attend to.
 
     Args:
         prompt: The prompt.
-        part: Part of its shared tokens that is still to be read there.
+        part: Fraction of its shared tokens that the runner has to prefill.
     """
     unread = prompt.own_tokens + part * prompt.shared_tokens
     whole = prompt.own_tokens + prompt.shared_tokens
     before = whole - unread / 2
-    return unread * (1 + before / DOUBLE_AT_TOKENS)
+    return unread * (1 + before / DOUBLE_COST_TOKENS)
 
 
-def _learn(backlog: Backlog, item: Item, now: float) -> None:
+def _update_pace(backlog: Backlog, item: Item, now: float) -> None:
     if item.tokens < LEAST_TOKENS:
         return
     seen = (now - item.sent_at) / item.tokens
     known = backlog.paces.get(item.prompt.model, seen)
-    weight = FASTER if seen < known else SLOWER
+    weight = FASTER_WEIGHT if seen < known else SLOWER_WEIGHT
     backlog.paces[item.prompt.model] = known + weight * (seen - known)
--- a/beryllug/core/placement/backlog_test.py
+++ b/beryllug/core/placement/backlog_test.py
@@ -1,4 +1,4 @@
-"""Tests of the backlog of reading, by replayed loads."""
+"""Tests of the prefill backlog, with replayed loads."""
 
 import random
 import unittest
@@ -38,7 +38,7 @@
 
 
 def _by_count(reading: backlog.Backlog) -> str:
-    """Choose as before: the preferred runner up to four of our requests."""
+    """Choose by request count: the preferred runner up to four requests."""
     counts = {
         server.instance: len(reading.items.get(server.instance, ()))
         for server in RUNNERS
@@ -49,10 +49,10 @@
 
 
 class BacklogTest(unittest.TestCase):
-    """What is expected of a runner from what was sent to it."""
+    """Estimates for a runner from the prompts that were sent to it."""
 
     def test_wait(self) -> None:
-        """What was sent counts until it answers, and less as it is read."""
+        """A prompt counts until it is answered, less its elapsed time."""
         table: tuple[tuple[str, float, float, float], ...] = (
             ('just sent', 0.0, 0.9, 3.0),
             ('half read', 0.5, 0.4, 2.5),
@@ -67,7 +67,7 @@
                 self.assertLessEqual(wait_s, most)
 
     def test_ended(self) -> None:
-        """An answer that has begun, or an attempt that ended, waits no more."""
+        """An answer that has begun or an attempt that ended adds no wait."""
         for end in (True, False):
             reading = backlog.Backlog()
             number = backlog.begin(
@@ -80,17 +80,17 @@
             self.assertEqual(backlog.wait_s(reading, 'i-0', 1), 0)
 
     def test_peers(self) -> None:
-        """A peer's word counts for a while."""
+        """A peer's report counts until it expires."""
         reading = backlog.Backlog()
         _take(reading, {'i-0': load_sums.Load(200)})
         self.assertEqual(backlog.wait_s(reading, 'i-0', 1), 2)
         self.assertEqual(backlog.wait_s(reading, 'i-0', 2), 0)
 
     def test_read_first(self) -> None:
-        """What is read first waits for its like only, here and at peers.
+        """Priority prompts wait only for one another, here and at peers.
 
-        A runner has three seconds of long prompts before it. A short prompt
-        of the smallest model passes them; one of the largest does not.
+        A runner has three seconds of long prompts queued. A short prompt of the
+        smallest model overtakes them; one of the largest model does not.
         """
         reading = backlog.Backlog()
         reading.paces['large'] = TOKEN_S
@@ -109,7 +109,7 @@
         self.assertAlmostEqual(waits_s, SHORT_S, delta=0.02)
 
     def test_not_told(self) -> None:
-        """What is over within a moment is not worth a note."""
+        """A backlog that ends within a moment is not reported."""
         reading = backlog.Backlog()
         reading.paces['large'] = TOKEN_S
         backlog.begin(reading, 'i-0', _prompt(SHORT), 0, is_home=False)
@@ -119,8 +119,9 @@
     def test_overdue_once(self) -> None:
         """Ten processes wait for one runner that is three seconds behind.
 
-        Each tells how long it waits. Added up, the runner would seem to be
-        half a minute behind and get nothing for as long.
+        Each reports how long it has waited. If the delays were summed, the
+        runner would seem to be half a minute behind and get no requests for as
+        long.
         """
         reading = backlog.Backlog()
         key = load_sums.key_of('i-0')
@@ -130,7 +131,7 @@
         self.assertAlmostEqual(backlog.wait_s(reading, 'i-0', 0), 4)
 
     def test_write(self) -> None:
-        """The time of an answer is learnt by model and expected length."""
+        """The answer time is learned by model and expected length."""
         reading = backlog.Backlog()
         self.assertEqual(backlog.write_s(reading, 'large', 100), 0)
         for _ in range(30):
@@ -139,11 +140,11 @@
         self.assertAlmostEqual(backlog.write_s(reading, 'large', 200), 4)
 
     def test_least(self) -> None:
-        """Only who surely gets no event in time is refused for it.
+        """Only callers that cannot get an event in time are refused for it.
 
-        Of 2,000 tokens that are the prompt's own the first event comes after
-        a tenth of a second at best. Who has less than half of that is sent
-        away; who has more is not, however long its answers take under load.
+        The prefill of 2,000 own tokens takes at least a tenth of a second. A
+        caller with less than half of that is refused; one with more is not,
+        however long answers take under load.
         """
         reading = backlog.Backlog()
         reading.paces['large'] = TOKEN_S
@@ -153,7 +154,7 @@
         self.assertAlmostEqual(backlog.least_s(reading, prompt), 0.05)
 
     def test_kept(self) -> None:
-        """A shared part that was read is not read again for a while."""
+        """A cached shared part is not prefilled again until it expires."""
         reading = backlog.Backlog()
         prompt = _prompt(SHORT, 'menu', LONG)
         fresh_s = backlog.first_s(reading, 'i-0', prompt, 0, is_home=False)
@@ -173,10 +174,10 @@
     def test_mix(self) -> None:
         """Short prompts do not wait seconds behind long ones.
 
-        Every eighth prompt takes 3 s to read, the others 50 ms; all share
-        one part. By counts of requests, up to four of each process on the
-        preferred runner, the slowest tenth of the short ones waits for more
-        than five seconds; by backlog, for less than two.
+        Every eighth prompt takes 3 s to prefill, the others 50 ms; all share
+        one part. If placed by request count, with up to four of each process at
+        the preferred runner, the slowest tenth of the short ones waits for more
+        than five seconds; if placed by backlog, for less than two.
         """
         by_backlog = self._replay(by_count=False)
         by_count = self._replay(by_count=True)
@@ -184,7 +185,7 @@
         self.assertGreater(by_count, 5)
 
     def _replay(self, *, by_count: bool) -> float:
-        """Return the wait of the slowest tenth of the short prompts."""
+        """Return the 90th percentile of the short prompts' waits."""
         rng = random.Random(7)
         processes = [backlog.Backlog() for _ in range(4)]
         state = balance_data.BalanceState()
@@ -234,14 +235,14 @@
 
 
 def _own(reading: backlog.Backlog, now: float) -> dict[int, load_sums.Load]:
-    """Return what a process reports that knows of reading alone."""
+    """Return the report of a process that knows of prefill work only."""
     return own_loads.of_process(
         choose.Known(reading, suspicion.Suspicion(), streams.Streams()), now
     )
 
 
 def _take(reading: backlog.Backlog, told: dict[str, load_sums.Load]) -> None:
-    """Take what all others have, as of second 0."""
+    """Set the loads of the other processes, as of second 0."""
     reading.others.loads = {
         load_sums.key_of(instance): load for instance, load in told.items()
     }
--- a/beryllug/core/placement/backoffs.py
+++ b/beryllug/core/placement/backoffs.py
@@ -1,11 +1,11 @@
-"""Servers that want no request of this process for some seconds.
+"""Servers that asked this process to send no requests for some seconds.
 
-Each refusal that says so holds by itself: a later one with a shorter time, or
-without one, does not end an earlier one, and a good answer does not either.
+Each refusal with a retry time counts separately: neither a later refusal with a
+shorter time or none, nor a successful answer, ends an earlier one.
 
-A server that was full for a moment asks every process that it refused to stay
-away for seconds, and so do its like. Where no other server is left, each of
-them is therefore sent one request in the time that it has asked for.
+A server that is overloaded for a moment asks every process that it refused to
+stay away for seconds, and so do the other servers of its service. If no other
+server is left, each is therefore sent one request within the time it asked for.
 """
 
 from dataclasses import dataclass, field
@@ -13,12 +13,12 @@
 
 @dataclass(slots=True)
 class Backoff:
-    """What one server has asked for.
+    """The back-off of one server.
 
     Attributes:
-        until: Second at which the latest time is over.
-        seconds: The longest time that was asked for since the first one.
-        probed_at: When it was last sent a request meanwhile.
+        until: Second at which the latest back-off ends.
+        seconds: The longest time requested since the back-off began.
+        probed_at: When it was last sent a request during the back-off.
     """
 
     until: float
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Backoffs:
-    """What servers have asked this process for, by instance."""
+    """Back-offs that servers have requested of this process, by instance."""
 
     asked: dict[str, Backoff] = field(default_factory=dict)
 
@@ -36,7 +36,7 @@
 def back_off(
     backoffs: Backoffs, instance: str, seconds: float, now: float
 ) -> bool:
-    """Stay away from a server; returns whether it took requests until now."""
+    """Start or extend a back-off; returns whether the server had none."""
     until = now + seconds
     known = backoffs.asked.get(instance)
     if known is None or known.until <= now:
@@ -48,26 +48,26 @@
 
 
 def left_s(backoffs: Backoffs, instance: str, now: float) -> float:
-    """Return the seconds for which a server is left alone; 0 for none."""
+    """Return the seconds that are left of a server's back-off; 0 for none."""
     known = backoffs.asked.get(instance)
     return max(known.until - now, 0) if known else 0
 
 
 def may_probe(backoffs: Backoffs, instance: str, now: float) -> bool:
-    """Tell whether a server that is left alone may be sent one request."""
+    """Tell whether a server in back-off may be sent one request."""
     known = backoffs.asked.get(instance)
     return known is None or now - known.probed_at >= known.seconds
 
 
 def sent(backoffs: Backoffs, instance: str, now: float) -> None:
-    """Take that a server is sent a request."""
+    """Record that a server is sent a request."""
     known = backoffs.asked.get(instance)
     if known is not None:
         known.probed_at = now
 
 
 def backing_off_s(backoffs: Backoffs, now: float) -> dict[str, float]:
-    """Return the seconds that are left, by instance."""
+    """Return the seconds left of each active back-off, by instance."""
     return {
         instance: known.until - now
         for instance, known in backoffs.asked.items()
@@ -76,7 +76,7 @@
 
 
 def forget(backoffs: Backoffs, now: float) -> None:
-    """Forget what is over."""
+    """Remove back-offs that have ended."""
     backoffs.asked = {
         instance: known
         for instance, known in backoffs.asked.items()
--- a/beryllug/core/placement/backoffs_test.py
+++ b/beryllug/core/placement/backoffs_test.py
@@ -1,4 +1,4 @@
-"""Tests of servers that want no request of a process for some seconds."""
+"""Tests of servers that ask a process to send no requests for some seconds."""
 
 import random
 import unittest
@@ -7,22 +7,22 @@
 from beryllug.core.placement import backoffs
 
 
-# A replay: servers that refuse all for a moment, and ask for seconds.
+# A replay: servers that refuse all requests for a moment, and ask for seconds.
 SERVERS = ('s1', 's2', 's3')
 PER_S = 200.0
 REFUSING_S = 0.3
 ASKED_S = 3.0
-# The bound of the service: requests from half a second after a refusal on.
+# Limit of the service: requests from half a second after a refusal on.
 UNDER_WAY_S = 0.5
 MOST = 2
 Refusals = tuple[tuple[float, float], ...]
 
 
 class BackoffsTest(unittest.TestCase):
-    """Refusals with a time to come back, in several orders."""
+    """Refusals with a retry time, in several orders."""
 
     def test_longest(self) -> None:
-        """A later refusal with a shorter time ends an earlier one."""
+        """A later refusal with a shorter time does not end an earlier one."""
         table: tuple[tuple[Refusals, float], ...] = (
             (((0, 3),), 3),
             (((0, 3), (1, 3)), 4),
@@ -40,7 +40,7 @@
                 self.assertEqual(backoffs.left_s(kept, 's', until), 0)
 
     def test_forgotten(self) -> None:
-        """Servers that are gone are remembered for ever."""
+        """Back-offs that have ended are removed."""
         kept = backoffs.Backoffs()
         for number in range(10):
             backoffs.back_off(kept, f's{number}', number, 0)
@@ -48,7 +48,7 @@
         self.assertEqual(len(kept.asked), 4)
 
     def test_probe(self) -> None:
-        """A server is sent more than one request in the time it asked for."""
+        """A server is sent at most one request within the time it asked for."""
         kept = backoffs.Backoffs()
         backoffs.back_off(kept, 's', 3, 0)
         table: tuple[tuple[float, bool], ...] = (
@@ -67,7 +67,7 @@
                     backoffs.back_off(kept, 's', 1, now)
 
     def test_all_refuse(self) -> None:
-        """All servers refuse for a moment, and callers for seconds."""
+        """A moment of overload does not make callers fail for seconds."""
         for processes in (8, 84):
             with self.subTest(processes):
                 refused, most = _replay(processes, is_probing=True)
@@ -77,7 +77,7 @@
 
 
 def _replay(processes: int, *, is_probing: bool) -> tuple[int, int]:
-    """Return the requests that are refused, and the most within a time."""
+    """Return the refused requests, and the most to a server in back-off."""
     rng = random.Random(processes)
     kept = [backoffs.Backoffs() for _ in range(processes)]
     came: dict[tuple[int, str], list[float]] = defaultdict(list)
--- a/beryllug/core/placement/choose.py
+++ b/beryllug/core/placement/choose.py
@@ -1,10 +1,10 @@
 """Choice of the backend server for one attempt.
 
-A prompt goes to the model runner where its answer is expected to begin first:
-after what is waiting there, and the sooner if its shared part was read there
-before. The runner that all processes prefer for a shared part, by rendezvous
-hash, is taken to have read it. A plain call goes to the least busy server, the
-own availability zone first.
+A prompt goes to the model runner where its answer is expected to begin first,
+by the queue there and by whether its shared part is cached. The runner that all
+processes prefer for a shared part, by rendezvous hash, is assumed to have
+cached it. A plain call goes to the least loaded server, preferably in the
+process's own availability zone.
 """
 
 from collections.abc import Iterable, Sequence
@@ -18,38 +18,38 @@
     suspicion,
 )
 
-# Requests that another availability zone counts like: its round trip of about
-# 3 ms is a fifth of a short call's work.
-REMOTE_LOAD = 1.5
-# Seconds that another availability zone counts like for a prompt, and each
-# byte that goes there or comes back: links between zones are paid by the byte.
-# Both are small against a target, so none waits noticeably longer.
-REMOTE_S = 0.01
+# Load that a server in another availability zone is charged, in requests: the
+# round trip of about 3 ms is a fifth of a short call's work.
+REMOTE_ZONE_LOAD = 1.5
+# Seconds that a prompt is charged in another availability zone, and for each
+# byte sent there or back: traffic between zones is billed by the byte. Both are
+# small compared with latency targets, so no prompt waits noticeably longer.
+REMOTE_ZONE_S = 0.01
 REMOTE_BYTE_S = 0.000008
-# Bytes of a token of an answer, with what frames an event of several.
-TOKEN_BYTES = 15
-# Seconds that each token, which some runner keeps and another would have to
-# read again, counts like beyond the reading itself: it takes the room of
-# another prompt in that runner's memory, and is paid like one that is new.
-# Prompts do not leave their home for every short wait.
+# Bytes of an answer token, with the framing of an event of several tokens.
+BYTES_PER_TOKEN = 15
+# Seconds that each shared token is charged, beyond its prefill time, at a
+# runner that does not have it cached: it displaces another prompt from that
+# runner's cache and is billed like a new token. So prompts do not leave their
+# preferred runner for every short wait.
 AGAIN_S = 0.00006
-# Part of the reading that waits behind a prompt which is read first: it does
-# not delay its first event, but those after it, since runners read in chunks
-# between the tokens of all streams.
-BEHIND_PART = 0.3
-# What a point of suspicion counts like: two broken connections outweigh the
-# own zone, and a stream that breaks costs its prompt's reading once more.
-POINT_LOAD = 1.0
-POINT_S = 0.25
+# Fraction of the queued prefill work, overtaken by a priority prompt, that
+# counts against it: it does not delay the prompt's first event, but the later
+# ones, since runners prefill in chunks between the tokens of all streams.
+PREEMPTED_FRACTION = 0.3
+# Costs of a suspicion point: two broken connections outweigh the preference for
+# the own zone, and a stream that breaks costs its prompt's prefill once more.
+SUSPICION_LOAD = 1.0
+SUSPICION_S = 0.25
 
 
 class Known(NamedTuple):
     """What this process and its peers know of the servers.
 
     Attributes:
-        reading: What model runners have still to read.
-        failures: What servers did to requests.
-        streams: What model runners run.
+        reading: Pending prefill work of model runners.
+        failures: Failures of requests at servers.
+        streams: Requests that are running at model runners.
     """
 
     reading: backlog.Backlog
@@ -57,8 +57,8 @@
     streams: streams.Streams
 
 
-class _Away(NamedTuple):
-    """The own availability zone, and what each other one counts like."""
+class _RemoteCost(NamedTuple):
+    """The process's own zone, and the cost of every other zone."""
 
     zone: str
     seconds: float
@@ -75,30 +75,33 @@
     """Return the server for an attempt; None where there is none.
 
     Args:
-        state: What this process saw of each server.
+        state: Load and failures that this process observed at each server.
         known: What this process and its peers know of the servers.
         servers: All listed servers.
-        wish: What is asked.
+        wish: Requirements of the attempt.
         zone: Availability zone of this process.
         now: The present second.
     """
-    usable = _sound(state, fitting(servers, wish), now)
+    usable = _without_ejected(state, fitting(servers, wish), now)
     if not usable:
         return None
     if wish.prompt is not None:
-        away_s = REMOTE_S + _transfer_bytes(wish) * REMOTE_BYTE_S
-        return _for_prompt(known, usable, wish.prompt, _Away(zone, away_s), now)
+        remote_zone_s = REMOTE_ZONE_S + _transfer_bytes(wish) * REMOTE_BYTE_S
+        return _choose_for_prompt(
+            known, usable, wish.prompt, _RemoteCost(zone, remote_zone_s), now
+        )
     return min(
-        usable, key=lambda server: _load(state, known, server, zone, now)
+        usable, key=lambda server: _call_load(state, known, server, zone, now)
     )
 
 
 def fitting(
     servers: Iterable[servers_data.Server], wish: servers_data.Wish
 ) -> list[servers_data.Server]:
-    """Return the servers that fit an attempt.
+    """Return the eligible servers for an attempt.
 
-    Of the versions that it may run on, or of any where none of these is there.
+    Servers of other versions are returned only if there is none of an allowed
+    one.
     """
     found = [
         server
@@ -115,15 +118,15 @@
     return allowed or found
 
 
-def _sound(
+def _without_ejected(
     state: balance_data.BalanceState,
     servers: Sequence[servers_data.Server],
     now: float,
 ) -> Sequence[servers_data.Server]:
-    """Leave out servers that fail; all of them where none is sound.
+    """Leave out ejected servers, unless all of them are ejected.
 
-    When every server seems to fail, the cause is rather on our side, and
-    sending nothing would turn a short break into a long one.
+    If every server seems to fail, the cause is more likely on this side, and
+    sending nothing would turn a short outage into a long one.
     """
     sound = [
         server
@@ -136,8 +139,8 @@
 def home(servers: Sequence[servers_data.Server], key: str) -> str:
     """Return the instance that all processes prefer for a shared prompt.
 
-    By name, so that a server which starts again gets its own prompts back and
-    those of the others stay where they were read.
+    The hash is of the name, so that a restarted server gets its own prompts
+    back and those of the other servers stay where they are cached.
     """
     return max(
         servers, key=lambda server: rendezvous.score(key, server.name)
@@ -145,38 +148,38 @@
 
 
 def _transfer_bytes(wish: servers_data.Wish) -> int:
-    """Return the bytes that a request and its answer are expected to have."""
-    return wish.body_bytes + wish.tokens_out * TOKEN_BYTES
+    """Return the expected bytes of a request and its answer."""
+    return wish.body_bytes + wish.tokens_out * BYTES_PER_TOKEN
 
 
-def _for_prompt(
+def _choose_for_prompt(
     known: Known,
     usable: Sequence[servers_data.Server],
     prompt: backlog.Prompt,
-    away: _Away,
+    remote_cost: _RemoteCost,
     now: float,
 ) -> servers_data.Server:
     preferred = home(usable, prompt.key)
 
     def cost_s(server: servers_data.Server) -> float:  # noqa: WPS430
         is_home = server.instance == preferred
-        due = backlog.expected(
+        estimate = backlog.expected(
             known.reading, server.instance, prompt, now, is_home=is_home
         )
         others_s = streams.cost_s(
-            known.streams, server.instance, server.slots, due.read_s, now
+            known.streams, server.instance, server.slots, estimate.read_s, now
         )
-        again_s = due.unread_part * prompt.shared_tokens * AGAIN_S
-        remote_s = 0 if server.zone == away.zone else away.seconds
+        refill_s = estimate.uncached_fraction * prompt.shared_tokens * AGAIN_S
+        remote_s = 0 if server.zone == remote_cost.zone else remote_cost.seconds
         points = suspicion.points_of(known.failures, server.instance, now)
-        later_s = due.behind_s * BEHIND_PART
-        own_s = due.first_s + later_s + points * POINT_S
-        return own_s + others_s + again_s + remote_s
+        later_s = estimate.preempted_s * PREEMPTED_FRACTION
+        own_s = estimate.first_s + later_s + points * SUSPICION_S
+        return own_s + others_s + refill_s + remote_s
 
     return min(usable, key=cost_s)
 
 
-def _load(
+def _call_load(
     state: balance_data.BalanceState,
     known: Known,
     server: servers_data.Server,
@@ -184,8 +187,8 @@
     now: float,
 ) -> tuple[float, int]:
     seen = server_load.track(state, server.instance)
-    remote = 0 if server.zone == zone else REMOTE_LOAD
+    remote = 0 if server.zone == zone else REMOTE_ZONE_LOAD
     tie = rendezvous.score(zone, server.instance)
     points = suspicion.points_of(known.failures, server.instance, now)
-    load = server_load.load_of(seen, now) + remote + points * POINT_LOAD
+    load = server_load.load_of(seen, now) + remote + points * SUSPICION_LOAD
     return (load, tie)
--- a/beryllug/core/placement/choose_test.py
+++ b/beryllug/core/placement/choose_test.py
@@ -57,7 +57,7 @@
 
 
 class ChooseTest(unittest.TestCase):
-    """Who gets a plain call."""
+    """Choice of a server for a plain call."""
 
     def test_cases(self) -> None:
         """Each rule, alone."""
@@ -75,7 +75,7 @@
                 self.assertEqual(found and found.instance, expected)
 
     def test_busy(self) -> None:
-        """A server with more of our requests than another zone is worth."""
+        """Requests of this process outweigh the preference for its own zone."""
         state = balance_data.BalanceState()
         for _ in range(2):
             server_load.dispatched(state, 'own', 0)
@@ -84,10 +84,10 @@
         self.assertEqual(found, FAR)
 
     def test_failing(self) -> None:
-        """A server that fails is out, unless all are.
+        """A server that fails is left out, unless all of them fail.
 
-        The caller of a service, all of whose servers failed a moment ago,
-        is still sent on: the cause may be on our side.
+        If all servers of a service failed a moment ago, requests are still
+        sent: the cause may be on this side.
         """
         state = balance_data.BalanceState()
         wish = servers_data.Wish('desk', None, None, NONE)
@@ -120,10 +120,11 @@
         self.assertEqual(len(found), 1)
 
     def test_zone_of_prompt(self) -> None:
-        """A prompt stays in its zone unless it gains clearly elsewhere.
+        """A prompt leaves its zone only for a clear gain.
 
-        Its home is in another zone. A short one goes there only past a wait
-        in its own; one with a long shared part is read again nowhere.
+        Its preferred runner is in another zone. A short prompt goes there only
+        if it would wait in its own zone; one with a long shared part goes to
+        the runner that has it cached.
         """
         away = _server('r2', zone='b')
         own = _server('r1')
--- a/beryllug/core/placement/cold.py
+++ b/beryllug/core/placement/cold.py
@@ -1,18 +1,18 @@
-"""How much a server that has just started is sent.
-
-A cold server crashes under a rate of requests that a warm one bears. One that
-was just listed has the least to do of all, so without a bound every process
-prefers it at the same moment, and it is lost again before any of them knows
-what the others have sent.
-
-The bound holds for all processes together, and each of them sends a request a
-second or so: a message for each would come too late. So a few processes, drawn
-by a hash of server and process, may send to a cold server, each one request a
-second; the others place their requests as if it weren't there. As many are
-drawn as its rate permits, less a part for the luck of the draw. That needs no
-message and no agreement, only a rough count of the fleet. Those that can't be
-reached count too: on both sides of a cut link as many would be drawn as in the
-whole fleet.
+"""Limit on the requests sent to servers that have just started.
+
+A cold server crashes at a request rate that a warm one can handle. A newly
+listed server has the least load of all, so without a limit every process
+prefers it at the same moment, and it crashes before any of them knows what the
+others have sent.
+
+The limit applies to all processes together, while each of them sends about one
+request a second, so a message for each request would come too late. Instead a
+few processes, selected by a hash of server and process, may each send one
+request a second to a cold server; the others place their requests as if it were
+not listed. The rate determines how many are selected, less a margin for the
+variance of the hash. This needs no message and no agreement, only an
+approximate fleet size. Unreachable processes are counted too: otherwise each
+side of a network partition would select as many as the whole fleet.
 """
 
 from collections import deque
@@ -21,11 +21,12 @@
 from beryllug.core import rendezvous
 from beryllug.core.placement import fleet_size
 
-# Part of the rate that is used on the mean. Of six drawn for a rate of eight,
-# more than seventeen, at which a server crashes, are drawn once in 30,000.
+# Fraction of the rate that is used on average. With six processes selected on
+# average for a rate of eight, more than seventeen, at which a server crashes,
+# are selected once in 30,000.
 USED_PART = 0.75
-# Seconds in which a process sends what is its part, a little over one: a
-# request may be longer under way than the next.
+# Seconds in which a process sends its share, slightly over one: a request may
+# take longer to arrive than the next one.
 WINDOW_S = 1.05
 
 
@@ -35,10 +36,10 @@
 
     Attributes:
         name: Name of the process.
-        until: When each cold server is taken to be warm.
+        until: When each cold server is assumed to be warm.
         sent: When this process sent it requests, within the window.
-        size: The size of the fleet; until it is known, a process sends nothing
-            to a cold server.
+        size: The fleet size; until it is known, a process sends nothing to a
+            cold server.
     """
 
     name: str
@@ -48,10 +49,11 @@
 
 
 def becomes_cold(cold: Cold, instance: str, seconds: float, now: float) -> None:
-    """Take that a server is cold; an earlier end does not count."""
+    """Record that a server is cold; an earlier end is ignored."""
     if seconds <= 0:
         return
-    # Servers that are gone are asked for no more, and would be kept for ever.
+    # Nothing asks for servers that are gone, so their entries would never be
+    # removed.
     warm = [name for name, until in cold.until.items() if until <= now]
     for name in warm:
         _forget(cold, name)
@@ -76,12 +78,12 @@
     Args:
         cold: What it knows of cold servers.
         instance: The server.
-        per_s: Requests a second that it bears while cold; 0 for any.
+        per_s: Requests a second that it can handle while cold; 0 for no limit.
         now: The present second.
     """
     if per_s <= 0 or not is_cold(cold, instance, now):
         return True
-    if fleet_size.unsettled_s(cold.size, now) > 0:
+    if fleet_size.until_settled_s(cold.size, now) > 0:
         return False
     used = max(per_s * USED_PART, 1)
     drawn = rendezvous.share(f'{instance}/{cold.name}')
--- a/beryllug/core/placement/cold_test.py
+++ b/beryllug/core/placement/cold_test.py
@@ -1,8 +1,8 @@
-"""Tests of how much cold servers are sent by a whole fleet.
+"""Tests of the number of requests that a whole fleet sends to cold servers.
 
-What operators see without the bound: servers that have just come back are lost
-again within a second. They were listed, every process found them idle at the
-same moment, and sent its next requests there.
+Without the limit, servers that have just restarted are lost again within a
+second: they are listed, every process finds them idle at the same moment and
+sends its next requests there.
 """
 
 import itertools
@@ -16,34 +16,35 @@
 
 PER_S = 8.0
 # Requests in a second at which a server of that rate crashes.
-MOST_A_S = 17
+CRASH_PER_S = 17
 STEP_S = 0.05
-# When a server says for how many more seconds it is cold.
-_Words = tuple[tuple[float, float], ...]
+# When a server states for how many more seconds it is cold.
+_Reports = tuple[tuple[float, float], ...]
 LONG_S = 3.0
 
 
 class _Load(NamedTuple):
-    """A fleet before cold servers.
+    """A fleet that sends requests to cold servers.
 
     Attributes:
         processes: Processes of the fleet.
         servers: Servers that become cold together.
-        known: Processes that each one knows, itself too.
-        is_new: Whether all processes start together as the servers come back,
-            and know one another within a second.
-        asks_a_s: Requests a second that each process would send each server.
+        known: Processes that each one knows, including itself.
+        is_new: Whether all processes start at the same time as the servers, and
+            learn of one another within a second.
+        demand_per_s: Requests a second that each process would send each
+            server.
     """
 
     processes: int
     servers: int
     known: int
     is_new: bool = False
-    asks_a_s: float = 20.0
+    demand_per_s: float = 20.0
 
 
 def _arrivals(load: _Load, seed: int = 1) -> list[list[float]]:
-    """Return when requests come to each server while it is cold."""
+    """Return when requests arrive at each server while it is cold."""
     rng = random.Random(seed)
     states = [cold.Cold(f'p{number}') for number in range(load.processes)]
     servers = [f'i-{seed}-{number}' for number in range(load.servers)]
@@ -53,7 +54,7 @@
         fleet_size.count(state.size, load.known, load.known, -60)
         if load.is_new:
             state.size.counted = 0
-            state.size.grown_at = math.inf
+            state.size.last_growth_at = math.inf
     for step in range(1, int(LONG_S / STEP_S)):
         now = step * STEP_S
         part = min(now, 1) if load.is_new else 1
@@ -61,14 +62,14 @@
             known = max(int(load.known * part), 1)
             fleet_size.count(each.size, known, known, now)
         for state, name in itertools.product(states, servers):
-            asks = rng.random() < load.asks_a_s * STEP_S
-            if asks and cold.may_send(state, name, PER_S, now):
+            has_request = rng.random() < load.demand_per_s * STEP_S
+            if has_request and cold.may_send(state, name, PER_S, now):
                 cold.sent(state, name, now)
                 came[name].append(now)
     return list(came.values())
 
 
-def _most_a_s(came: Iterable[float]) -> int:
+def _max_per_second(came: Iterable[float]) -> int:
     """Return the most arrivals in any second."""
     times = list(came)
     return max(
@@ -78,14 +79,14 @@
 
 
 class FleetTest(unittest.TestCase):
-    """All processes press servers that have just come back."""
+    """All processes have requests for servers that have just restarted."""
 
     def test_bound(self) -> None:
-        """No server gets more in a second than it bears, in any fleet.
+        """No server gets more requests in a second than it can handle.
 
-        Neither where all processes start again in the same moment and know
-        none but themselves, nor where a cut leaves each with half of the
-        fleet: those that were there count.
+        This holds in any fleet, also if all processes restart at the same
+        moment and know only themselves, and if a partition leaves each with
+        half of the fleet: processes that were seen before are counted.
         """
         table: tuple[tuple[str, _Load], ...] = (
             ('one process', _Load(1, 5, 1)),
@@ -97,20 +98,20 @@
         )
         for title, load in table:
             with self.subTest(title):
-                most = max(_most_a_s(came) for came in _arrivals(load))
-                self.assertLessEqual(most, MOST_A_S)
+                most = max(_max_per_second(came) for came in _arrivals(load))
+                self.assertLessEqual(most, CRASH_PER_S)
 
     def test_draw(self) -> None:
-        """The luck of the draw leaves room: none of 600 servers is lost."""
+        """The margin covers the variance of the hash over 600 servers."""
         most = max(
-            _most_a_s(came)
+            _max_per_second(came)
             for seed in range(10)
             for came in _arrivals(_Load(84, 60, 84), seed)
         )
-        self.assertLessEqual(most, MOST_A_S)
+        self.assertLessEqual(most, CRASH_PER_S)
 
     def test_used(self) -> None:
-        """Cold servers do take work: two thirds of what they bear, or more."""
+        """Cold servers get enough requests: more than half of their rate."""
         for processes in (1, 3, 8, 84, 300):
             with self.subTest(processes=processes):
                 came = _arrivals(_Load(processes, 40, processes))
@@ -126,17 +127,17 @@
         fleet_size.count(self.state.size, 1, 1, -10)
 
     def test_end(self) -> None:
-        """A server is cold for as long as its latest word says."""
-        table: tuple[tuple[str, _Words, float], ...] = (
+        """A server is cold until the latest time that it has stated."""
+        table: tuple[tuple[str, _Reports, float], ...] = (
             ('never said', (), 0),
             ('once', ((0, 3),), 3),
             ('again, later', ((0, 3), (2, 3)), 5),
             ('an older word comes late', ((0, 3), (1, 0.5)), 3),
         )
-        for title, words, until in table:
+        for title, reports, until in table:
             with self.subTest(title):
                 self.setUp()
-                for at, seconds in words:
+                for at, seconds in reports:
                     cold.becomes_cold(self.state, 'i', seconds, at)
                 self.assertEqual(
                     cold.is_cold(self.state, 'i', until - 0.01), until > 0
@@ -144,7 +145,7 @@
                 self.assertFalse(cold.is_cold(self.state, 'i', until))
 
     def test_gone(self) -> None:
-        """Servers that are gone while they are cold are not kept for ever."""
+        """Servers that are gone while they are cold are not kept forever."""
         for number in range(100):
             name = f'i-{number}'
             cold.becomes_cold(self.state, name, LONG_S, number)
@@ -153,7 +154,7 @@
         self.assertLessEqual(len(self.state.sent), LONG_S + 1)
 
     def test_rates(self) -> None:
-        """A rate below one a second is kept, too; none binds nobody."""
+        """Rates below one a second are kept; a rate of zero is no limit."""
         for per_s, sent in ((0.0, 100), (0.5, 2), (2.0, 3), (8.0, 18)):
             with self.subTest(per_s=per_s):
                 self.setUp()
--- a/beryllug/core/placement/crashers.py
+++ b/beryllug/core/placement/crashers.py
@@ -1,30 +1,31 @@
-"""Requests that crash each backend server that runs them.
-
-Sent again and again, by any process, such a request takes a service down one
-server after the other. A broken connection alone says little: servers reset
-connections and live on. So a request is held against a server only if its
-connection broke there and the server was lost within seconds, and it is
-refused once that has happened at three servers without a good answer between.
-Processes tell one another of losses, which add up in any order.
-
-The product's own door keeps `core.suspects` for it, where each request has a
-record and a control process decides who may try it again.
+"""Detection of requests that crash every backend server that runs them.
+
+Retried by any process, such a poison request takes down one server of a service
+after the other. A broken connection alone is weak evidence: servers reset
+connections and keep running. A server loss is therefore attributed to a request
+only if its connection broke there and the server was lost within seconds, and
+the request is refused after three such losses without a successful answer in
+between. Processes report losses to one another; the order of reports does not
+matter.
+
+The product's own entry point uses `core.suspects` instead, where each request
+has a record and a control process decides who may retry it.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-# Seconds between a connection that broke and its server's being found gone:
+# Seconds between a broken connection and the detection that its server is gone:
 # the platform drops an entry after three missed heartbeats of 1.2 s.
-FOUND_WITHIN_S = 6.0
-# Servers that a request may cost before it is refused. A request that shared
-# its server with one that crashes is innocent; it seldom does so three times.
+DETECTED_WITHIN_S = 6.0
+# Server losses after which a request is refused. A harmless request that shared
+# its server with a crashing one is rarely affected three times.
 MOST_LOST = 3
-# Seconds for which it is refused, from the last loss on. Then one process
-# after the other tries it again, which costs a server at most each time.
+# Seconds for which it is refused, counted from the last loss. After that one
+# process after the other retries it, which costs at most one server each time.
 REFUSED_S = 60.0
-MOST_KNOWN = 500
+MAX_TRACKED = 500
 
 
 class Loss(NamedTuple):
@@ -36,12 +37,13 @@
 
 @dataclass(slots=True)
 class Crashers:
-    """What is known of requests that servers were lost under.
+    """Server losses that are attributed to requests.
 
     Attributes:
         broken: Requests whose connection broke, by instance, with the second.
-        losses: Servers lost by fingerprint, with the second of the loss.
-        untold: Losses that peers are still to be told of.
+        losses: Lost servers by request fingerprint, with the second of the
+            loss.
+        untold: Losses that are not reported to peers yet.
     """
 
     broken: dict[str, dict[str, float]] = field(default_factory=dict)
@@ -50,7 +52,7 @@
 
 
 def broke(state: Crashers, loss: Loss, now: float) -> None:
-    """Note that a request's connection to a server broke."""
+    """Record that a request's connection to a server broke."""
     at_server = state.broken.pop(loss.instance, {})
     at_server[loss.fingerprint] = now
     state.broken[loss.instance] = at_server
@@ -58,12 +60,12 @@
 
 
 def lost(state: Crashers, instance: str, now: float) -> list[Loss]:
-    """Take that a server is gone; returns whom it is held against."""
+    """Record that a server is gone; returns the attributed losses."""
     at_server = state.broken.pop(instance, {})
     found = [
         Loss(fingerprint, instance)
         for fingerprint, at in at_server.items()
-        if now - at <= FOUND_WITHIN_S
+        if now - at <= DETECTED_WITHIN_S
     ]
     take(state, found, now)
     state.untold.extend(found)
@@ -71,7 +73,7 @@
 
 
 def take(state: Crashers, told: Iterable[Loss], now: float) -> None:
-    """Take losses, of this process or told by a peer."""
+    """Record losses, found by this process or reported by a peer."""
     for fingerprint, instance in told:
         known = state.losses.pop(fingerprint, {})
         known.setdefault(instance, now)
@@ -80,14 +82,14 @@
 
 
 def tell(state: Crashers) -> tuple[Loss, ...]:
-    """Return what peers are to be told of, once."""
+    """Return the losses that were not reported to peers yet, and clear them."""
     untold = tuple(state.untold)
     state.untold.clear()
     return untold
 
 
 def answered(state: Crashers, fingerprint: str) -> None:
-    """Take a good answer: the request does not crash servers."""
+    """Record a successful answer: the request does not crash servers."""
     state.losses.pop(fingerprint, None)
 
 
@@ -100,5 +102,5 @@
 
 
 def _trim(known: dict[str, dict[str, float]]) -> None:
-    while len(known) > MOST_KNOWN:
+    while len(known) > MAX_TRACKED:
         known.pop(next(iter(known)))
--- a/beryllug/core/placement/crashers_test.py
+++ b/beryllug/core/placement/crashers_test.py
@@ -10,23 +10,23 @@
 
 
 class CrashersTest(unittest.TestCase):
-    """What is held against a request."""
+    """Attribution of server losses to requests."""
 
     def setUp(self) -> None:
-        """Begin with nothing known."""
+        """Start without any known losses."""
         self.state = crashers.Crashers()
 
     def crash(self, fingerprint: str, instance: str, now: float) -> None:
-        """A request's connection breaks, and its server is gone soon."""
+        """Break a request's connection, and remove its server soon after."""
         crashers.broke(self.state, crashers.Loss(fingerprint, instance), now)
         crashers.lost(self.state, instance, now + 4)
 
     def test_third_server(self) -> None:
-        """A caller sends a request again that has crashed three servers.
+        """A caller retries a request that has crashed three servers.
 
-        Each server was dropped from the list four seconds after its
-        connections broke. The request is refused after the third; until
-        then it may be innocent.
+        Each server is dropped from the list four seconds after its connections
+        broke. The request is refused after the third loss; before that it may
+        be harmless.
         """
         for number, instance in enumerate(SERVERS[:3]):
             self.assertEqual(crashers.refused_s(self.state, BAD, number), 0)
@@ -37,7 +37,7 @@
         self.assertEqual(crashers.refused_s(self.state, BAD, after_s), 0)
 
     def test_resets(self) -> None:
-        """Servers that reset a part of their connections are not lost."""
+        """Servers that reset some of their connections are not lost."""
         for number in range(20):
             loss = crashers.Loss(GOOD, SERVERS[number % 4])
             crashers.broke(self.state, loss, number)
@@ -51,7 +51,7 @@
         self.assertEqual(crashers.refused_s(self.state, GOOD, 30), 0)
 
     def test_innocent(self) -> None:
-        """A request that was answered since has not crashed its servers."""
+        """A request with a successful answer has not crashed its servers."""
         for instance in SERVERS[:2]:
             self.crash(GOOD, instance, 0)
         crashers.answered(self.state, GOOD)
@@ -59,7 +59,7 @@
         self.assertEqual(crashers.refused_s(self.state, GOOD, 9), 0)
 
     def test_told(self) -> None:
-        """Losses at three processes add up, told once or repeatedly."""
+        """Losses at three processes add up, reported once or repeatedly."""
         others = [crashers.Crashers() for _ in range(3)]
         for other, instance in zip(others, SERVERS):
             crashers.broke(other, crashers.Loss(BAD, instance), 0)
@@ -71,10 +71,10 @@
         self.assertGreater(crashers.refused_s(self.state, BAD, 2), 0)
 
     def test_bounded(self) -> None:
-        """What is known stays bounded, the oldest goes first."""
-        for number in range(2 * crashers.MOST_KNOWN):
+        """The tracked losses are bounded; the oldest are removed first."""
+        for number in range(2 * crashers.MAX_TRACKED):
             self.crash(f'request-{number}', f'i-{number}', 0)
-        self.assertLessEqual(len(self.state.losses), crashers.MOST_KNOWN)
+        self.assertLessEqual(len(self.state.losses), crashers.MAX_TRACKED)
 
 
 if __name__ == '__main__':
--- a/beryllug/core/placement/fleet_size.py
+++ b/beryllug/core/placement/fleet_size.py
@@ -1,8 +1,8 @@
-"""How many processes the fleet has, as far as one process knows.
+"""Number of processes in the fleet, as far as one process knows.
 
-What is divided by the size of the fleet waits until the size is known: a
-process that has just started would take itself for the whole fleet, and where
-all start together, each would.
+Quantities that are divided by the fleet size are not used until the size is
+known: a process that has just started would count only itself, and where all
+start together, each would.
 """
 
 from dataclasses import dataclass
@@ -10,43 +10,43 @@
 # Seconds for which the count of processes must not have grown by more than a
 # tenth.
 SETTLED_S = 2.0
-GROWN = 1.1
+GROWTH_FACTOR = 1.1
 
 
 @dataclass(slots=True)
 class FleetSize:
-    """What a process knows of the fleet's size.
+    """The fleet size as this process knows it.
 
     Attributes:
-        present: Processes that are there, this one too.
-        ever: Processes that are or were there, this one too.
-        counted: The same, as the fleet last grew.
-        grown_at: When that was; never where nothing was counted yet.
+        present: Reachable processes, including this one.
+        ever: Processes seen so far, reachable or not, including this one.
+        counted: `ever` at the last growth.
+        last_growth_at: When that was; infinite before the first count.
     """
 
     present: int = 1
     ever: int = 1
     counted: int = 0
-    grown_at: float = float('inf')
+    last_growth_at: float = float('inf')
 
 
 def count(size: FleetSize, present: int, ever: int, now: float) -> None:
-    """Take how many processes are there, and are or were there."""
+    """Update the numbers of reachable processes and of all seen so far."""
     size.present = present
     size.ever = ever
-    if ever > size.counted * GROWN:
+    if ever > size.counted * GROWTH_FACTOR:
         size.counted = ever
-        size.grown_at = now
+        size.last_growth_at = now
 
 
-def unsettled_s(size: FleetSize, now: float) -> float:
-    """Return the seconds until the size counts as known; 0 where it does."""
-    return min(max(size.grown_at + SETTLED_S - now, 0), SETTLED_S)
+def until_settled_s(size: FleetSize, now: float) -> float:
+    """Return the seconds until the size counts as known; 0 if it does."""
+    return min(max(size.last_growth_at + SETTLED_S - now, 0), SETTLED_S)
 
 
 def part(size: FleetSize) -> float:
-    """Return the part of the fleet that is in reach, over 0 to 1.
+    """Return the reachable fraction of the fleet, above 0 and up to 1.
 
-    On both sides of a cut link together that is the whole fleet.
+    The fractions of both sides of a network partition add up to 1.
     """
     return size.present / max(size.ever, size.present)
--- a/beryllug/core/placement/lateness_test.py
+++ b/beryllug/core/placement/lateness_test.py
@@ -1,9 +1,9 @@
-"""Tests of how much later than expected answers begin, and what follows.
+"""Tests of the lateness of answers, and of decisions that depend on it.
 
-What callers see without it: in a burst streams of the largest model begin
-seconds after they were expected, and are cut off at their callers' time. A
-runner reads a less urgent prompt behind all that come meanwhile, and what
-processes know of runners is half a second old: they go on asking.
+Without it, streams of the largest model begin seconds later than expected in a
+burst, and are cut off at their callers' deadlines: a runner prefills a less
+urgent prompt after all more urgent ones that arrive meanwhile, and processes,
+whose view of runners is half a second old, keep escalating.
 """
 
 import heapq
@@ -19,13 +19,13 @@
 STEP_S = 0.02
 SECONDS = 60
 BURST = (15.0, 35.0)
-BURST_TIMES = 2.0
+BURST_FACTOR = 2.0
 RUNNERS = 5
 KNOWN_AGO_S = 0.5
 
 
 # When answers began, and how late they were.
-_Seen = tuple[tuple[float, float], ...]
+_Starts = tuple[tuple[float, float], ...]
 
 
 class _Kind(NamedTuple):
@@ -47,7 +47,7 @@
 
 
 class _Prompt(NamedTuple):
-    """A prompt of the largest model: what waits at a runner, by rank."""
+    """A prompt of the largest model; prompts are queued by rank."""
 
     rank: int
     number: int
@@ -58,19 +58,19 @@
 
 @dataclass(slots=True)
 class _Runner:
-    """Reads one prompt after the other, the more urgent first."""
+    """Prefills one prompt after the other, the more urgent first."""
 
     waiting: list[_Prompt] = field(default_factory=list)
     present: _Prompt | None = None
     free_at: float = 0.0
 
     def backlog_s(self, now: float) -> float:
-        """Return the seconds of reading that it has."""
+        """Return the seconds of its queued prefill."""
         present_s = max(self.free_at - now, 0)
         return present_s + sum(each.kind.read_s for each in self.waiting)
 
     def read(self, now: float) -> _Prompt | None:
-        """Go on; returns the prompt that has just been read."""
+        """Advance to the given time; returns a prompt that is now complete."""
         done = None
         if self.present is not None and self.free_at <= now:
             done = self.present
@@ -94,7 +94,7 @@
         self._number = 0
 
     def play(self) -> int:
-        """Play all seconds; returns how many were cut off."""
+        """Replay all seconds; returns the number of streams cut off."""
         for step in range(int(SECONDS / STEP_S)):
             now = step * STEP_S
             self.seen.append([each.backlog_s(now) for each in self.runners])
@@ -108,7 +108,7 @@
         return self.cut_off
 
     def _ask(self, kind: _Kind, now: float) -> None:
-        """Decide on a small answer that is not sure."""
+        """Decide whether an answer of low confidence is escalated."""
         confidence = self.rng.randrange(50)
         ago = int(KNOWN_AGO_S / STEP_S)
         known = self.seen[max(len(self.seen) - ago, 0)]
@@ -143,7 +143,7 @@
 
 def _rate(kind: _Kind, now: float) -> float:
     begins, ends = BURST
-    times = BURST_TIMES if begins <= now < ends else 1
+    times = BURST_FACTOR if begins <= now < ends else 1
     return kind.per_s * times
 
 
@@ -151,7 +151,7 @@
     """Twice the usual requests for twenty seconds."""
 
     def test_burst(self) -> None:
-        """Less than half as many are cut off as without.
+        """Less than half as many streams are cut off as without lateness.
 
         The others get the small answer, which may not be good enough.
         """
@@ -161,13 +161,13 @@
 
 
 class LatenessTest(unittest.TestCase):
-    """One process, and what others tell it."""
+    """One process, and the reports of others."""
 
     def test_mean(self) -> None:
-        """Few answers say little, early ones nothing, old ones no more."""
-        table: tuple[tuple[str, _Seen, float], ...] = (
+        """Few answers have little weight; early and expired ones have none."""
+        table: tuple[tuple[str, _Starts, float], ...] = (
             ('none', (), 0),
-            ('one', ((9, 2),), 2 / lateness.LEAST),
+            ('one', ((9, 2),), 2 / lateness.MIN_ANSWERS),
             ('many', ((9, 2),) * 10, 2),
             ('early', ((9, -3),) * 10, 0),
             ('one that is silent', ((9, 60),), 1),
@@ -183,7 +183,7 @@
                 self.assertEqual(lateness.expected_s(state, LARGE, 1, 10), 0)
 
     def test_told(self) -> None:
-        """What a process tells is what the next one reckons with."""
+        """A process uses the lateness that another one reports."""
         sender = lateness.Lateness()
         for _ in range(10):
             lateness.began(sender, LARGE, 0, 1.5, 9)
--- a/beryllug/core/placement/listing.py
+++ b/beryllug/core/placement/listing.py
@@ -1,12 +1,12 @@
-"""Which backend servers are believed to be there.
+"""Which backend servers are believed to be available.
 
-The list is kept by the platform's store, which drops the entry of a server
-that falls silent, and also of sound ones while the store itself is away. A
-dropped entry is therefore doubted for a while before it is taken for gone: a
-doubted server gets work only where no other is left.
+The list comes from the platform's store, which drops the entry of a server that
+stops renewing it, but during a store outage also entries of healthy servers. A
+dropped entry is therefore kept as doubted for a while before the server counts
+as gone: a doubted server gets requests only if no listed one is left.
 
-Entries are known by the server's name. One that starts again under its name
-is another incarnation: the one before is gone, without a doubt.
+Entries are keyed by the server's name. A server that restarts under its name is
+another incarnation, and the previous one is gone for certain.
 """
 
 import math
@@ -15,91 +15,91 @@
 
 from beryllug.core.placement import servers_data
 
-# Seconds after the store's return in which entries that lapsed meanwhile come
-# back; the platform states about two.
-RETURN_S = 2.5
-# Names whose latest start is remembered: several times those of a fleet, for
-# entries that come late after a server is gone.
-MOST_BIRTHS = 50000
-# Seconds for which a server that states that it leaves is remembered once its
-# entry is gone, or while it has none yet; it stops within seconds.
+# Seconds after the store's return in which entries that expired during the
+# outage are written again; the platform documents about two.
+RESTORE_WINDOW_S = 2.5
+# Names whose latest start time is remembered: several times a fleet's, for
+# entries that arrive late, after a server is gone.
+MAX_START_TIMES = 50000
+# Seconds for which the leaving notice of a server is remembered after its entry
+# is gone, or while it has none yet; it stops within seconds.
 LEAVING_S = 60.0
-# Instances that have gone and are remembered: those of some minutes.
-MOST_DEPARTED = 1000
+# Departed instances that are remembered: those of some minutes.
+MAX_DEPARTED = 1000
 
 
-class Doubt(NamedTuple):
+class DoubtedServer(NamedTuple):
     """A server whose entry was dropped.
 
     Attributes:
         server: The server.
-        until: Second at which it is forgotten.
-        is_lapse: Whether the entry went with an outage of the store.
+        until: Second at which it is removed.
+        is_outage_lapse: Whether the entry was dropped during a store outage.
     """
 
     server: servers_data.Server
     until: float
-    is_lapse: bool
+    is_outage_lapse: bool
 
 
 @dataclass(slots=True)
 class Book:
-    """The listed servers, and those that were dropped a moment ago.
+    """The listed servers, and those that were dropped recently.
 
     Attributes:
-        doubt_s: Seconds for which a dropped server is doubted.
+        doubt_s: Seconds for which a dropped server is kept as doubted.
         servers: Listed servers by name.
-        doubted: Dropped ones.
-        births: The latest start that each name has stated.
+        doubted: Dropped servers by name.
+        start_times: The latest start time that each name has stated.
         departed: Instances that have left or were lost, the latest ones.
-        leaving: Until when each instance that has stated that it leaves is
-            remembered.
-        was_away: Whether the store has not answered the last call.
-        returned_at: When the store last answered after it had not.
+        leaving: Until when the leaving notice of each instance is remembered.
+        was_store_down: Whether the last read of the store failed.
+        returned_at: When a read of the store last succeeded after a failure.
     """
 
     doubt_s: float
     servers: dict[str, servers_data.Server] = field(default_factory=dict)
-    doubted: dict[str, Doubt] = field(default_factory=dict)
-    births: dict[str, int] = field(default_factory=dict)
+    doubted: dict[str, DoubtedServer] = field(default_factory=dict)
+    start_times: dict[str, int] = field(default_factory=dict)
     departed: dict[str, None] = field(default_factory=dict)
     leaving: dict[str, float] = field(default_factory=dict)
-    was_away: bool = False
+    was_store_down: bool = False
     returned_at: float = float('-inf')
 
 
 def store_failed(book: Book) -> None:
-    """Note that the store could not be read."""
-    book.was_away = True
+    """Record that the store could not be read."""
+    book.was_store_down = True
 
 
 def store_answered(book: Book, now: float) -> None:
-    """Note that the store could be read."""
-    if book.was_away:
+    """Record that the store could be read."""
+    if book.was_store_down:
         book.returned_at = now
         book.doubted = {
-            name: doubt._replace(until=now + RETURN_S)
-            if doubt.is_lapse
+            name: doubt._replace(until=now + RESTORE_WINDOW_S)
+            if doubt.is_outage_lapse
             else doubt
             for name, doubt in book.doubted.items()
         }
-    book.was_away = False
+    book.was_store_down = False
 
 
 def store_returned(book: Book, now: float) -> None:
-    """Note that the store has returned from an older copy.
+    """Record that the store was restored from an older copy.
 
-    Entries that it lacks count as lapsed: their servers write them again.
+    Entries that it lacks are handled as expired: their servers write them
+    again.
     """
-    book.was_away = True
+    book.was_store_down = True
     store_answered(book, now)
 
 
 def states_leaving(book: Book, instance: str, now: float) -> bool:
-    """Take that a server states that it leaves; returns whether it is new.
+    """Record a leaving notice of a server; returns whether it is new.
 
-    That holds whatever its entry says, before or after: a server that leaves
-    may not reach the store, or the store may have lost its word.
+    It holds whatever the server's entry says, before or after: a leaving server
+    may not reach the store, or the store may have lost its update.
     """
     until = book.leaving.get(instance)
     if until != math.inf:
@@ -111,7 +111,7 @@
 
 
 def forget_leaving(book: Book, now: float) -> None:
-    """Forget servers whose entry has been gone for long."""
+    """Remove the leaving notices of servers whose entry expired long ago."""
     book.leaving = {
         instance: until
         for instance, until in book.leaving.items()
@@ -133,69 +133,69 @@
 
 
 def is_stale(book: Book, server: servers_data.Server) -> bool:
-    """Tell whether an entry is of an earlier start than is known.
+    """Tell whether an entry belongs to an earlier start than the known one.
 
-    Taken, it would bring a server back that has crashed. One without a start,
-    under a name that has stated one, is not that server's.
+    Accepting it would list a server that has crashed. An entry without a start
+    time does not belong to a server whose name has stated one.
     """
-    return server.born < book.births.get(server.name, 0)
+    return server.born < book.start_times.get(server.name, 0)
 
 
 def put(book: Book, server: servers_data.Server) -> servers_data.Server | None:
-    """Take an entry that was added or has changed, and is not stale.
+    """Store an entry that was added or changed and is not stale.
 
     Returns:
-        The incarnation that it takes the place of; None if it is the same.
+        The incarnation that it replaces; None if it is the same.
     """
     doubt = book.doubted.pop(server.name, None)
     book.departed.pop(server.instance, None)
     before = book.servers.get(server.name, doubt and doubt.server)
     book.servers[server.name] = server
     if server.born:
-        book.births.pop(server.name, None)
-        book.births[server.name] = server.born
-        while len(book.births) > MOST_BIRTHS:
-            book.births.pop(next(iter(book.births)))
+        book.start_times.pop(server.name, None)
+        book.start_times[server.name] = server.born
+        while len(book.start_times) > MAX_START_TIMES:
+            book.start_times.pop(next(iter(book.start_times)))
     if before is None or before.instance == server.instance:
         return None
     return before
 
 
 def drop(book: Book, name: str, now: float) -> servers_data.Server | None:
-    """Take that an entry is gone.
+    """Remove an entry.
 
-    A server that had said it leaves is gone. Another one may have been
-    dropped because the store was away.
+    A server that had announced that it leaves is gone. Any other one may have
+    been dropped because of a store outage.
 
     Returns:
-        The server if it was lost: it had not said that it leaves, and the
-        store was there all the while.
+        The server if it was lost: it had not announced that it leaves, and the
+        store was available all the time.
     """
     server = book.servers.pop(name, None)
     if server is None:
         return None
     if book.leaving.get(server.instance) == math.inf:
         book.leaving[server.instance] = now + LEAVING_S
-    if takes_none(book, server):
-        _departs(book, server)
+    if is_draining(book, server):
+        _record_departure(book, server)
         return None
-    returns_until = book.returned_at + RETURN_S
-    is_lapse = book.was_away or now < returns_until
+    returns_until = book.returned_at + RESTORE_WINDOW_S
+    is_outage_lapse = book.was_store_down or now < returns_until
     until = max(now + book.doubt_s, returns_until)
-    book.doubted[name] = Doubt(server, until, is_lapse)
-    if is_lapse:
+    book.doubted[name] = DoubtedServer(server, until, is_outage_lapse)
+    if is_outage_lapse:
         return None
-    _departs(book, server)
+    _record_departure(book, server)
     return server
 
 
 def withhold(book: Book, name: str) -> servers_data.Server | None:
-    """Take an entry out of the list, without a doubt of its server."""
+    """Remove an entry from the list without keeping its server as doubted."""
     return book.servers.pop(name, None)
 
 
-def takes_none(book: Book, server: servers_data.Server) -> bool:
-    """Tell whether a server takes no new work: by its entry, or its answers."""
+def is_draining(book: Book, server: servers_data.Server) -> bool:
+    """Tell whether a server takes no new requests, by entry or answers."""
     is_leaving = server.state is servers_data.State.LEAVING
     return is_leaving or server.instance in book.leaving
 
@@ -203,16 +203,18 @@
 def usable(
     book: Book, now: float
 ) -> tuple[list[servers_data.Server], list[servers_data.Server]]:
-    """Return the listed servers and the doubted ones, without leaving ones.
+    """Return the listed and the doubted servers that are not leaving.
 
-    Entries that went with one outage may not be back when the next begins;
-    their servers are kept until the store has been back for its time. Else a
-    sound server was forgotten 2.5 s after the first outage, in the second.
+    Entries that expired in one outage may not be back when the next one begins;
+    their servers are kept until the store has been available for long enough. A
+    healthy server was once removed 2.5 s after the first outage, during the
+    second.
     """
     gone = [
         name
         for name, doubt in book.doubted.items()
-        if doubt.until <= now and not (doubt.is_lapse and book.was_away)
+        if doubt.until <= now
+        and not (doubt.is_outage_lapse and book.was_store_down)
     ]
     for name in gone:
         book.doubted.pop(name)
@@ -220,18 +222,18 @@
     listed = [
         server
         for server in book.servers.values()
-        if not takes_none(book, server)
+        if not is_draining(book, server)
     ]
     doubted = [
         doubt.server
         for doubt in book.doubted.values()
         if doubt.server.address not in reused
-        and not takes_none(book, doubt.server)
+        and not is_draining(book, doubt.server)
     ]
     return listed, doubted
 
 
-def _departs(book: Book, server: servers_data.Server) -> None:
+def _record_departure(book: Book, server: servers_data.Server) -> None:
     book.departed[server.instance] = None
-    while len(book.departed) > MOST_DEPARTED:
+    while len(book.departed) > MAX_DEPARTED:
         book.departed.pop(next(iter(book.departed)))
--- a/beryllug/core/placement/listing_test.py
+++ b/beryllug/core/placement/listing_test.py
@@ -1,4 +1,4 @@
-"""Tests of which servers are believed to be there."""
+"""Tests of which servers are believed to be available."""
 
 import unittest
 
@@ -16,18 +16,18 @@
 
 
 class ListingTest(unittest.TestCase):
-    """A server whose entry goes, with and without the store's trouble."""
+    """A server whose entry is dropped, with and without a store outage."""
 
     def setUp(self) -> None:
         self.book = listing.Book(doubt_s=1.5)
         listing.put(self.book, _server('s1'))
 
     def test_dropped(self) -> None:
-        """A dropped entry is doubted for its time, then gone.
+        """A dropped server is doubted for its time, then removed.
 
-        The platform drops the entries of sound servers while its store is
-        away. Without the doubt every server would be gone at once and every
-        caller refused, although all of them serve.
+        The platform drops the entries of healthy servers during a store outage.
+        Without this delay all servers would be removed at once and every caller
+        refused, although all servers are running.
         """
         listing.drop(self.book, 's1', 10)
         table: tuple[tuple[float, int], ...] = ((10, 1), (11.4, 1), (11.6, 0))
@@ -37,11 +37,11 @@
                 self.assertEqual((len(listed), len(found)), (0, doubted))
 
     def test_two_outages(self) -> None:
-        """The store goes away again before the lapsed entries are back.
+        """The store fails again before the expired entries are back.
 
-        The server lives on and is kept through the second outage, until the
-        store has been back for its time. One that went while all was well is
-        not: it may have left.
+        The server keeps running and is kept through the second outage, until
+        the store has been available for long enough. One that was dropped
+        without an outage is not kept: it may have left.
         """
         listing.put(self.book, _server('s2', port=2))
         listing.drop(self.book, 's2', 5)
@@ -57,7 +57,7 @@
         self.assertEqual(len(listing.usable(self.book, 32.6)[1]), 0)
 
     def test_after_outage(self) -> None:
-        """What lapsed in an outage may come back for a while after it."""
+        """Entries that expired in an outage may return for a while after it."""
         listing.store_failed(self.book)
         listing.store_answered(self.book, 10)
         listing.drop(self.book, 's1', 10)
@@ -65,20 +65,20 @@
         self.assertEqual(len(listing.usable(self.book, 12.6)[1]), 0)
 
     def test_back(self) -> None:
-        """An entry that comes back is listed again."""
+        """An entry that returns is listed again."""
         listing.drop(self.book, 's1', 10)
         listing.put(self.book, _server('s1'))
         self.assertEqual(len(listing.usable(self.book, 20)[0]), 1)
 
     def test_leaving(self) -> None:
-        """One that said it leaves gets nothing, and is not doubted after."""
+        """A server that announced that it leaves is not used or doubted."""
         listing.put(self.book, _server('s1', State.LEAVING))
         self.assertEqual(listing.usable(self.book, 10), ([], []))
         listing.drop(self.book, 's1', 10)
         self.assertEqual(listing.usable(self.book, 10), ([], []))
 
     def test_reused_address(self) -> None:
-        """A doubted server whose address another one has is gone."""
+        """A doubted server is dropped if another one has its address."""
         listing.drop(self.book, 's1', 10)
         listing.put(self.book, _server('s2'))
         listed, doubted = listing.usable(self.book, 10)
@@ -86,10 +86,10 @@
         self.assertEqual(doubted, [])
 
     def test_born_again(self) -> None:
-        """A server crashes and starts again under its name.
+        """A server crashes and restarts under its name.
 
-        What was known of it does not hold for the new one; an entry of the
-        first start that comes late, or one without a start, is not taken.
+        State of the previous incarnation does not apply to the new one; a late
+        entry of the first start, or one without a start time, is not accepted.
         """
         table: tuple[tuple[str, int, bool, str | None], ...] = (
             ('the first that states its start', 5, False, 's1'),
@@ -112,7 +112,7 @@
         self.assertTrue(listing.is_stale(self.book, late))
 
     def test_born_again_while_doubted(self) -> None:
-        """The entry lapses, and another start comes back for it."""
+        """The entry expires, and a later incarnation replaces it."""
         listing.put(self.book, _server('s1')._replace(born=5))
         listing.drop(self.book, 's1', 10)
         before = listing.put(self.book, _server('s1')._replace(born=6))
@@ -132,7 +132,7 @@
         self.assertTrue(listing.states_leaving(self.book, 's1', 0))
 
     def test_outranks_entry(self) -> None:
-        """An entry that still says ready brings a leaving server back."""
+        """An entry that still says ready does not restore a leaving server."""
         self.assertEqual(self._taking(1), ['s2'])
         listing.put(self.book, _server('s1', State.LEAVING))
         listing.put(self.book, _server('s1'))
@@ -142,27 +142,27 @@
         self.assertEqual(self._taking(1000), ['s2'])
 
     def test_gone(self) -> None:
-        """A leaving server whose entry goes counts as lost, or is doubted."""
+        """A leaving server whose entry is gone is neither lost nor doubted."""
         self.assertIsNone(listing.drop(self.book, 's1', 3))
         self.assertEqual(self._taking(3), ['s2'])
         listing.put(self.book, _server('s1'))
         self.assertEqual(self._taking(4), ['s2'])
 
     def test_doubted(self) -> None:
-        """A server is doubted, and its word that it leaves comes then."""
+        """A leaving notice arrives while the server is doubted."""
         listing.drop(self.book, 's2', 3)
         self.assertEqual(self._taking(3), ['s2'])
         listing.states_leaving(self.book, 's2', 3.5)
         self.assertEqual(self._taking(3.5), [])
 
     def test_started_again(self) -> None:
-        """A server that starts again under its id is taken for leaving."""
+        """A server that restarts under its id is not taken for leaving."""
         again = _server('s1')._replace(born=5)
         listing.put(self.book, again)
         self.assertEqual(self._taking(1), ['s1', 's2'])
 
     def test_forgotten(self) -> None:
-        """What is known of servers that are gone grows without end."""
+        """Leaving notices of servers that are gone are removed."""
         listing.drop(self.book, 's1', 3)
         listing.states_leaving(self.book, 'unlisted', 3)
         listing.forget_leaving(self.book, 3 + listing.LEAVING_S / 2)
--- a/beryllug/core/placement/load_sums.py
+++ b/beryllug/core/placement/load_sums.py
@@ -1,9 +1,9 @@
-"""What processes have at backend servers, added up over many of them.
+"""Sums of the loads that processes have at backend servers.
 
-Each process tells a few numbers a server, an aggregator of its availability
-zone adds them up, and every process gets one sum for the whole fleet. So no
-process keeps a word of each other one, a choice does not grow with the fleet,
-and none guesses the rest of a fleet from a part of it.
+Each process reports a few numbers a server, an aggregator of its availability
+zone sums them, and every process receives one sum for the whole fleet. So no
+process stores a report of each other process, the cost of a choice does not
+grow with the fleet, and none extrapolates the fleet from a part of it.
 """
 
 import zlib
@@ -11,39 +11,39 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-# Seconds for which the sum of what others have counts; it is told four times a
-# second while there is something to tell.
+# Seconds for which the sum of the other processes is valid; it is sent four
+# times a second while there is something to report.
 TOLD_S = 1.5
-# Parts of a second, and of a point, that the numbers count.
+# Fractions of a second, and of a suspicion point, that the numbers count.
 PARTS = 100
 
 
 class Load(NamedTuple):
-    """What some processes have at one backend server, or on one subject.
+    """The load of some processes at one backend server, or on one subject.
 
-    A subject is what processes count beside servers, as the requests of a
-    service. Only its last two fields are used.
+    A subject is a count that belongs to no single server, such as the requests
+    of a service. It uses only the last two fields.
 
-    Whole numbers, since each takes one to three bytes of a message; a float
-    takes nine.
+    The fields are integers, each of which takes one to three bytes of a
+    message; a float takes nine.
 
     Attributes:
-        work_cs: Hundredths of a second of reading that they have sent and that
-            is not over.
-        overdue_cs: The same by which the latest answer is overdue. All who
-            wait for a server see the same delay, so it does not add up.
-        first_work_cs: `work_cs` of prompts that are read first.
-        first_overdue_cs: `overdue_cs` of prompts that are read first.
+        work_cs: Hundredths of a second of unfinished prefill that they sent.
+        overdue_cs: Hundredths of a second by which the most delayed answer is
+            overdue. All who wait for a server observe the same delay, so it is
+            not summed.
+        priority_work_cs: `work_cs` of priority prompts only.
+        priority_overdue_cs: `overdue_cs` of priority prompts only.
         running: Requests that run there.
-        points: Hundredths of points of suspicion.
-        counted: What was counted on a subject.
-        summed: A sum that belongs to it.
+        points: Hundredths of suspicion points.
+        counted: Number of events on a subject.
+        summed: Sum of a value over these events.
     """
 
     work_cs: int = 0
     overdue_cs: int = 0
-    first_work_cs: int = 0
-    first_overdue_cs: int = 0
+    priority_work_cs: int = 0
+    priority_overdue_cs: int = 0
     running: int = 0
     points: int = 0
     counted: int = 0
@@ -51,17 +51,17 @@
 
 
 NOTHING = Load()
-# Loads by the key of a server.
+# Loads by server key.
 Loads = Mapping[int, Load]
 
 
 @dataclass(slots=True)
 class Others:
-    """What all other processes have, as far as it was told.
+    """Load of all other processes, as last reported.
 
     Attributes:
         loads: Their loads.
-        at: Second at which they were told.
+        at: Second of the report.
     """
 
     loads: dict[int, Load] = field(default_factory=dict)
@@ -69,103 +69,105 @@
 
 
 class Slice(NamedTuple):
-    """A part of some loads that fits a message.
+    """A part of some loads that fits in a message.
 
     Attributes:
-        loads: The loads whose key leaves `place` when divided by `slices`.
+        loads: The loads whose key modulo `slice_count` is `place`.
         place: Number of the slice, from 0.
-        slices: Slices that the loads were parted into.
+        slice_count: Number of slices.
     """
 
     loads: dict[int, Load]
     place: int = 0
-    slices: int = 1
+    slice_count: int = 1
 
 
 def key_of(instance: str) -> int:
-    """Return what stands for a server in messages, in five bytes.
+    """Return the key of a server in messages, a hash that takes five bytes.
 
     Two servers of 10,000 share a key once in a hundred fleets; each then seems
-    to have what both have, and gets less.
+    to have the load of both and gets fewer requests.
     """
     return zlib.crc32(instance.encode())
 
 
 def subject_key(subject: str) -> int:
-    """Return what stands for a subject in messages."""
+    """Return the key of a subject in messages."""
     return key_of(f'subject {subject}')
 
 
 def on_subject(others: Others, subject: str, now: float) -> Load | None:
-    """Return what the others count; None where nothing is told."""
+    """Return the others' load on a subject; None without a valid report."""
     if now - others.at > TOLD_S:
         return None
     return others.loads.get(subject_key(subject), NOTHING)
 
 
 def of(others: Others, instance: str, now: float) -> Load:
-    """Return what the other processes have at a server."""
+    """Return the load of the other processes at a server."""
     if now - others.at > TOLD_S:
         return NOTHING
     return others.loads.get(key_of(instance), NOTHING)
 
 
 def add(each: Iterable[Loads]) -> dict[int, Load]:
-    """Return what some processes have together."""
+    """Return the sum of the loads of some processes."""
     total: dict[int, Load] = {}
     for loads in each:
         for key, load in loads.items():
             known = total.get(key)
-            total[key] = load if known is None else _plus(known, load)
+            total[key] = load if known is None else _add_loads(known, load)
     return total
 
 
 def without(total: Loads, own: Loads) -> dict[int, Load]:
-    """Return what is left of a sum without one of its parts.
+    """Return a sum without the contribution of one process.
 
-    Of delays only the longest is told. Where it is the part's own, the others
-    are taken to have none: when the own answer comes, the server is no longer
-    behind, and the word of it would count against it for a moment more.
+    A sum has only the longest delay. If it is the process's own, the others are
+    assumed to have none: once the own answer arrives, the server is no longer
+    behind, and the reported delay would count against it for a moment longer.
     """
     left = dict(total)
     for key, load in own.items():
         known = left.get(key)
         if known is not None:
-            left[key] = _minus(known, load)
+            left[key] = _subtract(known, load)
     return left
 
 
 def sliced(loads: Loads, most: int) -> list[Slice]:
-    """Return loads in slices of about so many servers, at least one slice."""
-    slices = len(loads) // most + 1
-    parted: list[dict[int, Load]] = [{} for _ in range(slices)]
+    """Split loads into slices of about `most` servers, at least one slice."""
+    slice_count = len(loads) // most + 1
+    parted: list[dict[int, Load]] = [{} for _ in range(slice_count)]
     for key, load in loads.items():
-        parted[key % slices][key] = load
-    return [Slice(part, place, slices) for place, part in enumerate(parted)]
+        parted[key % slice_count][key] = load
+    return [
+        Slice(part, place, slice_count) for place, part in enumerate(parted)
+    ]
 
 
 def merged(known: Loads, part: Slice) -> dict[int, Load]:
-    """Return known loads with one slice of them replaced.
+    """Return known loads with one slice replaced.
 
-    Until the other slices come, and where one is lost, what was told of its
-    servers a moment before holds.
+    Until the other slices arrive, and if one is lost, the last reported loads
+    of their servers stay valid.
     """
-    if part.slices == 1:
+    if part.slice_count == 1:
         return part.loads
     kept = {
         key: load
         for key, load in known.items()
-        if key % part.slices != part.place
+        if key % part.slice_count != part.place
     }
     return kept | part.loads
 
 
-def _plus(one: Load, other: Load) -> Load:
+def _add_loads(one: Load, other: Load) -> Load:
     return Load(
         one.work_cs + other.work_cs,
         max(one.overdue_cs, other.overdue_cs),
-        one.first_work_cs + other.first_work_cs,
-        max(one.first_overdue_cs, other.first_overdue_cs),
+        one.priority_work_cs + other.priority_work_cs,
+        max(one.priority_overdue_cs, other.priority_overdue_cs),
         one.running + other.running,
         one.points + other.points,
         one.counted + other.counted,
@@ -173,14 +175,14 @@
     )
 
 
-def _minus(total: Load, part: Load) -> Load:
+def _subtract(total: Load, part: Load) -> Load:
     is_own = part.overdue_cs >= total.overdue_cs
-    is_first_own = part.first_overdue_cs >= total.first_overdue_cs
+    is_first_own = part.priority_overdue_cs >= total.priority_overdue_cs
     return Load(
         max(total.work_cs - part.work_cs, 0),
         0 if is_own else total.overdue_cs,
-        max(total.first_work_cs - part.first_work_cs, 0),
-        0 if is_first_own else total.first_overdue_cs,
+        max(total.priority_work_cs - part.priority_work_cs, 0),
+        0 if is_first_own else total.priority_overdue_cs,
         max(total.running - part.running, 0),
         max(total.points - part.points, 0),
         max(total.counted - part.counted, 0),
--- a/beryllug/core/placement/own_loads.py
+++ b/beryllug/core/placement/own_loads.py
@@ -1,19 +1,19 @@
-"""What one process has at backend servers and services, as it reports it."""
+"""Loads that one process has at servers and on subjects, as reported."""
 
 from collections.abc import Mapping
 
 from beryllug.core.placement import backlog, choose, load_sums, suspicion
 
-# Points are told in steps of a tenth: they fade all the time, and what has not
-# changed need not be told.
-POINT_DIGITS = 1
+# Suspicion points are reported in steps of a tenth: they decay all the time,
+# and unchanged values need not be sent.
+POINT_DECIMALS = 1
 
 
 def of_process(known: choose.Known, now: float) -> dict[int, load_sums.Load]:
-    """Return what a process has at servers and thinks of them.
+    """Return a process's load and suspicion points by server key.
 
     Args:
-        known: What it knows; what others have told it is left out.
+        known: What it knows; reports of other processes are left out.
         now: The present second.
     """
     parts = backlog.told(known.reading, now)
@@ -26,12 +26,12 @@
     for instance in frozenset((*parts, *running, *points)):
         part = parts.get(instance, backlog.NOTHING)
         load = load_sums.Load(
-            _parts(part.work_s),
-            _parts(part.overdue_s),
-            _parts(part.first_work_s),
-            _parts(part.first_overdue_s),
+            _hundredths(part.work_s),
+            _hundredths(part.overdue_s),
+            _hundredths(part.priority_work_s),
+            _hundredths(part.priority_overdue_s),
             running.get(instance, 0),
-            _parts(round(points.get(instance, 0), POINT_DIGITS)),
+            _hundredths(round(points.get(instance, 0), POINT_DECIMALS)),
         )
         if load != load_sums.NOTHING:
             found[load_sums.key_of(instance)] = load
@@ -41,7 +41,7 @@
 def on_subjects(
     subjects: Mapping[str, load_sums.Load],
 ) -> dict[int, load_sums.Load]:
-    """Return what a process counts on subjects, by key, to tell others."""
+    """Return a process's loads on subjects by key, to report to others."""
     return {
         load_sums.subject_key(subject): load
         for subject, load in subjects.items()
@@ -49,5 +49,5 @@
     }
 
 
-def _parts(number: float) -> int:
+def _hundredths(number: float) -> int:
     return round(number * load_sums.PARTS)
--- a/beryllug/core/placement/permits_test.py
+++ b/beryllug/core/placement/permits_test.py
@@ -1,4 +1,4 @@
-"""Tests of how one process permits the requests of all."""
+"""Tests of how one process issues the permits of all."""
 
 import unittest
 from typing import NamedTuple
@@ -7,12 +7,12 @@
 
 WINDOW_S = 4.0
 STEP_S = 0.01
-# Seconds from the start; the fleet has stood for long then.
+# Seconds from the start; the fleet size has long been known then.
 BEGIN = 100.0
 
 
 class _Case(NamedTuple):
-    """A limit, the processes in reach, and permits of a window."""
+    """A limit, the reachable processes, and the permits of a window."""
 
     per_s: float
     present: int
@@ -21,10 +21,10 @@
 
 
 class PermitsTest(unittest.TestCase):
-    """Processes that ask all the time."""
+    """Processes that request permits all the time."""
 
     def test_rate(self) -> None:
-        """More than a server takes is permitted in some window."""
+        """No window has more permits than the server's limit allows."""
         table = (
             _Case(1, 8, 8, 6),
             _Case(1.6, 8, 8, 8.4),
@@ -44,7 +44,7 @@
                 self.assertGreaterEqual(max(counts), case.most / 2)
 
     def test_new(self) -> None:
-        """A process that has just become the first permits a whole burst."""
+        """A process that has just become first issues no burst."""
         settled = fleet_size.FleetSize()
         fleet_size.count(settled, 8, 8, 0)
         for size, wait_s in (
@@ -55,7 +55,7 @@
             self.assertAlmostEqual(found, wait_s)
 
     def test_wait(self) -> None:
-        """Who comes back when told is refused again, or much later."""
+        """A caller that returns after the stated wait gets its permit."""
         size = fleet_size.FleetSize()
         fleet_size.count(size, 8, 8, 0)
         state = permits.Permits()
@@ -68,7 +68,7 @@
         self.assertAlmostEqual(now - BEGIN, 5 / 4)
 
     def test_forget(self) -> None:
-        """What was permitted or refused is kept for ever."""
+        """Buckets and refusals do not accumulate."""
         size = fleet_size.FleetSize()
         fleet_size.count(size, 8, 8, 0)
         state = permits.Permits()
--- a/beryllug/core/placement/returning.py
+++ b/beryllug/core/placement/returning.py
@@ -1,10 +1,10 @@
-"""How long a request that can't be placed waits, and when it comes back.
+"""How long a request that cannot be placed waits, and its retry-after time.
 
-Callers come back a few times at most, and keep to a third of the time that
-they have. Sent away for too short, one meets the same cause and has used up a
-try; for too long, its answer is late although it could have been in time. A
-process that has just started may learn what it needs at any moment, so there
-a request waits a little before it is sent away.
+Callers retry a few times at most, and wait for at most a third of their
+remaining time. After too short a time a caller meets the same cause and has
+used up a retry; after too long a time its answer is late although it could have
+been on time. A process that has just started may receive the missing data at
+any moment, so it lets a request wait a little before it refuses it.
 """
 
 from collections.abc import Mapping
@@ -12,8 +12,8 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-# Part of what is left of a caller's time after which it comes back.
-PART = 0.3
+# Fraction of a caller's remaining time after which it retries.
+RETRY_FRACTION = 0.3
 
 
 class Cause(Enum):
@@ -33,7 +33,7 @@
     """Why there is no server for a request.
 
     Attributes:
-        cause: Why.
+        cause: The cause.
         due_s: Seconds until there is one, where that is known.
     """
 
@@ -41,13 +41,14 @@
     due_s: float | None = None
 
 
-# Most seconds for which a caller is sent away, by cause.
-# A server that was replaced or has restarted takes work again within one, and
-# one that is cold is warm, or free for one more request, within one.
-# One with a limit takes a further request within one, unless that is very low.
-# An evacuation lasts for seconds at the least.
-# A process without a route table started while the store is away; that lasts
-# for seconds, and a request has waited for it before it is sent away.
+# Maximum retry-after seconds, by cause.
+# A replaced or restarted server takes requests again within one second, and a
+# cold one is warm, or may take one more request, within one.
+# A server with a rate limit takes another request within one second, unless the
+# limit is very low.
+# An evacuation lasts for seconds at least.
+# A process without a route table started during a store outage; that lasts for
+# seconds, and a request has already waited for the table before it is refused.
 # Another process takes the requests of one that stops.
 MOST_S: Mapping[Cause, float] = MappingProxyType(
     {
@@ -61,9 +62,9 @@
         Cause.STOPPING: 0.1,
     }
 )
-# Seconds for which a caller is sent away at the least: all that are refused at
-# one moment would else come back together at once.
-LEAST_DUE_S = 0.1
+# Minimum retry-after seconds: otherwise all callers refused at one moment would
+# return at once.
+MIN_RETRY_AFTER_S = 0.1
 # Why there is no server for a request, for its caller and the log.
 REASONS: Mapping[Cause, str] = MappingProxyType(
     {
@@ -75,19 +76,19 @@
         Cause.BACKING_OFF: 'all backend servers have refused for some time',
     }
 )
-# Part of a caller's time beyond the least, and most seconds, for which a
-# request waits for the route table: after 2.4 s an answer that is due in three
-# still begins on time, also for one who has come back already and will not
-# again. Sent away at once, such a caller is lost.
-HOLD_PART = 0.4
-MOST_HELD_S = 2.4
-# Seconds under which a caller does not wait: it wants its answer in tenths of
-# a second, and has a try elsewhere while there is time.
+# Fraction of a caller's time above the minimum, and the maximum seconds, for
+# which a request waits for the route table: after 2.4 s an answer that is due
+# in three still begins on time, also for a caller that has already retried and
+# will not retry again. Refused at once, such a caller is lost.
+WAIT_FRACTION = 0.4
+MAX_WAIT_S = 2.4
+# Callers with less than this many seconds left do not wait: they expect an
+# answer in tenths of a second and have time to retry elsewhere.
 LEAST_LEFT_S = 1.5
 
 
 def after_s(lack: Lack, left_s: float) -> float:
-    """Return the seconds after which a refused caller should come back.
+    """Return the seconds after which a refused caller should retry.
 
     Args:
         lack: Why it is refused.
@@ -95,8 +96,8 @@
     """
     most_s = MOST_S[lack.cause]
     if lack.due_s is not None:
-        most_s = max(lack.due_s, LEAST_DUE_S)
-    return min(max(left_s, 0) * PART, most_s)
+        most_s = max(lack.due_s, MIN_RETRY_AFTER_S)
+    return min(max(left_s, 0) * RETRY_FRACTION, most_s)
 
 
 def held_s(left_s: float) -> float:
@@ -105,4 +106,4 @@
     Args:
         left_s: Seconds that its caller has left.
     """
-    return min(max(left_s - LEAST_LEFT_S, 0) * HOLD_PART, MOST_HELD_S)
+    return min(max(left_s - LEAST_LEFT_S, 0) * WAIT_FRACTION, MAX_WAIT_S)
--- a/beryllug/core/placement/returning_test.py
+++ b/beryllug/core/placement/returning_test.py
@@ -1,4 +1,4 @@
-"""Tests of when refused callers come back."""
+"""Tests of the retry-after times of refused callers."""
 
 import random
 import unittest
@@ -20,33 +20,33 @@
     ('a limit, due now', Cause.LIMITED, 0, 25, 0.1),
 )
 CALLERS = 2000
-# Seconds for which the store stays away once all processes are back, at most;
-# seconds from its return until a request is served, as played: the list of
-# servers fills meanwhile; and seconds that an answer needs to begin.
+# Maximum seconds for which the store stays unavailable once all processes are
+# back; simulated seconds from its return until a request is served, while the
+# list of servers fills; and seconds until an answer begins.
 MOST_AWAY_S = 5.0
 FILLED_S = 0.3
-# An outage as played: seconds from the start of all processes to the store's
-# return, until a request is served then, and that an answer needs to begin.
+# A simulated outage: seconds from the start of all processes to the store's
+# return, from then until a request is served, and until an answer begins.
 AWAY_S = 1.3
 LATE_FILLED_S = 0.4
 LATE_FIRST_S = 0.6
 TARGET_S = 3.0
 FIRST_S = 0.5
 PATIENCE_S = 20.0
-# When callers were told to come back, who did not wait.
+# Retry-after seconds of callers whose requests did not wait.
 WITHOUT_WAIT_S = 1.5
 SHORT_S = 0.5
 
 
 class Policy(NamedTuple):
-    """Seconds for which a request waits, and is sent away after that."""
+    """Seconds for which a request waits, and its retry-after time then."""
 
     held_s: float
     after_s: float
 
 
 class ReturningTest(unittest.TestCase):
-    """How long a caller is sent away, and what comes of it."""
+    """Retry-after times, and their effect on callers."""
 
     def test_cases(self) -> None:
         """Each case of the table."""
@@ -56,12 +56,12 @@
                 self.assertAlmostEqual(found, expected)
 
     def test_outage(self) -> None:
-        """All processes were killed while the store is away.
+        """All processes were killed during a store outage.
 
-        They are back and know nothing until the store is. Half of the callers
-        are there for the second time, since their streams were cut, and will
-        not come again. Sent away at once these are lost, and those who come
-        back meet the same once more.
+        They are back and know nothing until the store returns. Half of the
+        callers have already retried, since their streams were cut, and will not
+        retry again. If refused at once, these are lost, and those that retry
+        meet the same cause once more.
         """
         at_once = Policy(0, WITHOUT_WAIT_S)
         held_s = returning.held_s(PATIENCE_S)
@@ -74,10 +74,10 @@
                 self.assertGreater(_on_time(waiting, may_return), 0.72)
 
     def test_short_outage(self) -> None:
-        """The store is away for 1.3 s once all processes are back.
+        """The store is unavailable for 1.3 s once all processes are back.
 
-        Callers who came back after half a second met the same and were lost.
-        Nearly all are answered on time.
+        Callers that retried after half a second met the same cause and were
+        lost. With the wait nearly all are answered on time.
         """
         rng = random.Random(5)
         held_s = returning.held_s(PATIENCE_S)
@@ -95,14 +95,14 @@
         self.assertGreater(on_time[after_s] / CALLERS, 0.85)
 
     def test_held(self) -> None:
-        """A short call does not wait, nor one whose time is over."""
+        """A short call does not wait, nor does one without time left."""
         for left_s, expected in ((1.5, 0), (-1, 0), (5, 1.4), (25, 2.4)):
             with self.subTest(left_s):
                 self.assertAlmostEqual(returning.held_s(left_s), expected)
 
 
 def _on_time(policy: Policy, may_return: bool) -> float:
-    """Return the part of the callers that are answered on time."""
+    """Return the fraction of the callers that are answered on time."""
     rng = random.Random(5)
     on_time = 0
     for _ in range(CALLERS):
--- a/beryllug/core/placement/server_limits.py
+++ b/beryllug/core/placement/server_limits.py
@@ -1,8 +1,8 @@
 """Rate limits that backend servers state in their answers.
 
-A limit, in requests a second, holds for all processes together, from the first
-answer that states it to the first one that does not. Answers overtake one
-another, so one without a limit ends it only if its request was sent after the
+A limit, in requests a second, applies to all processes together, from the first
+answer that states it to the first one that does not. Answers may arrive out of
+order, so one without a limit ends it only if its request was sent after the
 limit was observed.
 """
 
@@ -11,20 +11,20 @@
 from typing import NamedTuple
 
 # Seconds for which the end of a limit is remembered, so that an older
-# observation of another process does not bring it back, and for which an
-# observation is told to others.
+# observation of another process does not restore it, and for which an
+# observation is sent to others.
 ENDED_S = 10.0
-# Seconds by which an observation of another process must be newer. The age is
-# understated by each hop's delay; without this an observation that is gossiped
-# in a circle would be renewed for ever.
-HOP_S = 0.25
-# Seconds for which the limit of a server that is not listed is remembered: its
-# entry may lapse for a moment.
-UNLISTED_S = 60.0
+# Seconds by which an observation of another process must be newer. Each hop's
+# delay makes an observation look younger; without this margin one that is
+# gossiped in a circle would be renewed forever.
+HOP_MARGIN_S = 0.25
+# Seconds for which the limit of an unlisted server is remembered: its entry may
+# be missing for a moment.
+UNLISTED_RETENTION_S = 60.0
 
 
 class Observation(NamedTuple):
-    """A server's limit at a moment.
+    """A server's limit at a point in time.
 
     Attributes:
         per_s: Requests a second; None where it states no limit.
@@ -43,7 +43,7 @@
 
 
 def read(text: str) -> float | None:
-    """Return a limit in requests a second; None where it is no limit."""
+    """Parse a limit in requests a second; None if it is not valid."""
     try:
         per_s = float(text)
     except ValueError:
@@ -52,9 +52,9 @@
 
 
 def take(limits: Limits, instance: str, seen: Observation) -> bool:
-    """Take an observation; returns whether the limit has changed.
+    """Record an observation; returns whether the limit has changed.
 
-    An older one changes nothing, nor does the end of a limit that is unknown.
+    Older observations and the end of an unknown limit are ignored.
     """
     before = limits.observed.get(instance)
     if before is None:
@@ -68,9 +68,9 @@
 
 
 def take_remote(limits: Limits, instance: str, seen: Observation) -> bool:
-    """Take an observation of another process, likewise."""
+    """Record another process's observation; returns whether it changed."""
     before = limits.observed.get(instance)
-    if before is not None and seen.at <= before.at + HOP_S:
+    if before is not None and seen.at <= before.at + HOP_MARGIN_S:
         return False
     return take(limits, instance, seen)
 
@@ -91,15 +91,15 @@
 
 
 def forget(limits: Limits, listed: frozenset[str], now: float) -> None:
-    """Forget limits that ended long ago, or whose servers are gone."""
+    """Remove limits that ended long ago or whose servers are gone."""
     limits.observed = {
         instance: seen
         for instance, seen in limits.observed.items()
-        if now - seen.at < _kept_s(seen, is_listed=instance in listed)
+        if now - seen.at < _retention_s(seen, is_listed=instance in listed)
     }
 
 
-def _kept_s(seen: Observation, *, is_listed: bool) -> float:
+def _retention_s(seen: Observation, *, is_listed: bool) -> float:
     if seen.per_s is None:
         return ENDED_S
-    return math.inf if is_listed else UNLISTED_S
+    return math.inf if is_listed else UNLISTED_RETENTION_S
--- a/beryllug/core/placement/server_limits_test.py
+++ b/beryllug/core/placement/server_limits_test.py
@@ -1,4 +1,4 @@
-"""Tests of what servers' answers say of their limits."""
+"""Tests of rate limits that servers state in their answers."""
 
 import unittest
 
@@ -8,10 +8,10 @@
 
 
 class ReadTest(unittest.TestCase):
-    """The text of a limit."""
+    """Parsing of a limit."""
 
     def test_read(self) -> None:
-        """A decimal number that is no rate is no limit."""
+        """A number that is not a valid rate is not a limit."""
         table: tuple[tuple[str, float | None], ...] = (
             ('1.6', 1.6),
             (' 20 ', 20),
@@ -27,11 +27,11 @@
                 self.assertEqual(server_limits.read(text), per_s)
 
 
-class WordTest(unittest.TestCase):
-    """What a server said last."""
+class ObservationTest(unittest.TestCase):
+    """The latest observation of a server."""
 
     def test_newest(self) -> None:
-        """An answer that was overtaken neither ends nor brings back a limit."""
+        """An out-of-order answer neither ends nor restores a limit."""
         table: tuple[tuple[str, tuple[Observation, ...], float | None], ...] = (
             ('named', (Observation(2, 1),), 2),
             ('named anew', (Observation(2, 1), Observation(3, 2)), 3),
@@ -60,7 +60,7 @@
                 self.assertEqual(server_limits.per_s(limits, 'i'), per_s)
 
     def test_forget(self) -> None:
-        """Limits of servers that are gone are not kept for ever."""
+        """Limits of servers that are gone are not kept forever."""
         limits = server_limits.Limits()
         for number in range(3):
             server_limits.take(limits, f'i-{number}', Observation(1, 0))
@@ -69,19 +69,19 @@
         table: tuple[tuple[float, set[str]], ...] = (
             (2, {'i-0', 'i-1', 'i-2'}),
             (1 + server_limits.ENDED_S, {'i-0', 'i-2'}),
-            (server_limits.UNLISTED_S, {'i-0'}),
+            (server_limits.UNLISTED_RETENTION_S, {'i-0'}),
         )
         for now, kept in table:
             server_limits.forget(limits, listed, now)
             self.assertEqual(set(limits.observed), kept)
 
     def test_told(self) -> None:
-        """An observation that is gossiped in a circle is renewed for ever."""
+        """An observation that is gossiped in a circle is not renewed."""
         limits = server_limits.Limits()
         server_limits.take(limits, 'i', Observation(2, 1))
         for seen, per_s in (
-            (Observation(3, 1 + server_limits.HOP_S), 2),
-            (Observation(3, 1.1 + server_limits.HOP_S), 3),
+            (Observation(3, 1 + server_limits.HOP_MARGIN_S), 2),
+            (Observation(3, 1.1 + server_limits.HOP_MARGIN_S), 3),
             (Observation(None, 2), None),
             (Observation(3, 1.5), None),
         ):
--- a/beryllug/core/placement/servers_data.py
+++ b/beryllug/core/placement/servers_data.py
@@ -1,4 +1,4 @@
-"""Records of listed backend servers and of what one request asks of them."""
+"""Records of listed backend servers, and of an attempt's requirements."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class State(StrEnum):
-    """Whether a backend server takes new work."""
+    """Whether a backend server takes new requests."""
 
     READY = 'ready'
     LEAVING = 'leaving'
@@ -18,21 +18,21 @@
 class Server(NamedTuple):
     """A listed backend server.
 
-    What identifies an incarnation, here and in all messages and logs, is
-    `instance`: the name together with the start. A server that crashes may
-    start again under its name; it holds nothing of before then, so whatever
-    is known, counted or suspected is kept under `instance`.
+    `instance`, the name together with the start time, identifies an incarnation
+    here and in all messages and logs. A server that crashes may restart under
+    its name without any of its previous state, so everything that is known,
+    counted or suspected of it is kept under `instance`.
 
     Attributes:
-        name: Its id in the platform's store, kept over a restart or not.
+        name: Its id in the platform's store, which a restart may keep.
         service: Its service.
         address: ``ip:port``; may belong to another instance later.
         zone: Its availability zone.
         version: Version of its software.
         slots: Requests it runs at once.
-        state: Whether it takes new work.
-        born: Unix millisecond of its start; 0 where it does not say.
-        cold_s: Seconds for which it was still cold when it said so.
+        state: Whether it takes new requests.
+        born: Unix millisecond of its start; 0 if it states none.
+        cold_s: Seconds for which it was still cold when it reported this.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
     @property
     def instance(self) -> str:
-        """Return what no other start of any server has."""
+        """Return an id that is unique to this start of the server."""
         return f'{self.name}@{self.born}' if self.born else self.name
 
 
@@ -55,17 +55,17 @@
 
 
 class Wish(NamedTuple):
-    """What one attempt asks of the choice of a server.
+    """Requirements of one attempt for the choice of a server.
 
     Attributes:
         service: Its service.
-        prompt: What a model has to read; None for plain calls.
+        prompt: The prompt for a model; None for plain calls.
         versions: Versions that it may run on; None for any.
-        excluded: Instances that have failed it.
+        excluded: Instances at which the request has failed.
         body_bytes: Bytes of its body.
-        tokens_out: Tokens that its answer is expected to have.
+        tokens_out: Expected tokens of its answer.
         regions: Regions that it may run in; None for any.
-        without_limit: Whether servers that name a limit are left out.
+        without_limit: Whether servers with a rate limit are left out.
     """
 
     service: str
--- a/beryllug/core/placement/sizes.py
+++ b/beryllug/core/placement/sizes.py
@@ -1,10 +1,10 @@
-"""Which size of model answers, and when its answer is dropped for a larger.
+"""Choice of the model size, and escalation of answers to a larger model.
 
-A small model costs a tenth or less of a large one and suffices for half of
-the requests. Its answer states how sure it is, in its head, before any of it
-has gone to the caller; an unsure one is dropped then and asked of the largest
-model. How sure it must be grows with what the answer is worth, which the rank
-of the request tells.
+A small model costs a tenth or less of a large one and suffices for half of the
+requests. Its answer states a confidence in its headers, before any of it is
+forwarded to the caller; an answer of low confidence is dropped then and the
+request is sent to the largest model. The required confidence grows with the
+answer's value, which follows from the rank of the request.
 """
 
 import math
@@ -13,26 +13,27 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-# Confidence (0 to 100) below which an answer is asked of a larger model, by
-# the rank of the request: an urgent answer costs several times more to get
-# wrong than the larger model costs to run. Higher ones make all answers of the
-# larger model later, and more are cut off than poor ones are saved.
-LEAST_CONFIDENCE: Mapping[int, int] = MappingProxyType({0: 50, 1: 40})
-LEAST_CONFIDENCE_ELSE = 30
-# The same where the larger model's answer is expected too late for its full
-# value: a late answer is worth about a third, so one that is as likely to be
-# right is kept, and the larger model's queue grows no longer.
-LATE_PART = 0.4
-# Seconds of reading that one waiting request stands for, of all sizes
-# together: by it the seconds that wait at a runner give the requests that one
-# more prompt delays.
-MEAN_READ_S = 0.15
-# Part of an answer's value to its caller that is lost when it is late.
-LATE_LOSS = 0.7
-# Value of a delayed request against one of a rank: each rank is
-# taken for a third of the one before, and what waits for a mix of them.
-DELAYED_VALUE: Mapping[int, float] = MappingProxyType({0: 0.5, 1: 1.5})
-DELAYED_VALUE_ELSE = 4.5
+# Confidence (0 to 100) below which a request is sent to a larger model, by
+# rank: a wrong urgent answer costs several times more than running the larger
+# model. Higher thresholds delay all answers of the larger model, and more
+# answers are cut off than poor ones are avoided.
+MIN_CONFIDENCE: Mapping[int, int] = MappingProxyType({0: 50, 1: 40})
+DEFAULT_MIN_CONFIDENCE = 30
+# Factor on the threshold where the larger model's answer is expected too late
+# for its full value: a late answer is worth about a third, so one that is as
+# likely to be right is kept, and the larger model's queue does not grow.
+LATE_CONFIDENCE_FACTOR = 0.4
+# Mean prefill seconds of one queued request, over all sizes: it converts the
+# queueing time at a runner to the number of requests that one more prompt
+# delays.
+MEAN_PREFILL_S = 0.15
+# Fraction of an answer's value to its caller that is lost when it is late.
+LATE_VALUE_LOSS = 0.7
+# Value of a delayed request relative to a request of each rank: each rank is
+# assumed to be worth a third of the previous one, and the queue to hold a mix
+# of them.
+DELAYED_VALUE_RATIO: Mapping[int, float] = MappingProxyType({0: 0.5, 1: 1.5})
+DEFAULT_DELAYED_VALUE_RATIO = 4.5
 SURE = 100
 
 
@@ -42,7 +43,7 @@
     LARGER = 'asked of the largest model'
     SURE = 'sure enough'
     LARGEST = 'the largest model'
-    NO_END = 'the largest model might not end in time'
+    MAY_NOT_FINISH = 'the largest model might not end in time'
     LATE = 'the largest model would be late'
     DELAY = 'others would be delayed'
     NO_ATTEMPT = 'no attempt is left'
@@ -50,23 +51,24 @@
 
 
 class Outlook(NamedTuple):
-    """What is expected of the largest model's answer.
+    """Expected timing of the largest model's answer.
 
     Attributes:
-        wait_s: Seconds that are waited for at the runner before its prompt.
-        read_s: Seconds of reading that it adds there.
+        wait_s: Seconds of queueing at the runner before its prompt.
+        read_s: Seconds of prefill that it adds there.
         target_s: Seconds in which an answer is due to begin.
-        spare_s: Seconds by which it is expected to begin before its target;
+        slack_s: Seconds by which it is expected to begin before its target;
             negative if it is expected late.
-        ends_s: Seconds by which it ends before its caller leaves, should it be
-            as long and as late as few are; negative if it may not end.
+        finish_slack_s: Seconds by which it ends before its caller leaves,
+            estimated for an unusually long and late answer; negative if it may
+            not end.
     """
 
     wait_s: float
     read_s: float
     target_s: float
-    spare_s: float
-    ends_s: float = math.inf
+    slack_s: float
+    finish_slack_s: float = math.inf
 
 
 def first_size(models: Sequence[str]) -> int:
@@ -81,26 +83,26 @@
     confidence: int | None,
     outlook: Outlook,
 ) -> Why:
-    """Tell whether the largest model is asked instead, and why.
+    """Tell whether the request is sent to the largest model, and why.
 
     Args:
         models: The models, smallest first.
         size: Index of the model that has answered.
         rank: Rank of the request, 0 the most urgent.
-        confidence: What the answer says of itself, from 0 to 100.
-        outlook: What is expected of the larger model's answer.
+        confidence: Confidence that the answer states, from 0 to 100.
+        outlook: Expected timing of the larger model's answer.
     """
     largest = len(models) - 1
     if confidence is None or size >= largest:
         return Why.LARGEST
-    least: float = LEAST_CONFIDENCE.get(rank, LEAST_CONFIDENCE_ELSE)
-    if confidence >= least:
+    threshold: float = MIN_CONFIDENCE.get(rank, DEFAULT_MIN_CONFIDENCE)
+    if confidence >= threshold:
         return Why.SURE
-    if outlook.ends_s < 0:
-        # An answer that is cut off serves its caller less than one that may
-        # not be good enough, and its reading has delayed others for nothing.
-        return Why.NO_END
-    if outlook.spare_s < 0 and confidence >= least * LATE_PART:
+    if outlook.finish_slack_s < 0:
+        # An answer that is cut off serves its caller less than one that may not
+        # be good enough, and its prefill has delayed others for nothing.
+        return Why.MAY_NOT_FINISH
+    if outlook.slack_s < 0 and confidence >= threshold * LATE_CONFIDENCE_FACTOR:
         return Why.LATE
     if confidence >= SURE * (1 - _delay_cost(rank, outlook)):
         return Why.DELAY
@@ -108,13 +110,13 @@
 
 
 def _delay_cost(rank: int, outlook: Outlook) -> float:
-    """Return what others lose by one more prompt, against its own value.
+    """Return the cost of delaying others, relative to the answer's value.
 
-    Every request that waits at the runner is later by the time of its
-    reading. Without this, unsure answers of long prompts went on being asked
-    of the largest model until all runners were seconds behind.
+    One more prompt delays every queued request of the runner by its prefill
+    time. Without this term, long prompts with answers of low confidence were
+    still sent to the largest model until all runners were seconds behind.
     """
-    delayed = outlook.wait_s / MEAN_READ_S
-    late_part = outlook.read_s / max(outlook.target_s, MEAN_READ_S)
-    relative = DELAYED_VALUE.get(rank, DELAYED_VALUE_ELSE)
-    return LATE_LOSS * relative * delayed * late_part
+    delayed = outlook.wait_s / MEAN_PREFILL_S
+    late_part = outlook.read_s / max(outlook.target_s, MEAN_PREFILL_S)
+    relative = DELAYED_VALUE_RATIO.get(rank, DEFAULT_DELAYED_VALUE_RATIO)
+    return LATE_VALUE_LOSS * relative * delayed * late_part
--- a/beryllug/core/placement/sizes_test.py
+++ b/beryllug/core/placement/sizes_test.py
@@ -1,4 +1,4 @@
-"""Tests of which size of model answers."""
+"""Tests of the choice of the model size."""
 
 import heapq
 import random
@@ -8,14 +8,14 @@
 from beryllug.core.placement import sizes
 
 MODELS = ('small', 'middle', 'large')
-IDLE = sizes.Outlook(wait_s=0, read_s=0.3, target_s=3, spare_s=2)
-LATE = IDLE._replace(spare_s=-1)
-BUSY = sizes.Outlook(wait_s=1, read_s=0.3, target_s=3, spare_s=1)
+IDLE = sizes.Outlook(wait_s=0, read_s=0.3, target_s=3, slack_s=2)
+LATE = IDLE._replace(slack_s=-1)
+BUSY = sizes.Outlook(wait_s=1, read_s=0.3, target_s=3, slack_s=1)
 LONG = BUSY._replace(read_s=2)
-NO_END = IDLE._replace(ends_s=-0.1)
+MAY_NOT_FINISH = IDLE._replace(finish_slack_s=-0.1)
 SHORT = BUSY._replace(read_s=0.03)
 Why = sizes.Why
-# Size that answered, rank, confidence, outlook; what comes of it.
+# Size that answered, rank, confidence, outlook; the decision.
 CASES: tuple[
     tuple[str, int, int, int | None, sizes.Outlook, sizes.Why], ...
 ] = (
@@ -25,8 +25,15 @@
     ('not sure for any', 0, 2, 29, IDLE, Why.LARGER),
     ('the larger one would be late', 0, 0, 20, LATE, Why.LATE),
     ('late, but hardly worth keeping', 0, 0, 19, LATE, Why.LARGER),
-    ('the larger one may be cut off', 0, 0, 0, NO_END, Why.NO_END),
-    ('sure, whatever the larger one does', 0, 0, 80, NO_END, Why.SURE),
+    (
+        'the larger one may be cut off',
+        0,
+        0,
+        0,
+        MAY_NOT_FINISH,
+        Why.MAY_NOT_FINISH,
+    ),
+    ('sure, whatever the larger one does', 0, 0, 80, MAY_NOT_FINISH, Why.SURE),
     ('nothing said', 0, 0, None, IDLE, Why.LARGEST),
     ('the largest already', 2, 0, 0, IDLE, Why.LARGEST),
     ('others wait, the answer is poor', 0, 0, 49, BUSY, Why.LARGER),
@@ -42,9 +49,9 @@
     Attributes:
         per_s: Requests a second.
         rank: Their rank.
-        worth: What an answer on time is worth.
-        small_s: Seconds of reading of the small model.
-        large_s: The same of the largest.
+        worth: Value of an answer on time.
+        small_s: Seconds of prefill of the small model.
+        large_s: Seconds of prefill of the largest model.
     """
 
     per_s: float
@@ -54,9 +61,9 @@
     large_s: float
 
 
-# Long prompts that are read in half a second and more by the largest model,
-# and many short ones: five runners can't read all of them if each unsure
-# answer is asked of the largest model.
+# Long prompts, which the largest model prefills in half a second and more, and
+# many short ones: five runners cannot prefill all of them if each answer of low
+# confidence is escalated.
 KINDS = (
     _Kind(10.8, 0, 4.9, 0.06, 0.9),
     _Kind(9.0, 1, 1.6, 0.04, 0.45),
@@ -65,15 +72,15 @@
 TARGET_S = 3.0
 LATE_WORTH = 0.3
 SECONDS = 300
-# In a hundred answers of the small model, those that are not quite sure.
+# Percentage of the small model's answers that are not fully confident.
 UNSURE = 80
-# What the delay of others is worth, at least.
+# Minimum gain of taking the delay of others into account.
 MORE = 0.04
 RUNNERS = 5
 
 
 class SizesTest(unittest.TestCase):
-    """When a small answer is dropped for a larger one."""
+    """Decisions to drop a small answer for a larger one."""
 
     def test_next(self) -> None:
         """Each case of the table."""
@@ -83,16 +90,17 @@
                 self.assertIs(found, expected)
 
     def test_one_model(self) -> None:
-        """There is nothing larger than the only one."""
+        """A single model has no larger one to escalate to."""
         found = sizes.judge(('solo',), 0, 0, 0, IDLE)
         self.assertIs(found, Why.LARGEST)
 
     def test_overload(self) -> None:
-        """More is unsure than the largest model can answer in time.
+        """More answers are escalated than the largest model can serve in time.
 
-        Each runner reads in the order of arrival. Asked by confidence and
-        spare time alone, the largest model keeps all runners as far behind
-        as the target allows, and the small one's answers wait there, too.
+        Each runner prefills in the order of arrival. If escalation depends on
+        confidence and slack alone, the largest model keeps all runners as far
+        behind as the target allows, and the small model's answers are queued
+        there as well.
         """
         by_delay = _replay(is_delay_known=True)
         by_spare = _replay(is_delay_known=False)
@@ -110,7 +118,7 @@
 
 
 def _replay(*, is_delay_known: bool) -> float:
-    """Return the part of all worth that is earned."""
+    """Return the fraction of the total value that is earned."""
     rng = random.Random(3)
     free_at = [0.0 for _ in range(RUNNERS)]
     events = _arrivals(rng)
@@ -151,7 +159,7 @@
 
 
 def _read(free_at: list[float], now: float, read_s: float) -> float:
-    """Let the runner that is free first read; returns when it has."""
+    """Prefill at the first free runner; returns when it is complete."""
     best = min(range(RUNNERS), key=free_at.__getitem__)
     free_at[best] = max(free_at[best], now) + read_s
     return free_at[best]
--- a/beryllug/core/placement/statements.py
+++ b/beryllug/core/placement/statements.py
@@ -1,7 +1,7 @@
-"""What a backend server states of itself in the head of an answer.
+"""What a backend server states about itself in the headers of an answer.
 
-Each header is read here into a record of its own, so that none is known to
-the adapter alone; who acts on it matches on the record.
+Each header is parsed here into a record of its own, so that the
+platform adapter is not the only place that knows it; users match on the record.
 """
 
 import math
@@ -13,21 +13,21 @@
 
 LEAVES = '1'
 STAYS = '0'
-# Statuses by which a server refuses a request for what it has to do.
-REFUSALS = frozenset(
+# Statuses by which a server refuses a request because of its load.
+REFUSAL_STATUSES = frozenset(
     (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 )
-# Most seconds that a process stays away: a number may be wrong.
-MOST_BACK_OFF_S = 3600.0
+# Maximum back-off in seconds: the stated number may be wrong.
+MAX_BACK_OFF_S = 3600.0
 
 
 class Texts(NamedTuple):
-    """The headers by which a server states something, as they came.
+    """Unparsed header values by which a server states something.
 
     Attributes:
         limit: Requests a second that it takes from all processes together.
         leaving: Whether it is about to stop.
-        retry_after: Seconds for which it wants nothing from the sender.
+        retry_after: Seconds for which it wants no requests from the sender.
     """
 
     limit: str = ''
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """It takes so many requests a second; None where it names no limit."""
+    """It takes this many requests a second; None where it states no limit."""
 
     per_s: float | None
 
@@ -49,18 +49,18 @@
 
 @dataclass(frozen=True, slots=True)
 class BackOff:
-    """It refuses, and wants no request of this process for so long."""
+    """It refuses, and wants no request of this process for `seconds`."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class Unreadable:
-    """A header says something that can't be read.
+    """A header with a value that cannot be parsed.
 
     Attributes:
-        what: What it is about.
-        text: What stands there.
+        what: Which header it is.
+        text: Its value.
     """
 
     what: str
@@ -73,18 +73,18 @@
 def read(
     texts: Texts, status: int, *, is_sealed: bool
 ) -> tuple[Statement, ...]:
-    """Return what an answer states of its server.
+    """Return what an answer states about its server.
 
     Args:
         texts: The headers.
         status: The answer's HTTP status.
-        is_sealed: Whether the answer is whole and the server's own: only such
-            a one tells by the lack of a header that nothing is stated.
+        is_sealed: Whether the answer is complete and from the server itself:
+            only then does a missing header mean that nothing is stated.
     """
     return (
         *_limit(texts.limit, is_sealed=is_sealed),
         *_leaving(texts.leaving),
-        *(_back_off(texts.retry_after) if status in REFUSALS else ()),
+        *(_back_off(texts.retry_after) if status in REFUSAL_STATUSES else ()),
     )
 
 
@@ -98,7 +98,7 @@
 
 
 def _leaving(text: str) -> tuple[Statement, ...]:
-    # A header that comes twice is joined by a comma.
+    # A repeated header is joined by a comma.
     stated = {part.strip() for part in text.split(',')}
     if LEAVES in stated:
         return (Leaving(),)
@@ -116,4 +116,4 @@
         return (Unreadable('retry-after', text),)
     if not math.isfinite(seconds) or seconds < 0:
         return (Unreadable('retry-after', text),)
-    return (BackOff(min(seconds, MOST_BACK_OFF_S)),)
+    return (BackOff(min(seconds, MAX_BACK_OFF_S)),)
--- a/beryllug/core/placement/statements_test.py
+++ b/beryllug/core/placement/statements_test.py
@@ -1,4 +1,4 @@
-"""Tests of what a server states of itself in the head of an answer."""
+"""Tests of what a server states about itself in the headers of an answer."""
 
 import unittest
 
@@ -12,10 +12,10 @@
 
 
 class StatementsTest(unittest.TestCase):
-    """Headers that a server may send, sound ones and others."""
+    """Headers that a server may send, valid and invalid."""
 
     def test_leaving(self) -> None:
-        """A word that can't be read is taken for none, or for another."""
+        """An invalid value is reported, and not taken for another one."""
         table: tuple[tuple[str, Found], ...] = (
             ('', ()),
             ('1', (Leaving(),)),
@@ -34,7 +34,7 @@
                 )
 
     def test_limit(self) -> None:
-        """An answer that is not the server's ends the server's limit."""
+        """Only a complete answer of the server itself ends its limit."""
         table: tuple[tuple[str, bool, Found], ...] = (
             ('', True, (RateLimit(None),)),
             ('', False, ()),
@@ -48,8 +48,8 @@
                 self.assertEqual(read, found)
 
     def test_back_off(self) -> None:
-        """A time that can't be read, or is huge, is lost or kept for ever."""
-        most_s = statements.MOST_BACK_OFF_S
+        """An invalid time is reported, and a huge one is limited."""
+        most_s = statements.MAX_BACK_OFF_S
         table: tuple[tuple[int, str, Found], ...] = (
             (503, '3', (BackOff(3),)),
             (429, '3', (BackOff(3),)),
--- a/beryllug/core/placement/streams.py
+++ b/beryllug/core/placement/streams.py
@@ -1,32 +1,32 @@
-"""What runs at each model runner, and what one more prompt costs it.
-
-A runner reads a prompt in chunks between the tokens of all that it runs: while
-it reads 50,000 tokens for its largest model, which takes four seconds, each of
-its streams makes an event in a second and a half. And one whose places are all
-taken puts the newest of the least urgent requests back for a more urgent one,
-and reads its prompt again. So each process counts what it runs where, and the
-processes tell one another.
+"""Running requests at each model runner, and the cost of one more prompt.
+
+A runner prefills a prompt in chunks between the tokens of all running requests:
+while it prefills 50,000 tokens for its largest model, which takes four seconds,
+each of its streams gets one event in a second and a half. A runner without a
+free slot preempts the newest of the least urgent requests for a more urgent one
+and prefills its prompt again later. So each process counts its running requests
+by runner, and the processes share the counts.
 """
 
 from dataclasses import dataclass, field
 
 from beryllug.core.placement import load_sums
 
-# Seconds of waiting that a second by which a running stream is delayed counts
-# like: most are on time all the same.
-DELAY_PART = 0.05
-# Seconds after which one of sixteen places becomes free, at three to four
-# seconds a stream.
-PLACE_S = 0.25
+# Seconds of waiting that one second of delay of a running stream counts as:
+# most delayed streams are on time all the same.
+DELAY_WEIGHT = 0.05
+# Seconds until one of sixteen slots becomes free, at three to four seconds a
+# stream.
+SLOT_WAIT_S = 0.25
 
 
 @dataclass(slots=True)
 class Streams:
-    """What is known of the requests that runners have.
+    """Known running requests at runners.
 
     Attributes:
         own: Requests of this process, by runner.
-        others: What the other processes have.
+        others: Loads reported by the other processes.
     """
 
     own: dict[str, int] = field(default_factory=dict)
@@ -48,7 +48,7 @@
 
 
 def running(streams: Streams, instance: str, now: float) -> int:
-    """Return the requests that a runner is taken to have."""
+    """Return the estimated number of running requests at a runner."""
     told = load_sums.of(streams.others, instance, now).running
     return streams.own.get(instance, 0) + told
 
@@ -56,15 +56,15 @@
 def cost_s(
     streams: Streams, instance: str, slots: int, read_s: float, now: float
 ) -> float:
-    """Return the seconds that a prompt counts for what it does to others.
+    """Return the cost of a prompt to the other requests, in seconds.
 
     Args:
-        streams: What is known.
+        streams: Known running requests.
         instance: The runner.
         slots: Requests that it runs at once.
-        read_s: Seconds for which it would read the prompt.
+        read_s: Seconds for which it would prefill the prompt.
         now: The present second.
     """
     count = running(streams, instance, now)
-    beyond = max(count + 1 - slots, 0)
-    return count * read_s * DELAY_PART + beyond * PLACE_S
+    excess = max(count + 1 - slots, 0)
+    return count * read_s * DELAY_WEIGHT + excess * SLOT_WAIT_S
--- a/beryllug/core/placement/streams_test.py
+++ b/beryllug/core/placement/streams_test.py
@@ -1,4 +1,4 @@
-"""Tests of what runs at model runners, by a replayed load."""
+"""Tests of running requests at model runners, with a replayed load."""
 
 import random
 import unittest
@@ -32,15 +32,15 @@
 SECONDS = 60.0
 LONG = 25000
 LONG_PART = 0.1
-# Seconds of reading behind which an event of a running stream is late.
+# Seconds of prefill that make an event of a running stream late.
 LATE_S = 1.0
 
 
 class StreamsTest(unittest.TestCase):
-    """What is counted, and what it costs."""
+    """Counts of running requests, and the cost of one more prompt."""
 
     def test_counts(self) -> None:
-        """Own and told requests add up; a word counts for a while."""
+        """Own and reported requests add up until the report expires."""
         known = streams.Streams()
         streams.begin(known, 'i-1')
         streams.begin(known, 'i-1')
@@ -55,7 +55,7 @@
         self.assertEqual(known.own, {})
 
     def test_cost(self) -> None:
-        """Long prompts cost by what runs; all do where no place is left."""
+        """Long prompts cost by running requests; all do without a free slot."""
         known = streams.Streams()
         known.others.loads = {
             _key('busy'): load_sums.Load(running=10),
@@ -74,12 +74,12 @@
                 self.assertAlmostEqual(found, expected)
 
     def test_delayed(self) -> None:
-        """Streams pause while a runner reads long prompts beside them.
+        """Streams pause while a runner prefills long prompts beside them.
 
-        One prompt in ten takes a second and a half to read, and each stream
-        runs for four. By the backlog alone long prompts go to any runner that
-        is idle, whatever runs there; by the streams too, to those where little
-        runs, and a fifth less is delayed.
+        One prompt in ten takes a second and a half to prefill, and each stream
+        runs for four. If placed by backlog alone, long prompts go to any idle
+        runner, whatever is running there; with the count of streams they go
+        where few are running, and a fifth fewer streams are delayed.
         """
         self.assertLess(_delayed(is_told=True), 0.8 * _delayed(is_told=False))
 
@@ -89,7 +89,7 @@
 
 
 def _delayed(*, is_told: bool) -> int:
-    """Count the streams beside which a long prompt was read."""
+    """Count the streams beside which a long prompt was prefilled."""
     rng = random.Random(5)
     known = choose.Known(
         backlog.Backlog(), suspicion.Suspicion(), streams.Streams()
--- a/beryllug/core/placement/suspicion.py
+++ b/beryllug/core/placement/suspicion.py
@@ -1,9 +1,10 @@
-"""How much a backend server is to be avoided for what it did to requests.
+"""Suspicion scores that steer requests away from failing servers.
 
-A server that fails two requests in five looks sound to each process alone: it
-seldom fails three of one process in a row. Counted over the fleet, and fading
-within seconds, its failures stand out, and its work goes to the others of its
-service; a share comes back by itself as the count fades, which tests it.
+A server that fails two requests in five looks healthy to each single process:
+it rarely fails three of one process in a row. Counted over the fleet, with
+decay within seconds, its failures stand out, and its requests go to the other
+servers of its service. As the score decays some requests return, which tests
+whether the server has recovered.
 """
 
 from dataclasses import dataclass, field
@@ -11,21 +12,22 @@
 
 from beryllug.core.placement import load_sums
 
-# Seconds in which a count falls to half: long against the pauses between one
-# process's requests to a server, short against a server's restart.
+# Half-life of a score in seconds: long compared with the pauses between one
+# process's requests to a server, short compared with a server's restart.
 HALF_LIFE_S = 4.0
-# Points of a broken connection or a silence, after which a request that may
-# not run twice is lost, and of a failure that the server stated itself, which
-# may be the request's fault.
+# Points for a broken connection or a missing answer, after which a request that
+# must not run twice is lost, and for a failure that the server reported itself,
+# which may be the request's fault.
 BROKEN = 1.0
 STATED = 0.3
-# Points beyond which a server is avoided no more than at these.
+# Upper bound on the points of a server, and the points below which they count
+# as none.
 MOST = 8.0
-LEAST = 0.05
+MIN_POINTS = 0.05
 
 
 class Count(NamedTuple):
-    """Points of a server at a second; they fade from then on."""
+    """Points of a server as of a second, from which they decay."""
 
     points: float
     at: float
@@ -33,11 +35,11 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """Points of servers.
+    """Suspicion points of servers.
 
     Attributes:
         counts: Points that this process has given, by server.
-        others: What the other processes have, their points among it.
+        others: Loads reported by the other processes, with their points.
     """
 
     counts: dict[str, Count] = field(default_factory=dict)
@@ -45,17 +47,17 @@
 
 
 def failed(state: Suspicion, instance: str, points: float, now: float) -> None:
-    """Count a failure that this process has seen."""
+    """Record a failure that this process observed."""
     before = own_points(state, instance, now)
     state.counts[instance] = Count(before + points, now)
 
 
 def points_of(state: Suspicion, instance: str, now: float) -> float:
-    """Return the present points of a server, of all processes."""
+    """Return the present points of a server, from all processes."""
     own = own_points(state, instance, now)
     told = load_sums.of(state.others, instance, now).points / load_sums.PARTS
     if told:
-        told *= _faded(now - state.others.at)
+        told *= _decay(now - state.others.at)
     return min(own + told, MOST)
 
 
@@ -64,14 +66,14 @@
     count = state.counts.get(instance)
     if count is None:
         return 0
-    left = count.points * _faded(now - count.at)
-    if left < LEAST:
+    left = count.points * _decay(now - count.at)
+    if left < MIN_POINTS:
         state.counts.pop(instance)
         return 0
     return left
 
 
-def _faded(seconds: float) -> float:
-    """Return the part of points that is left after some time."""
+def _decay(seconds: float) -> float:
+    """Return the fraction of points that is left after some time."""
     part: float = 0.5 ** (seconds / HALF_LIFE_S)
     return part
--- a/beryllug/core/placement/suspicion_test.py
+++ b/beryllug/core/placement/suspicion_test.py
@@ -1,4 +1,4 @@
-"""Tests of avoiding servers that fail part of their requests."""
+"""Tests of avoiding servers that fail some of their requests."""
 
 import random
 import unittest
@@ -27,7 +27,7 @@
 
 
 class SuspicionTest(unittest.TestCase):
-    """Points come, fade and are told."""
+    """Points are added, decay and are reported."""
 
     def test_fades(self) -> None:
         """Half of the points are left after the half-life."""
@@ -39,10 +39,10 @@
                 self.assertAlmostEqual(found, points)
 
     def test_told(self) -> None:
-        """What others have seen counts beside the own, once, and fades.
+        """Points of others are added to the own ones once, and decay.
 
-        It is told again and again while it fades; added up each time, a server
-        that failed one request would be avoided for ever.
+        They are reported again and again while they decay; if each report were
+        added, a server that failed one request would be avoided forever.
         """
         state = suspicion.Suspicion()
         suspicion.failed(state, GREY, 1, 0)
@@ -55,11 +55,11 @@
         self.assertLess(suspicion.points_of(state, GREY, 1.9), 2.5)
 
     def test_grey_server(self) -> None:
-        """A server of three resets two requests in five, for 20 seconds.
+        """One server of three resets two requests in five, for 20 seconds.
 
-        A hold that meets it is lost: it may have run. Alone, the eight
-        processes of its zone go on sending to it, each having seen few
-        failures; telling one another, they send a tenth of that.
+        A hold request that meets a reset is lost, since it may have run. If the
+        eight processes of its zone do not share points, each sees few failures
+        and keeps sending to it; if they do, they send a tenth of that.
         """
         told = self._lost(tells=True)
         alone = self._lost(tells=False)
@@ -90,7 +90,7 @@
 
 
 def _tell_all(states: list[suspicion.Suspicion], now: float) -> None:
-    """Let each process know what all others have seen."""
+    """Report to each process what all others have observed."""
     own = [
         own_loads.of_process(
             choose.Known(backlog.Backlog(), state, streams.Streams()), now
--- a/beryllug/core/placement/zones_test.py
+++ b/beryllug/core/placement/zones_test.py
@@ -1,10 +1,10 @@
 """A replayed load of prompts over availability zones.
 
-Twelve runners in four zones read prompts one after the other, a process a
-zone sends them, and each tells the others four times a second what it has
+Twelve runners in four zones prefill prompts one after the other; one process a
+zone sends the prompts and reports to the others four times a second what it has
 sent. Long prompts share thousands of tokens with a few others, short ones
-nearly none. Counted are bytes that leave a zone and tokens that some runner
-had read before.
+nearly none. The results are the bytes that leave a zone, and the tokens that
+are prefilled although some runner has them cached.
 """
 
 import random
@@ -42,14 +42,14 @@
 TOLD_EVERY_S = 0.25
 SECONDS = 60.0
 PER_S = 84.0
-# A crowd, which the runners can still read if it is spread over all of them.
-CROWD_PER_S = 110.0
+# An overload that the runners can still prefill if it is spread over all.
+OVERLOAD_PER_S = 110.0
 KEPT_S = 30.0
 LONG_PART = 0.3
 
 
 class _Request(NamedTuple):
-    """A drawn request."""
+    """A generated request."""
 
     at: float
     zone: str
@@ -59,16 +59,17 @@
 
 
 class _Result(NamedTuple):
-    """What a replay comes to.
+    """The result of a replay.
 
     Attributes:
         remote_bytes: Bytes that left their zone.
-        again: Tokens that were read although some runner kept them.
-        late: Part of the prompts that waited for over two seconds.
+        refilled: Tokens that were prefilled although some runner had them
+            cached.
+        late: Fraction of the prompts that waited for over two seconds.
     """
 
     remote_bytes: float
-    again: float
+    refilled: float
     late: float
 
 
@@ -89,7 +90,7 @@
 
 
 class _Replay:
-    """Runners that read in the order of arrival, and who sends to them."""
+    """Runners that prefill in the order of arrival, and their senders."""
 
     def __init__(self) -> None:
         self._known = {
@@ -107,7 +108,7 @@
         self._begun: list[tuple[float, str, str, int]] = []
         self._told_at = 0.0
         self._remote = 0.0
-        self._again = 0.0
+        self._refilled = 0.0
         self._late = 0
 
     def play(self, requests: list[_Request]) -> _Result:
@@ -116,7 +117,7 @@
             self._answer(each.at)
             self._tell(each.at)
             self._place(each)
-        return _Result(self._remote, self._again, self._late / len(requests))
+        return _Result(self._remote, self._refilled, self._late / len(requests))
 
     def _place(self, req: _Request) -> None:
         known = self._known[req.zone]
@@ -143,10 +144,12 @@
         self._late += ends - read_s - req.at > 2
         self._begun.append((ends, req.zone, server.instance, number))
         if server.zone != req.zone:
-            self._remote += req.body_bytes + req.tokens_out * choose.TOKEN_BYTES
+            self._remote += (
+                req.body_bytes + req.tokens_out * choose.BYTES_PER_TOKEN
+            )
 
     def _read(self, instance: str, req: _Request, read_s: float) -> float:
-        """Return when a prompt is read; what is read first delays others."""
+        """Return when a prompt is prefilled; priority prompts delay others."""
         free_at = max(self._free_at[instance], req.at)
         self._free_at[instance] = free_at + read_s
         if not req.prompt.is_first:
@@ -165,7 +168,7 @@
         self._kept[server.instance, prompt.key] = req.at + KEPT_S
         if server.instance in holders:
             return prompt.own_tokens
-        self._again += prompt.shared_tokens if holders else 0
+        self._refilled += prompt.shared_tokens if holders else 0
         return prompt.own_tokens + prompt.shared_tokens
 
     def _answer(self, now: float) -> None:
@@ -205,37 +208,38 @@
 
 
 class ZonesTest(unittest.TestCase):
-    """What the weights of bytes and of kept prompts are worth."""
+    """The effect of the weights of bytes and of cached prompts."""
 
     def test_weights(self) -> None:
-        """Fewer bytes leave their zone, fewer tokens are read again.
+        """Fewer bytes leave their zone, fewer tokens are prefilled again.
 
-        Without the weights a prompt leaves its zone, and its home, for every
-        wait that is shorter by a moment: 14.3 MB and 472,000 tokens against
-        13.3 MB and 396,000. None waits noticeably longer.
+        Without the weights a prompt leaves its zone, and its preferred runner,
+        for every slightly shorter wait: 14.3 MB and 472,000 tokens against 13.3
+        MB and 396,000. With them none waits noticeably longer.
         """
         before = _play(byte_s=0, again_s=0.00001)
         after = _play()
         self.assertLess(after.remote_bytes, 0.95 * before.remote_bytes)
-        self.assertLess(after.again, 0.9 * before.again)
+        self.assertLess(after.refilled, 0.9 * before.refilled)
         self.assertLess(after.late, before.late + 0.01)
 
     def test_too_heavy(self) -> None:
-        """Why the weights are no higher: in a crowd, prompts pile up at home.
+        """Higher weights would queue prompts at preferred runners in overload.
 
-        With four times the weights each waits where its shared part was read
-        until every other runner is the better one at once. A quarter wait for
-        over two seconds, and four times as many tokens are read again.
+        With four times the weights each prompt waits where its shared part is
+        cached until every other runner becomes the better one at the same time.
+        A quarter wait for over two seconds, and four times as many tokens are
+        prefilled again.
         """
         heavy = _play(
             byte_s=4 * choose.REMOTE_BYTE_S,
             again_s=4 * choose.AGAIN_S,
-            per_s=CROWD_PER_S,
+            per_s=OVERLOAD_PER_S,
         )
-        today = _play(per_s=CROWD_PER_S)
+        today = _play(per_s=OVERLOAD_PER_S)
         self.assertGreater(heavy.late, 0.2)
         self.assertLess(today.late, 0.01)
-        self.assertLess(3 * today.again, heavy.again)
+        self.assertLess(3 * today.refilled, heavy.refilled)
 
 
 if __name__ == '__main__':
