--- a/beryllug/core/placement/backlog.py
+++ b/beryllug/core/placement/backlog.py
@@ -153,8 +153,10 @@
     is_home: bool,
 ) -> int:
     """Record a prompt that is sent to a runner; returns its item number."""
-    part = uncached_fraction(backlog, instance, prompt, now, is_home=is_home)
-    tokens = _tokens(prompt, part)
+    uncached = uncached_fraction(
+        backlog, instance, prompt, now, is_home=is_home
+    )
+    tokens = _tokens(prompt, uncached)
     work_s = tokens * pace(backlog, prompt.model)
     backlog.number += 1
     items = backlog.items.setdefault(instance, {})
@@ -207,12 +209,16 @@
     is_home: bool,
 ) -> Expected:
     """Return when a runner is expected to answer a prompt."""
-    part = uncached_fraction(backlog, instance, prompt, now, is_home=is_home)
-    read_s = _tokens(prompt, part) * pace(backlog, prompt.model)
-    whole_s, first_s = _queue_waits_s(backlog, instance, now)
+    uncached = uncached_fraction(
+        backlog, instance, prompt, now, is_home=is_home
+    )
+    read_s = _tokens(prompt, uncached) * pace(backlog, prompt.model)
+    ordinary_s, priority_s = _queue_waits_s(backlog, instance, now)
     if prompt.is_first:
-        return Expected(first_s, read_s, max(whole_s - first_s, 0), part)
-    return Expected(whole_s, read_s, 0, part)
+        return Expected(
+            priority_s, read_s, max(ordinary_s - priority_s, 0), uncached
+        )
+    return Expected(ordinary_s, read_s, 0, uncached)
 
 
 def wait_s(
@@ -224,8 +230,8 @@
     the whole queue, they would leave their zone, and the runner that caches
     their shared part, for runners where they begin no sooner.
     """
-    whole_s, first_s = _queue_waits_s(backlog, instance, now)
-    return first_s if is_first else whole_s
+    ordinary_s, priority_s = _queue_waits_s(backlog, instance, now)
+    return priority_s if is_first else ordinary_s
 
 
 def _queue_waits_s(
@@ -233,27 +239,27 @@
 ) -> tuple[float, float]:
     """Return the waits of an ordinary prompt and of a priority prompt."""
     own = own_backlog(backlog, instance, now)
-    told = load_sums.of(backlog.others, instance, now)
-    overdue_s = max(own.overdue_s, told.overdue_cs / load_sums.PARTS)
+    remote = load_sums.of(backlog.others, instance, now)
+    overdue_s = max(own.overdue_s, remote.overdue_cs / load_sums.PARTS)
     priority_overdue_s = max(
-        own.priority_overdue_s, told.priority_overdue_cs / load_sums.PARTS
+        own.priority_overdue_s, remote.priority_overdue_cs / load_sums.PARTS
     )
     return (
-        own.work_s + told.work_cs / load_sums.PARTS + overdue_s,
+        own.work_s + remote.work_cs / load_sums.PARTS + overdue_s,
         own.priority_work_s
-        + told.priority_work_cs / load_sums.PARTS
+        + remote.priority_work_cs / load_sums.PARTS
         + priority_overdue_s,
     )
 
 
 def own_backlog(backlog: Backlog, instance: str, now: float) -> Part:
     """Return this process's share of a runner's backlog."""
-    known = backlog.items.get(instance)
-    if not known:
+    pending = backlog.items.get(instance)
+    if not pending:
         return NOTHING
-    items = known.values()
-    first = [item for item in items if item.prompt.is_first]
-    return Part(*_remaining_s(items, now), *_remaining_s(first, now))
+    items = pending.values()
+    priority = [item for item in items if item.prompt.is_first]
+    return Part(*_remaining_s(items, now), *_remaining_s(priority, now))
 
 
 def told(backlog: Backlog, now: float) -> dict[str, Part]:
@@ -279,9 +285,9 @@
     """Learn from the time between the first and last event of an answer."""
     if not tokens_out:
         return
-    seen = seconds / tokens_out
-    known = backlog.decode_paces.get(model, seen)
-    backlog.decode_paces[model] = known + DECODE_WEIGHT * (seen - known)
+    measured = seconds / tokens_out
+    learned = backlog.decode_paces.get(model, measured)
+    backlog.decode_paces[model] = learned + DECODE_WEIGHT * (measured - learned)
 
 
 def write_s(backlog: Backlog, model: str, tokens_out: int) -> float:
@@ -341,16 +347,16 @@
         prompt: The prompt.
         part: Fraction of its shared tokens that the runner has to prefill.
     """
-    unread = prompt.own_tokens + part * prompt.shared_tokens
-    whole = prompt.own_tokens + prompt.shared_tokens
-    before = whole - unread / 2
-    return unread * (1 + before / DOUBLE_COST_TOKENS)
+    uncached = prompt.own_tokens + part * prompt.shared_tokens
+    total = prompt.own_tokens + prompt.shared_tokens
+    mean_position = total - uncached / 2
+    return uncached * (1 + mean_position / DOUBLE_COST_TOKENS)
 
 
 def _update_pace(backlog: Backlog, item: Item, now: float) -> None:
     if item.tokens < LEAST_TOKENS:
         return
-    seen = (now - item.sent_at) / item.tokens
-    known = backlog.paces.get(item.prompt.model, seen)
-    weight = FASTER_WEIGHT if seen < known else SLOWER_WEIGHT
-    backlog.paces[item.prompt.model] = known + weight * (seen - known)
+    measured = (now - item.sent_at) / item.tokens
+    learned = backlog.paces.get(item.prompt.model, measured)
+    weight = FASTER_WEIGHT if measured < learned else SLOWER_WEIGHT
+    backlog.paces[item.prompt.model] = learned + weight * (measured - learned)
--- a/beryllug/core/placement/backoffs_test.py
+++ b/beryllug/core/placement/backoffs_test.py
@@ -80,8 +80,8 @@
     """Return the refused requests, and the most to a server in back-off."""
     rng = random.Random(processes)
     kept = [backoffs.Backoffs() for _ in range(processes)]
-    came: dict[tuple[int, str], list[float]] = defaultdict(list)
-    asked: list[tuple[int, str, float]] = []
+    arrivals: dict[tuple[int, str], list[float]] = defaultdict(list)
+    refusals: list[tuple[int, str, float]] = []
     refused = 0
     now = 0.0
     while now < ASKED_S:
@@ -92,17 +92,17 @@
             refused += 1
             continue
         backoffs.sent(kept[number], server, now)
-        came[number, server].append(now)
+        arrivals[number, server].append(now)
         if now < REFUSING_S:
             backoffs.back_off(kept[number], server, ASKED_S, now)
-            asked.append((number, server, now))
+            refusals.append((number, server, now))
             refused += 1
     most = max(
         sum(
             at + UNDER_WAY_S < each < at + ASKED_S
-            for each in came[number, server]
+            for each in arrivals[number, server]
         )
-        for number, server, at in asked
+        for number, server, at in refusals
     )
     return refused, most
 
--- a/beryllug/core/placement/choose.py
+++ b/beryllug/core/placement/choose.py
@@ -128,12 +128,12 @@
     If every server seems to fail, the cause is more likely on this side, and
     sending nothing would turn a short outage into a long one.
     """
-    sound = [
+    healthy = [
         server
         for server in servers
         if not ejection.is_out(server_load.track(state, server.instance), now)
     ]
-    return sound or servers
+    return healthy or servers
 
 
 def home(servers: Sequence[servers_data.Server], key: str) -> str:
@@ -186,9 +186,9 @@
     zone: str,
     now: float,
 ) -> tuple[float, int]:
-    seen = server_load.track(state, server.instance)
+    tracked = server_load.track(state, server.instance)
     remote = 0 if server.zone == zone else REMOTE_ZONE_LOAD
-    tie = rendezvous.score(zone, server.instance)
+    tie_breaker = rendezvous.score(zone, server.instance)
     points = suspicion.points_of(known.failures, server.instance, now)
-    load = server_load.load_of(seen, now) + remote + points * SUSPICION_LOAD
-    return (load, tie)
+    load = server_load.load_of(tracked, now) + remote + points * SUSPICION_LOAD
+    return (load, tie_breaker)
--- a/beryllug/core/placement/choose_test.py
+++ b/beryllug/core/placement/choose_test.py
@@ -42,8 +42,8 @@
 CASES: tuple[Case, ...] = (
     ('own zone first', (FAR, OWN), None, NONE, 'own'),
     ('another zone', (FAR,), None, NONE, 'far'),
-    ('none that leaves', (LEAVING,), None, NONE, None),
-    ('none of another service', (OTHER,), None, NONE, None),
+    ('no leaving server', (LEAVING,), None, NONE, None),
+    ('no server of another service', (OTHER,), None, NONE, None),
     ('not where it failed', (OWN, FAR), None, frozenset(('own',)), 'far'),
     ('the version asked for', (OWN, NEW), frozenset(('v2',)), NONE, 'new'),
     ('another one if there is none', (OWN,), frozenset(('v2',)), NONE, 'own'),
@@ -135,7 +135,7 @@
         )
         table: tuple[tuple[str, int, int, str], ...] = (
             ('a short one', 200, 0, 'r1'),
-            ('a short one, past a wait', 200, 20000, 'r2'),
+            ('a short one, with a wait', 200, 20000, 'r2'),
             ('a long shared part', 9000, 0, 'r2'),
         )
         for title, shared, waiting, expected in table:
--- a/beryllug/core/placement/cold.py
+++ b/beryllug/core/placement/cold.py
@@ -54,8 +54,8 @@
         return
     # Nothing asks for servers that are gone, so their entries would never be
     # removed.
-    warm = [name for name, until in cold.until.items() if until <= now]
-    for name in warm:
+    expired = [name for name, until in cold.until.items() if until <= now]
+    for name in expired:
         _forget(cold, name)
     before = cold.until.get(instance, now)
     cold.until[instance] = max(before, now + seconds)
@@ -85,15 +85,15 @@
         return True
     if fleet_size.until_settled_s(cold.size, now) > 0:
         return False
-    used = max(per_s * USED_PART, 1)
-    drawn = rendezvous.share(f'{instance}/{cold.name}')
-    if drawn * cold.size.ever >= used:
+    usable_per_s = max(per_s * USED_PART, 1)
+    draw = rendezvous.share(f'{instance}/{cold.name}')
+    if draw * cold.size.ever >= usable_per_s:
         return False
     window_s = WINDOW_S / min(per_s, 1)
     times = cold.sent.get(instance, deque())
     while times and now - times[0] >= window_s:
         times.popleft()
-    return len(times) < max(int(used / cold.size.ever), 1)
+    return len(times) < max(int(usable_per_s / cold.size.ever), 1)
 
 
 def sent(cold: Cold, instance: str, now: float) -> None:
--- a/beryllug/core/placement/cold_test.py
+++ b/beryllug/core/placement/cold_test.py
@@ -48,7 +48,7 @@
     rng = random.Random(seed)
     states = [cold.Cold(f'p{number}') for number in range(load.processes)]
     servers = [f'i-{seed}-{number}' for number in range(load.servers)]
-    came: dict[str, list[float]] = {name: [] for name in servers}
+    arrivals: dict[str, list[float]] = {name: [] for name in servers}
     for state, name in itertools.product(states, servers):
         cold.becomes_cold(state, name, LONG_S, 0)
         fleet_size.count(state.size, load.known, load.known, -60)
@@ -65,13 +65,13 @@
             has_request = rng.random() < load.demand_per_s * STEP_S
             if has_request and cold.may_send(state, name, PER_S, now):
                 cold.sent(state, name, now)
-                came[name].append(now)
-    return list(came.values())
+                arrivals[name].append(now)
+    return list(arrivals.values())
 
 
-def _max_per_second(came: Iterable[float]) -> int:
+def _max_per_second(arrivals: Iterable[float]) -> int:
     """Return the most arrivals in any second."""
-    times = list(came)
+    times = list(arrivals)
     return max(
         (sum(begin <= each <= begin + 1 for each in times) for begin in times),
         default=0,
@@ -91,22 +91,24 @@
         table: tuple[tuple[str, _Load], ...] = (
             ('one process', _Load(1, 5, 1)),
             ('a small fleet', _Load(8, 5, 8)),
-            ('a zone of 84 comes back', _Load(84, 15, 84)),
+            ('a zone of 84 restarts', _Load(84, 15, 84)),
             ('a large fleet', _Load(300, 40, 300)),
             ('all have just started', _Load(84, 15, 84, is_new=True)),
             ('some are not known yet', _Load(84, 15, 60)),
         )
         for title, load in table:
             with self.subTest(title):
-                most = max(_max_per_second(came) for came in _arrivals(load))
+                most = max(
+                    _max_per_second(arrivals) for arrivals in _arrivals(load)
+                )
                 self.assertLessEqual(most, CRASH_PER_S)
 
     def test_draw(self) -> None:
         """The margin covers the variance of the hash over 600 servers."""
         most = max(
-            _max_per_second(came)
+            _max_per_second(arrivals)
             for seed in range(10)
-            for came in _arrivals(_Load(84, 60, 84), seed)
+            for arrivals in _arrivals(_Load(84, 60, 84), seed)
         )
         self.assertLessEqual(most, CRASH_PER_S)
 
@@ -114,8 +116,8 @@
         """Cold servers get enough requests: more than half of their rate."""
         for processes in (1, 3, 8, 84, 300):
             with self.subTest(processes=processes):
-                came = _arrivals(_Load(processes, 40, processes))
-                mean = sum(len(times) for times in came) / len(came)
+                arrivals = _arrivals(_Load(processes, 40, processes))
+                mean = sum(len(times) for times in arrivals) / len(arrivals)
                 self.assertGreater(mean / LONG_S, PER_S / 2)
 
 
@@ -129,10 +131,10 @@
     def test_end(self) -> None:
         """A server is cold until the latest time that it has stated."""
         table: tuple[tuple[str, _Reports, float], ...] = (
-            ('never said', (), 0),
+            ('never stated', (), 0),
             ('once', ((0, 3),), 3),
             ('again, later', ((0, 3), (2, 3)), 5),
-            ('an older word comes late', ((0, 3), (1, 0.5)), 3),
+            ('an older report arrives late', ((0, 3), (1, 0.5)), 3),
         )
         for title, reports, until in table:
             with self.subTest(title):
--- a/beryllug/core/placement/lateness.py
+++ b/beryllug/core/placement/lateness.py
@@ -57,17 +57,19 @@
         now: The present second.
     """
     late_s = min(max(late_s, 0), MOST_S)
-    seen = state.own.setdefault(_subject(model, rank), deque())
-    seen.append(AnswerStart(now, late_s))
+    starts = state.own.setdefault(_subject(model, rank), deque())
+    starts.append(AnswerStart(now, late_s))
 
 
 def expected_s(state: Lateness, model: str, rank: int, now: float) -> float:
     """Return the seconds by which an answer is expected to begin late."""
     subject = _subject(model, rank)
     own = _own_sum(state, subject, now)
-    told = load_sums.on_subject(state.others, subject, now) or load_sums.NOTHING
-    late_s = (own.summed + told.summed) / load_sums.PARTS
-    return late_s / max(own.counted + told.counted, MIN_ANSWERS)
+    remote = (
+        load_sums.on_subject(state.others, subject, now) or load_sums.NOTHING
+    )
+    late_s = (own.summed + remote.summed) / load_sums.PARTS
+    return late_s / max(own.counted + remote.counted, MIN_ANSWERS)
 
 
 def told(state: Lateness, now: float) -> dict[str, load_sums.Load]:
@@ -76,12 +78,12 @@
 
 
 def _own_sum(state: Lateness, subject: str, now: float) -> load_sums.Load:
-    seen = state.own.get(subject, deque())
-    while seen and now - seen[0].at > WINDOW_S:
-        seen.popleft()
-    late_s = sum(each.late_s for each in seen)
+    starts = state.own.get(subject, deque())
+    while starts and now - starts[0].at > WINDOW_S:
+        starts.popleft()
+    late_s = sum(each.late_s for each in starts)
     return load_sums.Load(
-        counted=len(seen), summed=round(late_s * load_sums.PARTS)
+        counted=len(starts), summed=round(late_s * load_sums.PARTS)
     )
 
 
--- a/beryllug/core/placement/listing.py
+++ b/beryllug/core/placement/listing.py
@@ -210,15 +210,15 @@
     healthy server was once removed 2.5 s after the first outage, during the
     second.
     """
-    gone = [
+    expired = [
         name
         for name, doubt in book.doubted.items()
         if doubt.until <= now
         and not (doubt.is_outage_lapse and book.was_store_down)
     ]
-    for name in gone:
+    for name in expired:
         book.doubted.pop(name)
-    reused = {server.address for server in book.servers.values()}
+    listed_addresses = {server.address for server in book.servers.values()}
     listed = [
         server
         for server in book.servers.values()
@@ -227,7 +227,7 @@
     doubted = [
         doubt.server
         for doubt in book.doubted.values()
-        if doubt.server.address not in reused
+        if doubt.server.address not in listed_addresses
         and not is_draining(book, doubt.server)
     ]
     return listed, doubted
--- a/beryllug/core/placement/load_sums.py
+++ b/beryllug/core/placement/load_sums.py
@@ -110,10 +110,10 @@
     return others.loads.get(key_of(instance), NOTHING)
 
 
-def add(each: Iterable[Loads]) -> dict[int, Load]:
+def add(parts: Iterable[Loads]) -> dict[int, Load]:
     """Return the sum of the loads of some processes."""
     total: dict[int, Load] = {}
-    for loads in each:
+    for loads in parts:
         for key, load in loads.items():
             known = total.get(key)
             total[key] = load if known is None else _add_loads(known, load)
@@ -135,15 +135,16 @@
     return left
 
 
-def sliced(loads: Loads, most: int) -> list[Slice]:
-    """Split loads into slices of about `most` servers, at least one slice."""
-    slice_count = len(loads) // most + 1
-    parted: list[dict[int, Load]] = [{} for _ in range(slice_count)]
+def sliced(loads: Loads, servers_per_slice: int) -> list[Slice]:
+    """Split loads into slices of about `servers_per_slice` servers.
+
+    There is at least one slice.
+    """
+    slice_count = len(loads) // servers_per_slice + 1
+    split: list[dict[int, Load]] = [{} for _ in range(slice_count)]
     for key, load in loads.items():
-        parted[key % slice_count][key] = load
-    return [
-        Slice(part, place, slice_count) for place, part in enumerate(parted)
-    ]
+        split[key % slice_count][key] = load
+    return [Slice(part, place, slice_count) for place, part in enumerate(split)]
 
 
 def merged(known: Loads, part: Slice) -> dict[int, Load]:
--- a/beryllug/core/placement/server_limits.py
+++ b/beryllug/core/placement/server_limits.py
@@ -51,55 +51,58 @@
     return per_s if math.isfinite(per_s) and per_s >= 0 else None
 
 
-def take(limits: Limits, instance: str, seen: Observation) -> bool:
+def take(limits: Limits, instance: str, observation: Observation) -> bool:
     """Record an observation; returns whether the limit has changed.
 
     Older observations and the end of an unknown limit are ignored.
     """
     before = limits.observed.get(instance)
     if before is None:
-        if seen.per_s is not None:
-            limits.observed[instance] = seen
-        return seen.per_s is not None
-    if seen.at <= before.at:
+        if observation.per_s is not None:
+            limits.observed[instance] = observation
+        return observation.per_s is not None
+    if observation.at <= before.at:
         return False
-    limits.observed[instance] = seen
-    return seen.per_s != before.per_s
+    limits.observed[instance] = observation
+    return observation.per_s != before.per_s
 
 
-def take_remote(limits: Limits, instance: str, seen: Observation) -> bool:
+def take_remote(
+    limits: Limits, instance: str, observation: Observation
+) -> bool:
     """Record another process's observation; returns whether it changed."""
     before = limits.observed.get(instance)
-    if before is not None and seen.at <= before.at + HOP_MARGIN_S:
+    if before is not None and observation.at <= before.at + HOP_MARGIN_S:
         return False
-    return take(limits, instance, seen)
+    return take(limits, instance, observation)
 
 
 def per_s(limits: Limits, instance: str) -> float | None:
     """Return the limit of a server; None where there is none."""
-    seen = limits.observed.get(instance)
-    return seen and seen.per_s
+    observation = limits.observed.get(instance)
+    return observation and observation.per_s
 
 
 def limited(limits: Limits) -> frozenset[str]:
     """Return the servers that have a limit."""
     return frozenset(
         instance
-        for instance, seen in limits.observed.items()
-        if seen.per_s is not None
+        for instance, observation in limits.observed.items()
+        if observation.per_s is not None
     )
 
 
 def forget(limits: Limits, listed: frozenset[str], now: float) -> None:
     """Remove limits that ended long ago or whose servers are gone."""
     limits.observed = {
-        instance: seen
-        for instance, seen in limits.observed.items()
-        if now - seen.at < _retention_s(seen, is_listed=instance in listed)
+        instance: observation
+        for instance, observation in limits.observed.items()
+        if now - observation.at
+        < _retention_s(observation, is_listed=instance in listed)
     }
 
 
-def _retention_s(seen: Observation, *, is_listed: bool) -> float:
-    if seen.per_s is None:
+def _retention_s(observation: Observation, *, is_listed: bool) -> float:
+    if observation.per_s is None:
         return ENDED_S
     return math.inf if is_listed else UNLISTED_RETENTION_S
--- a/beryllug/core/placement/server_limits_test.py
+++ b/beryllug/core/placement/server_limits_test.py
@@ -33,21 +33,21 @@
     def test_newest(self) -> None:
         """An out-of-order answer neither ends nor restores a limit."""
         table: tuple[tuple[str, tuple[Observation, ...], float | None], ...] = (
-            ('named', (Observation(2, 1),), 2),
-            ('named anew', (Observation(2, 1), Observation(3, 2)), 3),
+            ('stated', (Observation(2, 1),), 2),
+            ('stated anew', (Observation(2, 1), Observation(3, 2)), 3),
             ('ended', (Observation(2, 1), Observation(None, 2)), None),
             (
-                'asked before it was named',
+                'sent before it was stated',
                 (Observation(2, 1), Observation(None, 0.5)),
                 2,
             ),
             (
-                'told late',
+                'reported late',
                 (Observation(2, 1), Observation(None, 2), Observation(2, 1.5)),
                 None,
             ),
             (
-                'named again',
+                'stated again',
                 (Observation(2, 1), Observation(None, 2), Observation(4, 3)),
                 4,
             ),
--- a/beryllug/core/placement/sizes.py
+++ b/beryllug/core/placement/sizes.py
@@ -117,6 +117,6 @@
     still sent to the largest model until all runners were seconds behind.
     """
     delayed = outlook.wait_s / MEAN_PREFILL_S
-    late_part = outlook.read_s / max(outlook.target_s, MEAN_PREFILL_S)
-    relative = DELAYED_VALUE_RATIO.get(rank, DEFAULT_DELAYED_VALUE_RATIO)
-    return LATE_VALUE_LOSS * relative * delayed * late_part
+    late_fraction = outlook.read_s / max(outlook.target_s, MEAN_PREFILL_S)
+    value_ratio = DELAYED_VALUE_RATIO.get(rank, DEFAULT_DELAYED_VALUE_RATIO)
+    return LATE_VALUE_LOSS * value_ratio * delayed * late_fraction
--- a/beryllug/core/placement/sizes_test.py
+++ b/beryllug/core/placement/sizes_test.py
@@ -34,7 +34,7 @@
         Why.MAY_NOT_FINISH,
     ),
     ('sure, whatever the larger one does', 0, 0, 80, MAY_NOT_FINISH, Why.SURE),
-    ('nothing said', 0, 0, None, IDLE, Why.LARGEST),
+    ('no confidence stated', 0, 0, None, IDLE, Why.LARGEST),
     ('the largest already', 2, 0, 0, IDLE, Why.LARGEST),
     ('others wait, the answer is poor', 0, 0, 49, BUSY, Why.LARGER),
     ('others wait for long, for a less urgent one', 0, 1, 39, BUSY, Why.DELAY),
--- a/beryllug/core/placement/streams.py
+++ b/beryllug/core/placement/streams.py
@@ -49,8 +49,8 @@
 
 def running(streams: Streams, instance: str, now: float) -> int:
     """Return the estimated number of running requests at a runner."""
-    told = load_sums.of(streams.others, instance, now).running
-    return streams.own.get(instance, 0) + told
+    remote = load_sums.of(streams.others, instance, now).running
+    return streams.own.get(instance, 0) + remote
 
 
 def cost_s(
--- a/beryllug/core/placement/streams_test.py
+++ b/beryllug/core/placement/streams_test.py
@@ -66,7 +66,7 @@
             ('idle', 'idle', 3, 0),
             ('a long prompt', 'busy', 3, 1.5),
             ('a short one', 'busy', 0.01, 0.005),
-            ('no place', 'full', 0.01, 0.258),
+            ('no free slot', 'full', 0.01, 0.258),
         )
         for title, instance, read_s, expected in table:
             with self.subTest(title):
@@ -81,14 +81,16 @@
         runner, whatever is running there; with the count of streams they go
         where few are running, and a fifth fewer streams are delayed.
         """
-        self.assertLess(_delayed(is_told=True), 0.8 * _delayed(is_told=False))
+        self.assertLess(
+            _delayed(is_reported=True), 0.8 * _delayed(is_reported=False)
+        )
 
 
 def _key(instance: str) -> int:
     return load_sums.key_of(instance)
 
 
-def _delayed(*, is_told: bool) -> int:
+def _delayed(*, is_reported: bool) -> int:
     """Count the streams beside which a long prompt was prefilled."""
     rng = random.Random(5)
     known = choose.Known(
@@ -120,7 +122,7 @@
             delayed += sum(each[1] == server.instance for each in running)
         ends = now + rng.expovariate(1 / STREAM_S)
         running.append((ends, server.instance, number))
-        if is_told:
+        if is_reported:
             streams.begin(known.streams, server.instance)
     return delayed
 
--- a/beryllug/core/placement/suspicion.py
+++ b/beryllug/core/placement/suspicion.py
@@ -55,10 +55,10 @@
 def points_of(state: Suspicion, instance: str, now: float) -> float:
     """Return the present points of a server, from all processes."""
     own = own_points(state, instance, now)
-    told = load_sums.of(state.others, instance, now).points / load_sums.PARTS
-    if told:
-        told *= _decay(now - state.others.at)
-    return min(own + told, MOST)
+    remote = load_sums.of(state.others, instance, now).points / load_sums.PARTS
+    if remote:
+        remote *= _decay(now - state.others.at)
+    return min(own + remote, MOST)
 
 
 def own_points(state: Suspicion, instance: str, now: float) -> float:
--- a/beryllug/core/placement/suspicion_test.py
+++ b/beryllug/core/placement/suspicion_test.py
@@ -61,11 +61,11 @@
         eight processes of its zone do not share points, each sees few failures
         and keeps sending to it; if they do, they send a tenth of that.
         """
-        told = self._lost(tells=True)
-        alone = self._lost(tells=False)
-        self.assertLess(told * 3, alone)
+        shared = self._lost(is_shared=True)
+        alone = self._lost(is_shared=False)
+        self.assertLess(shared * 3, alone)
 
-    def _lost(self, *, tells: bool) -> int:
+    def _lost(self, *, is_shared: bool) -> int:
         rng = random.Random(5)
         states = [suspicion.Suspicion() for _ in range(PROCESSES)]
         lost = 0
@@ -84,12 +84,12 @@
             if server.instance == GREY and rng.random() < FAIL_RATE:
                 lost += 1
                 suspicion.failed(state, GREY, suspicion.BROKEN, now)
-            if tells:
-                _tell_all(states, now)
+            if is_shared:
+                _share_all(states, now)
         return lost
 
 
-def _tell_all(states: list[suspicion.Suspicion], now: float) -> None:
+def _share_all(states: list[suspicion.Suspicion], now: float) -> None:
     """Report to each process what all others have observed."""
     own = [
         own_loads.of_process(
