--- a/beryllug/core/placement/backlog_test.py
+++ b/beryllug/core/placement/backlog_test.py
@@ -55,8 +55,8 @@
         """A prompt counts until it is answered, less its elapsed time."""
         table: tuple[tuple[str, float, float, float], ...] = (
             ('just sent', 0.0, 0.9, 3.0),
-            ('half prefilled', 0.5, 0.4, 2.5),
-            ('overdue: an unreported backlog', 6.0, 3.0, 6.0),
+            ('half read', 0.5, 0.4, 2.5),
+            ('overdue: a backlog nobody knew of', 6.0, 3.0, 6.0),
         )
         for title, now, least, most in table:
             with self.subTest(title):
@@ -242,11 +242,12 @@
 
 
 def _set_others(
-    reading: backlog.Backlog, loads: dict[str, load_sums.Load]
+    reading: backlog.Backlog, remote_loads: dict[str, load_sums.Load]
 ) -> None:
     """Set the loads of the other processes, as of second 0."""
     reading.others.loads = {
-        load_sums.key_of(instance): load for instance, load in loads.items()
+        load_sums.key_of(instance): load
+        for instance, load in remote_loads.items()
     }
     reading.others.at = 0
 
--- a/beryllug/core/placement/backoffs_test.py
+++ b/beryllug/core/placement/backoffs_test.py
@@ -81,7 +81,7 @@
     rng = random.Random(processes)
     kept = [backoffs.Backoffs() for _ in range(processes)]
     arrivals: dict[tuple[int, str], list[float]] = defaultdict(list)
-    refusals: list[tuple[int, str, float]] = []
+    refused_at: list[tuple[int, str, float]] = []
     refused = 0
     now = 0.0
     while now < ASKED_S:
@@ -95,14 +95,14 @@
         arrivals[number, server].append(now)
         if now < REFUSING_S:
             backoffs.back_off(kept[number], server, ASKED_S, now)
-            refusals.append((number, server, now))
+            refused_at.append((number, server, now))
             refused += 1
     most = max(
         sum(
             at + UNDER_WAY_S < each < at + ASKED_S
             for each in arrivals[number, server]
         )
-        for number, server, at in refusals
+        for number, server, at in refused_at
     )
     return refused, most
 
--- a/beryllug/core/placement/choose_test.py
+++ b/beryllug/core/placement/choose_test.py
@@ -42,8 +42,8 @@
 CASES: tuple[Case, ...] = (
     ('own zone first', (FAR, OWN), None, NONE, 'own'),
     ('another zone', (FAR,), None, NONE, 'far'),
-    ('no leaving server', (LEAVING,), None, NONE, None),
-    ('no server of another service', (OTHER,), None, NONE, None),
+    ('none that leaves', (LEAVING,), None, NONE, None),
+    ('none of another service', (OTHER,), None, NONE, None),
     ('not where it failed', (OWN, FAR), None, frozenset(('own',)), 'far'),
     ('the version asked for', (OWN, NEW), frozenset(('v2',)), NONE, 'new'),
     ('another one if there is none', (OWN,), frozenset(('v2',)), NONE, 'own'),
--- a/beryllug/core/placement/cold_test.py
+++ b/beryllug/core/placement/cold_test.py
@@ -134,7 +134,7 @@
             ('never stated', (), 0),
             ('once', ((0, 3),), 3),
             ('again, later', ((0, 3), (2, 3)), 5),
-            ('an older report arrives late', ((0, 3), (1, 0.5)), 3),
+            ('an older statement comes late', ((0, 3), (1, 0.5)), 3),
         )
         for title, reports, until in table:
             with self.subTest(title):
--- a/beryllug/core/placement/crashers.py
+++ b/beryllug/core/placement/crashers.py
@@ -72,9 +72,9 @@
     return found
 
 
-def take(state: Crashers, losses: Iterable[Loss], now: float) -> None:
+def take(state: Crashers, reported: Iterable[Loss], now: float) -> None:
     """Record losses, found by this process or reported by a peer."""
-    for fingerprint, instance in losses:
+    for fingerprint, instance in reported:
         known = state.losses.pop(fingerprint, {})
         known.setdefault(instance, now)
         state.losses[fingerprint] = known
@@ -95,10 +95,10 @@
 
 def refused_s(state: Crashers, fingerprint: str, now: float) -> float:
     """Return the seconds for which a request is refused; 0 if it is not."""
-    losses = state.losses.get(fingerprint, {})
-    if len(losses) < MOST_LOST:
+    lost_at = state.losses.get(fingerprint, {})
+    if len(lost_at) < MOST_LOST:
         return 0
-    return max(max(losses.values()) + REFUSED_S - now, 0)
+    return max(max(lost_at.values()) + REFUSED_S - now, 0)
 
 
 def _trim(known: dict[str, dict[str, float]]) -> None:
--- a/beryllug/core/placement/lateness_test.py
+++ b/beryllug/core/placement/lateness_test.py
@@ -170,7 +170,7 @@
             ('one', ((9, 2),), 2 / lateness.MIN_ANSWERS),
             ('many', ((9, 2),) * 10, 2),
             ('early', ((9, -3),) * 10, 0),
-            ('one without an answer', ((9, 60),), 1),
+            ('one without response', ((9, 60),), 1),
             ('old', ((5, 2),) * 10, 0),
         )
         for title, began, expected in table:
--- a/beryllug/core/placement/server_limits_test.py
+++ b/beryllug/core/placement/server_limits_test.py
@@ -42,7 +42,7 @@
                 2,
             ),
             (
-                'reported late',
+                'received late',
                 (Observation(2, 1), Observation(None, 2), Observation(2, 1.5)),
                 None,
             ),
--- a/beryllug/core/placement/streams_test.py
+++ b/beryllug/core/placement/streams_test.py
@@ -66,7 +66,7 @@
             ('idle', 'idle', 3, 0),
             ('a long prompt', 'busy', 3, 1.5),
             ('a short one', 'busy', 0.01, 0.005),
-            ('no free slot', 'full', 0.01, 0.258),
+            ('no capacity', 'full', 0.01, 0.258),
         )
         for title, instance, read_s, expected in table:
             with self.subTest(title):
