--- a/beryllug/core/placement/server_limits.py
+++ b/beryllug/core/placement/server_limits.py
@@ -1,8 +1,8 @@
 """Rate limits that backend servers state in their answers.
 
-A limit, in requests a second, holds for all processes together, from the first
-answer that states it to the first one that does not. Answers overtake one
-another, so one without a limit ends it only if its request was sent after the
+A limit, in requests a second, applies to all processes together, from the first
+answer that states it to the first one that does not. Answers may arrive out of
+order, so one without a limit ends it only if its request was sent after the
 limit was observed.
 """
 
@@ -11,20 +11,20 @@
 from typing import NamedTuple
 
 # Seconds for which the end of a limit is remembered, so that an older
-# observation of another process does not bring it back, and for which an
-# observation is told to others.
+# observation of another process does not restore it, and for which an
+# observation is sent to others.
 ENDED_S = 10.0
-# Seconds by which an observation of another process must be newer. The age is
-# understated by each hop's delay; without this an observation that is gossiped
-# in a circle would be renewed for ever.
-HOP_S = 0.25
-# Seconds for which the limit of a server that is not listed is remembered: its
-# entry may lapse for a moment.
-UNLISTED_S = 60.0
+# Seconds by which an observation of another process must be newer. Each hop's
+# delay makes an observation look younger; without this margin one that is
+# gossiped in a circle would be renewed forever.
+HOP_MARGIN_S = 0.25
+# Seconds for which the limit of an unlisted server is remembered: its entry may
+# be missing for a moment.
+UNLISTED_RETENTION_S = 60.0
 
 
 class Observation(NamedTuple):
-    """A server's limit at a moment.
+    """A server's limit at a point in time.
 
     Attributes:
         per_s: Requests a second; None where it states no limit.
@@ -43,7 +43,7 @@
 
 
 def read(text: str) -> float | None:
-    """Return a limit in requests a second; None where it is no limit."""
+    """Parse a limit in requests a second; None if it is not valid."""
     try:
         per_s = float(text)
     except ValueError:
@@ -51,55 +51,58 @@
     return per_s if math.isfinite(per_s) and per_s >= 0 else None
 
 
-def take(limits: Limits, instance: str, seen: Observation) -> bool:
-    """Take an observation; returns whether the limit has changed.
+def take(limits: Limits, instance: str, observation: Observation) -> bool:
+    """Record an observation; returns whether the limit has changed.
 
-    An older one changes nothing, nor does the end of a limit that is unknown.
+    Older observations and the end of an unknown limit are ignored.
     """
     before = limits.observed.get(instance)
     if before is None:
-        if seen.per_s is not None:
-            limits.observed[instance] = seen
-        return seen.per_s is not None
-    if seen.at <= before.at:
+        if observation.per_s is not None:
+            limits.observed[instance] = observation
+        return observation.per_s is not None
+    if observation.at <= before.at:
         return False
-    limits.observed[instance] = seen
-    return seen.per_s != before.per_s
+    limits.observed[instance] = observation
+    return observation.per_s != before.per_s
 
 
-def take_remote(limits: Limits, instance: str, seen: Observation) -> bool:
-    """Take an observation of another process, likewise."""
+def take_remote(
+    limits: Limits, instance: str, observation: Observation
+) -> bool:
+    """Record another process's observation; returns whether it changed."""
     before = limits.observed.get(instance)
-    if before is not None and seen.at <= before.at + HOP_S:
+    if before is not None and observation.at <= before.at + HOP_MARGIN_S:
         return False
-    return take(limits, instance, seen)
+    return take(limits, instance, observation)
 
 
 def per_s(limits: Limits, instance: str) -> float | None:
     """Return the limit of a server; None where there is none."""
-    seen = limits.observed.get(instance)
-    return seen and seen.per_s
+    observation = limits.observed.get(instance)
+    return observation and observation.per_s
 
 
 def limited(limits: Limits) -> frozenset[str]:
     """Return the servers that have a limit."""
     return frozenset(
         instance
-        for instance, seen in limits.observed.items()
-        if seen.per_s is not None
+        for instance, observation in limits.observed.items()
+        if observation.per_s is not None
     )
 
 
 def forget(limits: Limits, listed: frozenset[str], now: float) -> None:
-    """Forget limits that ended long ago, or whose servers are gone."""
+    """Remove limits that ended long ago or whose servers are gone."""
     limits.observed = {
-        instance: seen
-        for instance, seen in limits.observed.items()
-        if now - seen.at < _kept_s(seen, is_listed=instance in listed)
+        instance: observation
+        for instance, observation in limits.observed.items()
+        if now - observation.at
+        < _retention_s(observation, is_listed=instance in listed)
     }
 
 
-def _kept_s(seen: Observation, *, is_listed: bool) -> float:
-    if seen.per_s is None:
+def _retention_s(observation: Observation, *, is_listed: bool) -> float:
+    if observation.per_s is None:
         return ENDED_S
-    return math.inf if is_listed else UNLISTED_S
+    return math.inf if is_listed else UNLISTED_RETENTION_S
