--- a/beryllug/router/__init__.py
+++ b/beryllug/router/__init__.py
@@ -1,6 +1,6 @@
-"""Services of the role `router`: callers on one side, backend servers on the
-other, and the platform's store for all that must last.
+"""Services of the role `router`, between callers and backend servers.
 
-One process a host holds the whole role. It keeps nothing that it can't learn
-again from the store, its peers or its own requests.
+All durable data is in the platform's store. One process per host runs the whole
+role. It keeps no state that it can't recover from the store, from its peers or
+from its own requests.
 """
--- a/beryllug/router/directory.py
+++ b/beryllug/router/directory.py
@@ -1,9 +1,9 @@
-"""Service 'directory': what this process knows from the platform's store.
+"""Service 'directory': this process's copy of the platform's store.
 
-The route table, the backend servers, the ordered roll-outs and the evacuated
-availability zones. It follows the store itself while told to; else peers tell
-it. A table is replaced only by
-one of a higher version, whoever brings it.
+It holds the route table, the backend servers, the roll-out orders and the
+evacuated availability zones. While told to, it watches the store itself;
+otherwise peers send the data. A route table is replaced only by one of a higher
+version, whatever its source.
 """
 
 import asyncio
@@ -29,16 +29,16 @@
 
 
 class Directory:
-    """Answers from memory what the store says.
+    """Answers from memory what the store contains.
 
     Attributes:
         table: The route table in force, or None.
-        table_spec: The same as it is stored, for peers.
+        table_spec: The route table as stored, to send to peers.
         servers: The list of backend servers.
         orders: The roll-out orders.
         zones: The evacuated availability zones.
         eras: The era of the store.
-        pulse: Notices that the store has fallen silent.
+        liveness: Detects that the store has stopped answering.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         zones: zone_list.ZoneList,
         lines: log_lines.LineWriter,
     ) -> None:
-        """Bind to the store, and to the lists that are kept of it."""
+        """Bind to the store and to the lists of its objects."""
         self.table: routes_data.RouteTable | None = None
         self.table_spec: Any = None
         self.servers = servers
@@ -58,19 +58,19 @@
         self._lines = lines
         self._table_listeners: list[TableListener] = []
         self._ready = asyncio.Event()
-        servers.on_known = self._note_ready
+        servers.on_list_replaced = self._note_ready
         followers = {
             store.TABLES: store_watch.Follower(
-                self._list_tables, self._change_tables, _ignore
+                self._list_tables, self._change_tables, _ignore_store_state
             ),
             store.SERVERS: store_watch.Follower(
                 servers.listed, servers.changed, servers.reached
             ),
             store.ROLLOUTS: store_watch.Follower(
-                orders.listed, orders.changed, _ignore
+                orders.listed, orders.changed, _ignore_store_state
             ),
             store.EVACUATIONS: store_watch.Follower(
-                zones.listed, zones.changed, _ignore
+                zones.listed, zones.changed, _ignore_store_state
             ),
         }
         self._watches = [
@@ -78,57 +78,57 @@
             for kind, follower in followers.items()
         ]
         self.eras = api.eras
-        self.pulse = store_pulse.StorePulse(api, self._watches)
+        self.liveness = store_pulse.StoreLiveness(api, self._watches)
 
     def on_table(self, listener: TableListener) -> None:
-        """Tell of each table that comes in force."""
+        """Register a listener for each route table that comes into force."""
         self._table_listeners.append(listener)
 
     async def start(self) -> None:
-        """Do nothing: who follows the store is decided among the peers."""
+        """Do nothing: the peers decide which processes follow the store."""
 
     async def stop(self, grace_s: float) -> None:
-        """Stop to follow the store."""
-        await self.unfollow()
+        """Stop following the store."""
+        await self.stop_following()
 
-    def pause_between_pages(self, seconds: float) -> None:
-        """Wait so long before each further page of a list."""
+    def set_page_pause(self, seconds: float) -> None:
+        """Set the pause in seconds before each further page of a list."""
         for watch in self._watches:
             watch.page_pause_s = seconds
 
-    async def unfollow(self) -> None:
-        """Follow the store no more; what is known stays."""
-        await self.pulse.stop()
+    async def stop_following(self) -> None:
+        """Stop following the store; the data known so far is kept."""
+        await self.liveness.stop()
         for watch in self._watches:
             await watch.stop()
 
-    async def follow_or_not(self, *, must: bool) -> None:
-        """Follow the store where one must, else no more once all is known."""
-        if must:
-            self.pulse.start()
+    async def update_following(self, *, should_follow: bool) -> None:
+        """Follow the store if needed, else stop once the process is ready."""
+        if should_follow:
+            self.liveness.start()
             for watch in self._watches:
                 watch.start()
         elif self.is_ready():
-            await self.unfollow()
+            await self.stop_following()
 
     def is_current(self) -> bool:
-        """Tell whether the store answered the last calls of all kinds."""
+        """Tell whether the store answered the last call for every kind."""
         return all(watch.is_current for watch in self._watches)
 
     def is_ready(self) -> bool:
-        """Tell whether requests can be placed at all."""
+        """Tell whether there are a route table and a list of servers."""
         return self.table is not None and self.servers.is_known
 
-    async def wait_ready(self, within_s: float) -> None:
-        """Wait until requests can be placed, for a bounded time."""
+    async def wait_ready(self, timeout_s: float) -> None:
+        """Wait until requests can be placed, at most for the given time."""
         if self._ready.is_set():
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 await self._ready.wait()
 
     def dump(self) -> dict[str, Any]:
-        """Return the version in force and the servers."""
+        """Return the table version, the servers, the orders and the zones."""
         return {
             'table_version': self.table.version if self.table else 0,
             'servers': self.servers.dump(),
@@ -138,12 +138,12 @@
         }
 
     def renew(self) -> None:
-        """List all kinds anew, where this process follows the store."""
+        """List all kinds again, if this process follows the store."""
         for watch in self._watches:
             watch.renew()
 
     def take_table_spec(self, spec: Any, source: str) -> None:
-        """Take a route table, if it is newer than the one in force."""
+        """Put a route table in force, if it is newer than the present one."""
         try:
             table = documents.table(spec)
         except (msgspec.ValidationError, ValueError) as exc:
@@ -172,5 +172,5 @@
         self._list_tables(store_data.Listing(tuple(present), 0), now)
 
 
-def _ignore(is_reached: bool, now: float) -> None:
-    """Pass over whether the store answered: only servers lapse with it."""
+def _ignore_store_state(is_reached: bool, now: float) -> None:
+    """Ignore whether the store answered: only servers expire in an outage."""
--- a/beryllug/router/directory_test.py
+++ b/beryllug/router/directory_test.py
@@ -1,4 +1,4 @@
-"""Tests of when requests can be placed at all."""
+"""Tests of when a router is ready to place requests."""
 
 import asyncio
 import unittest
@@ -18,7 +18,7 @@
 
 
 class ReadyTest(unittest.IsolatedAsyncioTestCase):
-    """A process that has just started, and knows nothing."""
+    """A process that has just started and has no data."""
 
     async def asyncSetUp(self) -> None:
         lines = log_lines.LineWriter(1)
@@ -29,12 +29,12 @@
             api, self.servers, orders, zone_list.ZoneList(lines), lines
         )
 
-    async def test_both(self) -> None:
-        """A request waits until there are a route table and servers.
+    async def test_table_and_servers(self) -> None:
+        """A request waits until both a route table and servers are known.
 
-        They come one after the other, from the store or from a peer, and in
-        any order. Let through with one of them only, it is refused at once
-        although it could be placed a moment later.
+        They arrive one after the other, in any order, from the store or from a
+        peer. With only one of them, a request would be refused at once although
+        it could be placed a moment later.
         """
         for first, second in (
             (self._take_table, self._take_servers),
@@ -50,8 +50,8 @@
                 await waiting
                 self.assertTrue(self.known.is_ready())
 
-    async def test_in_vain(self) -> None:
-        """It waits for a bounded time; nothing is raised at its end."""
+    async def test_timeout(self) -> None:
+        """The wait ends after the given time and raises nothing."""
         await self.known.wait_ready(SHORT_S)
         self.assertFalse(self.known.is_ready())
 
--- a/beryllug/router/fleet_loads.py
+++ b/beryllug/router/fleet_loads.py
@@ -1,7 +1,7 @@
-"""What this process tells of its load, and what it hears of all others'.
+"""Reports the load of this process and collects that of all others.
 
-It reports what it has at servers to the aggregators of its availability zone,
-and where it is their primary, tells the sums; see
+Each process reports its load on backend servers to the aggregators of its
+availability zone. The primary aggregator also sends out the sums; see
 `core.peering.aggregation`.
 """
 
@@ -12,189 +12,196 @@
 from beryllug.core.placement import load_sums, own_loads
 from beryllug.router import pool
 
-# Seconds between two rounds: a runner's backlog of a second must be known
-# before the next prompt goes there too.
+# Seconds between two rounds: a second of backlog at a runner must be known
+# before the next prompt is sent there as well.
 PERIOD_S = 0.25
-# Rounds after which what has not changed is told again, since a message may
-# be lost and what was told counts for a moment only.
-ROUNDS_AGAIN = 2
-# Rounds between two sums to the other zones while nothing has risen much:
-# bytes between zones are paid. Long prompts do go there, to where their shared
-# part is kept, so a sum that has risen is told at once.
-ROUNDS_A_FAR_SUM = 4
-# Servers in one message, and processes whose reports it names: 20 bytes and 6
-# each at the most, so that it fits a datagram.
-MOST_SERVERS = 44
-MOST_HOLDS = 40
-# Messages a second beyond which a primary tells nothing between its rounds. One
-# of a small fleet tells of a new load at once; for one of 40 processes and five
-# zones the rounds are as much as it should send.
+# Rounds after which unchanged data is sent again, since a message may be lost
+# and what it tells expires soon.
+REPEAT_ROUNDS = 2
+# Rounds between two zone sums to the other zones, unless load has risen much:
+# traffic between zones is billed. A raised sum is sent at once, because long
+# prompts do go to other zones, to where their shared prefix is cached.
+ZONE_SUM_ROUNDS = 4
+# Servers per message, and processes whose report numbers it lists: at most 20
+# and 6 bytes each, so that a message fits a datagram.
+MAX_SERVERS_PER_MESSAGE = 44
+MAX_REPORTS_PER_MESSAGE = 40
+# Messages per second above which a primary sends nothing between its rounds. In
+# a small fleet it sends a new load at once; with 40 processes and five zones,
+# the rounds alone are as much as it should send.
 MOST_A_S = 200
 
 Told = peering_data.Report | peering_data.ZoneSum | peering_data.Total
 
 
-class Due(NamedTuple):
-    """A message, and the addresses that it goes to."""
+class OutgoingMessage(NamedTuple):
+    """A message and the addresses that it is sent to."""
 
-    told: Told
+    payload: Told
     addresses: list[str]
 
 
 class FleetLoads:
-    """Decides what is told of loads and to whom, and takes what is told.
+    """Decides which loads are sent to whom, and handles received ones.
 
-    It belongs to the service that sends the notes, and calls it round by
-    round.
+    The service that sends the notes owns it and calls it each round.
     """
 
     def __init__(
         self, zone: str, known: members.Members, servers: pool.Pool
     ) -> None:
-        """Bind to the processes that are known, and to the loads."""
+        """Bind to the known processes and to the loads of this one."""
         self.state = aggregation.Aggregation(known.name, zone, servers.others)
         self._members = known
         self._pool = servers
         self._round = 0
-        # A process that starts reports that it has nothing: its zone may still
-        # count what it had before.
-        self._reported: load_sums.Loads | None = None
-        self._had_load = False
-        self._told_at = float('-inf')
-        self._told_messages = 0
-        self._told_total: load_sums.Loads = {}
-
-    def due(self, now: float) -> list[Due]:
-        """Return what is told in this round.
-
-        The end of a load is told once; then there is nothing to tell.
+        # The first report after a start is sent even if it is empty: the zone
+        # may still count the load from before a restart.
+        self._last_reported: load_sums.Loads | None = None
+        self._zone_had_load = False
+        self._published_at = float('-inf')
+        self._published_messages = 0
+        self._published_total: load_sums.Loads = {}
+
+    def due(self, now: float) -> list[OutgoingMessage]:
+        """Return the messages of this round.
+
+        The end of a load is reported once; no reports follow without load.
         """
         self._round += 1
         due = list(self._due_report(now))
         if aggregation.is_primary(self.state, self._members, now):
-            due.extend(self._due_of_zone(now))
+            due.extend(self._due_as_primary(now))
         return due
 
-    def due_at_once(self, now: float) -> list[Due]:
-        """Return what a primary tells between two rounds, of a new load.
+    def due_immediately(self, now: float) -> list[OutgoingMessage]:
+        """Return a primary's messages between rounds, if load has risen.
 
-        Where each level waits for its next round, a load is known in other
-        zones after half a second, and prompts of that time go to where it is.
+        If each level waited for its next round, other zones would learn of a
+        load half a second late and send their prompts to the busy server
+        meanwhile.
         """
-        least_s = self._told_messages / MOST_A_S
-        if now - self._told_at < least_s:
+        min_interval_s = self._published_messages / MOST_A_S
+        if now - self._published_at < min_interval_s:
             return []
         if not aggregation.is_primary(self.state, self._members, now):
             return []
         own_zone, _ = aggregation.zone_sum(self.state, now)
         total = aggregation.total(self.state, own_zone, now)
-        if not aggregation.has_risen(total, self._told_total):
+        if not aggregation.has_risen(total, self._published_total):
             return []
-        return self._due_of_zone(now)
+        return self._due_as_primary(now)
 
-    def take(self, name: str, told: Told, now: float) -> None:
-        """Take what a process tells."""
-        match told:
+    def take(self, name: str, payload: Told, now: float) -> None:
+        """Handle a load message from a process."""
+        match payload:
             case peering_data.Report():
-                aggregation.take_report(self.state, name, told, now)
+                aggregation.take_report(self.state, name, payload, now)
             case peering_data.ZoneSum():
-                aggregation.take_sum(self.state, told, now)
+                aggregation.take_sum(self.state, payload, now)
             case peering_data.Total():
-                if not aggregation.hears_more(self.state, name, told, now):
-                    aggregation.take_total(self.state, told, now)
+                if not aggregation.hears_more(self.state, name, payload, now):
+                    aggregation.take_total(self.state, payload, now)
 
-    def is_unheard(self, now: float) -> bool:
-        """Tell whether this process hears no total: who tells may not know it.
+    def lacks_totals(self, now: float) -> bool:
+        """Tell whether this process gets no totals.
 
-        Its reports then say where it is reached. Word of a process that has
-        just started takes some seconds from peer to peer, in which it would
-        know of no load and of none who follows the store.
+        The primary may not know this process then, so its reports carry its
+        address. It takes some seconds until a process that has just started is
+        known from peer to peer; until then it would know neither any loads nor
+        which processes follow the store.
         """
         return now - self.state.others.at > load_sums.TOLD_S
 
-    def _due_report(self, now: float) -> Iterable[Due]:
+    def _due_report(self, now: float) -> Iterable[OutgoingMessage]:
         own = own_loads.of_process(self._pool.known, now)
-        is_again = self._round % ROUNDS_AGAIN == 0
+        is_repeat_round = self._round % REPEAT_ROUNDS == 0
         subjects = own_loads.on_subjects(self._pool.subjects(now))
-        is_told = bool(own or subjects) or self.is_unheard(now)
-        is_due = own != self._reported or (is_told and is_again)
+        has_content = bool(own or subjects) or self.lacks_totals(now)
+        is_due = own != self._last_reported or (has_content and is_repeat_round)
         if not is_due:
             return
-        self._reported = own
+        self._last_reported = own
         zone = self.state.zone
-        chosen = aggregation.aggregators(self._members, zone, zone)
-        addresses = members.note_addresses(self._members, chosen)
-        whole = own | subjects
-        for told in aggregation.report(self.state, whole, MOST_SERVERS):
-            if self._members.name in chosen:
-                self.take(self._members.name, told, now)
-            yield Due(told, addresses)
-
-    def _due_of_zone(self, now: float) -> list[Due]:
-        """Return what this process tells as the primary of its zone."""
+        receivers = aggregation.aggregators(self._members, zone, zone)
+        addresses = members.note_addresses(self._members, receivers)
+        all_loads = own | subjects
+        for payload in aggregation.report(
+            self.state, all_loads, MAX_SERVERS_PER_MESSAGE
+        ):
+            if self._members.name in receivers:
+                self.take(self._members.name, payload, now)
+            yield OutgoingMessage(payload, addresses)
+
+    def _due_as_primary(self, now: float) -> list[OutgoingMessage]:
+        """Return what this process sends as the primary of its zone."""
         own_zone, reports = aggregation.zone_sum(self.state, now)
         due = [
             *self._due_sums(own_zone, reports),
             *self._due_totals(own_zone, reports, now),
         ]
-        self._told_at = now
-        self._told_messages = sum(len(each.addresses) for each in due)
+        self._published_at = now
+        self._published_messages = sum(len(each.addresses) for each in due)
         return due
 
     def _due_sums(
         self, own_zone: load_sums.Loads, reports: int
-    ) -> Iterable[Due]:
-        """Return the sum of this zone, for the aggregators of the others."""
-        is_told = bool(own_zone) or self._had_load
-        is_again = self._round % ROUNDS_A_FAR_SUM == 0
+    ) -> Iterable[OutgoingMessage]:
+        """Return the sum of this zone, for the aggregators of other zones."""
+        has_content = bool(own_zone) or self._zone_had_load
+        is_repeat_round = self._round % ZONE_SUM_ROUNDS == 0
         has_risen = aggregation.has_risen(own_zone, self.state.told)
-        if not is_told or not (is_again or has_risen):
+        if not has_content or not (is_repeat_round or has_risen):
             return
-        self._had_load = bool(own_zone)
+        self._zone_had_load = bool(own_zone)
         self.state.told = own_zone
-        chosen = aggregation.of_others(self._members, self.state.zone)
-        addresses = members.note_addresses(self._members, chosen)
-        for part in load_sums.sliced(own_zone, MOST_SERVERS):
-            told = peering_data.ZoneSum(self.state.zone, reports, part)
-            yield Due(told, addresses)
+        receivers = aggregation.of_others(self._members, self.state.zone)
+        addresses = members.note_addresses(self._members, receivers)
+        for part in load_sums.sliced(own_zone, MAX_SERVERS_PER_MESSAGE):
+            payload = peering_data.ZoneSum(self.state.zone, reports, part)
+            yield OutgoingMessage(payload, addresses)
 
     def _due_totals(
         self, own_zone: load_sums.Loads, reports: int, now: float
-    ) -> Iterable[Due]:
-        """Return the total of all zones, for the processes of this one.
+    ) -> Iterable[OutgoingMessage]:
+        """Return the total of all zones, for the processes of this zone.
 
-        It is told where there is nothing, too: who follows the store is told
-        with it, and the standby knows by it that the primary lives.
+        It is sent even if it is empty: it also carries which processes follow
+        the store, and it shows the standby that the primary is alive.
         """
         total = aggregation.total(self.state, own_zone, now)
-        is_again = self._round % ROUNDS_AGAIN == 0
-        is_due = total != self._told_total or is_again
+        is_repeat_round = self._round % REPEAT_ROUNDS == 0
+        is_due = total != self._published_total or is_repeat_round
         if not is_due:
             return
-        self._told_total = total
-        held = aggregation.holds(self.state)
-        parts = load_sums.sliced(total, MOST_SERVERS)
+        self._published_total = total
+        report_numbers = aggregation.holds(self.state)
+        parts = load_sums.sliced(total, MAX_SERVERS_PER_MESSAGE)
         for part in parts:
             self.take(
                 self._members.name,
-                peering_data.Total(held, part, reports),
+                peering_data.Total(report_numbers, part, reports),
                 now,
             )
-        for names in self._groups():
-            held_here = _only(held, names)
+        for names in self._message_groups():
+            group_reports = _select_reports(report_numbers, names)
             addresses = members.note_addresses(self._members, names)
             for part in parts:
-                told = peering_data.Total(held_here, part, reports)
-                yield Due(told, addresses)
+                payload = peering_data.Total(group_reports, part, reports)
+                yield OutgoingMessage(payload, addresses)
 
-    def _groups(self) -> list[list[str]]:
-        """Return the other processes of the zone, in groups for a message."""
+    def _message_groups(self) -> list[list[str]]:
+        """Return the other processes of the zone, in groups of one message."""
         near, _ = members.by_zone(self._members, self.state.zone)
-        starts = range(0, len(near), MOST_HOLDS)
-        return [near[start : start + MOST_HOLDS] for start in starts]
+        starts = range(0, len(near), MAX_REPORTS_PER_MESSAGE)
+        return [
+            near[start : start + MAX_REPORTS_PER_MESSAGE] for start in starts
+        ]
 
 
-def _only(held: dict[int, int], names: Iterable[str]) -> dict[int, int]:
-    """Return the report numbers of some processes."""
+def _select_reports(
+    report_numbers: dict[int, int], names: Iterable[str]
+) -> dict[int, int]:
+    """Return the report numbers of the named processes."""
     keys = [load_sums.key_of(name) for name in names]
-    return {key: held[key] for key in keys if key in held}
+    return {key: report_numbers[key] for key in keys if key in report_numbers}
--- a/beryllug/router/fleet_loads_test.py
+++ b/beryllug/router/fleet_loads_test.py
@@ -1,8 +1,9 @@
-"""Tests of what a fleet knows of its loads, in virtual time.
+"""Tests of load reports across a fleet, in virtual time.
 
-Processes in some zones have prompts at model runners and tell them by two
-levels. Messages take a few milliseconds; in some cases they are lost, late,
-doubled or out of order, and processes are killed, frozen or cut off.
+Processes in some zones have prompts at model runners and report them over two
+levels of aggregation. Messages take a few milliseconds; in some tests they are
+lost, late, duplicated or reordered, and processes are killed, frozen or cut
+off.
 """
 
 import random
@@ -22,55 +23,56 @@
 RUNNERS = 78
 STEP_S = 0.05
 DELAY_S = 0.004
-# Bytes of a signature before each note.
-SIGNED = 90
-# Seconds from a change until all know of it: a report and a total a round
-# each, a sum at once where much has risen, else within four rounds.
+# Bytes of the signature before each note.
+SIGNATURE_BYTES = 90
+# Seconds from a change until all processes know it: one round each for the
+# report and the total; the zone sum follows at once after a large rise, else
+# within four rounds.
 RISE_KNOWN_S = 1.0
 KNOWN_S = 1.75
-# The same where a primary has just failed.
-MENDED_S = 1.6
+# Seconds after a primary's failure until its standby has replaced it.
+FAILOVER_S = 1.6
 
 
 class _Sent(NamedTuple):
-    """A message under way."""
+    """A message in flight."""
 
     at: float
     sender: str
     address: str
-    told: fleet_loads.Told
+    payload: fleet_loads.Told
 
 
 class _Fleet:
-    """Processes, by name, and the messages between them.
+    """Processes by name, and the messages between them.
 
     Attributes:
-        silent: Processes whose messages are lost.
-        deaf: Processes that no message reaches.
-        frozen: Processes that do nothing; what is sent to them waits.
+        drops_outgoing: Processes whose sent messages are lost.
+        drops_incoming: Processes that no message reaches.
+        frozen: Processes that do not run; messages to them are queued.
         sent: Messages by sender.
         largest: Bytes of the largest message.
-        doubles: Whether each message comes twice, the second time late.
+        duplicates: Whether each message is delivered twice, once late.
     """
 
     def __init__(self, size: int, zones: int = ZONES) -> None:
         self.now = 100.0
         self.loads: dict[str, fleet_loads.FleetLoads] = {}
-        self.silent: set[str] = set()
-        self.deaf: set[str] = set()
+        self.drops_outgoing: set[str] = set()
+        self.drops_incoming: set[str] = set()
         self.frozen: set[str] = set()
         self.sent: Counter[str] = Counter()
         self.largest = 0
-        self.doubles = False
+        self.duplicates = False
         self._due: dict[str, float] = {}
-        self._under_way: list[_Sent] = []
+        self._in_flight: list[_Sent] = []
         self._rng = random.Random(size)
         self.zones = {f'p{each}': f'z{each % zones}' for each in range(size)}
         for name in self.zones:
             self.start(name)
 
     def start(self, name: str) -> None:
-        """Start a process, or start it again."""
+        """Start or restart a process."""
         known = members.Members(name)
         for other, zone in self.zones.items():
             seen = members.Known(other, other, self.now, zone)
@@ -83,19 +85,19 @@
         self._due[name] = self.now + self._rng.random() * fleet_loads.PERIOD_S
 
     def forget(self, gone: str) -> None:
-        """Let all learn that a process is gone."""
+        """Make all processes learn that one is gone."""
         for each in self.loads.values():
             members.found_gone(each._members, gone, self.now)  # noqa: SLF001
 
     def kill(self, name: str) -> None:
-        """End a process; the others do not know of it."""
+        """End a process without telling the others."""
         self.loads.pop(name)
 
     def pool_of(self, name: str) -> pool.Pool:
         return self.loads[name]._pool  # noqa: SLF001
 
     def primary(self, zone: str) -> str:
-        """Return the first aggregator of a zone, as the others see it."""
+        """Return the first aggregator of a zone, as the others rank them."""
         known = next(iter(self.loads.values()))._members  # noqa: SLF001
         own = self.zones[known.name]
         return aggregation.aggregators(known, zone, own)[0]
@@ -108,10 +110,10 @@
             for name in list(self.loads):
                 if self._due[name] <= self.now and name not in self.frozen:
                     self._due[name] = self.now + fleet_loads.PERIOD_S
-                    self._tell(name, self.loads[name].due(self.now))
+                    self._transmit(name, self.loads[name].due(self.now))
 
-    def wrong(self, instance: str) -> list[str]:
-        """Return who does not know what all others have at a server."""
+    def inconsistent(self, instance: str) -> list[str]:
+        """Return which processes do not know all others' load on a server."""
         own = {
             name: streams_of(self.pool_of(name), instance)
             for name in self.loads
@@ -120,54 +122,59 @@
         return [
             name
             for name in self.loads
-            if self.told(name, instance).running != whole - own[name]
+            if self.known_load(name, instance).running != whole - own[name]
         ]
 
-    def told(self, name: str, instance: str) -> load_sums.Load:
+    def known_load(self, name: str, instance: str) -> load_sums.Load:
         others = self.pool_of(name).others
         return load_sums.of(others, instance, self.now)
 
-    def _take(self, sent: _Sent) -> None:
+    def _deliver_to(self, sent: _Sent) -> None:
         loads = self.loads[sent.address]
-        loads.take(sent.sender, sent.told, self.now)
-        if not isinstance(sent.told, peering_data.Total):
-            self._tell(sent.address, loads.due_at_once(self.now))
-
-    def _tell(self, name: str, told: Iterable[fleet_loads.Due]) -> None:
-        for due in told:
+        loads.take(sent.sender, sent.payload, self.now)
+        if not isinstance(sent.payload, peering_data.Total):
+            self._transmit(sent.address, loads.due_immediately(self.now))
+
+    def _transmit(
+        self, name: str, messages: Iterable[fleet_loads.OutgoingMessage]
+    ) -> None:
+        for due in messages:
             note = peering_data.Note(name, name)
-            raw = wire.encode(sharing.with_loads(note, due.told))
-            self.largest = max(self.largest, len(raw) + SIGNED)
+            raw = wire.encode(sharing.with_loads(note, due.payload))
+            self.largest = max(self.largest, len(raw) + SIGNATURE_BYTES)
             self.sent[name] += len(due.addresses)
-            if name in self.silent:
+            if name in self.drops_outgoing:
                 continue
             for address in due.addresses:
-                self._send(_Sent(self.now, name, address, due.told))
+                self._send(_Sent(self.now, name, address, due.payload))
 
     def _send(self, sent: _Sent) -> None:
         delays = [DELAY_S * self._rng.random()]
-        if self.doubles:
+        if self.duplicates:
             delays.append(self._rng.random() * fleet_loads.PERIOD_S)
         for delay in delays:
-            self._under_way.append(sent._replace(at=self.now + delay))
+            self._in_flight.append(sent._replace(at=self.now + delay))
 
     def _deliver(self) -> None:
         now = self.now
-        due = [each for each in self._under_way if each.at <= now]
-        self._under_way = [each for each in self._under_way if each.at > now]
+        due = [each for each in self._in_flight if each.at <= now]
+        self._in_flight = [each for each in self._in_flight if each.at > now]
         for each in sorted(due, key=lambda sent: sent.at):
             if each.address in self.frozen:
-                self._under_way.append(each)
-            elif each.address in self.loads and each.address not in self.deaf:
-                self._take(each)
+                self._in_flight.append(each)
+            elif (
+                each.address in self.loads
+                and each.address not in self.drops_incoming
+            ):
+                self._deliver_to(each)
 
 
 def streams_of(servers: pool.Pool, instance: str) -> int:
     return servers.streams.own.get(instance, 0)
 
 
-def _load(fleet: _Fleet, runners: int = RUNNERS) -> None:
-    """Give each process a prompt that is long in reading, and streams."""
+def _add_load(fleet: _Fleet, runners: int = RUNNERS) -> None:
+    """Give each process a prompt with a long prefill and some streams."""
     rng = random.Random(3)
     for name in fleet.loads:
         servers = fleet.pool_of(name)
@@ -180,29 +187,29 @@
             streams.begin(servers.streams, f'i-{rng.randrange(runners)}')
 
 
-class TellingTest(unittest.TestCase):
-    """Fleets of several sizes, in which nothing breaks."""
+class HealthyFleetTest(unittest.TestCase):
+    """Fleets of several sizes without failures."""
 
     def test_exact(self) -> None:
-        """Each process knows what all others have, at each size.
+        """Each process knows the load of all others, for each fleet size.
 
-        Told to a few of all and multiplied up, a runner of the large fleet
-        seemed to have between none and thrice of what it had.
+        Extrapolating from the reports of a few processes misjudged a runner of
+        the large fleet by anything from none to three times its load.
         """
         for size in (1, 2, 8, 72, 195):
             with self.subTest(size):
                 fleet = _Fleet(size)
-                _load(fleet)
+                _add_load(fleet)
                 fleet.run(KNOWN_S + 0.5)
                 for number in range(RUNNERS):
-                    self.assertEqual(fleet.wrong(f'i-{number}'), [])
+                    self.assertEqual(fleet.inconsistent(f'i-{number}'), [])
 
     def test_own_once(self) -> None:
         """A prompt that was just sent counts once at its runner, at all times.
 
-        The total that comes next holds an earlier report, or a later one. Taken
-        with the own count as it is now, the prompt would count twice, or hide
-        what another process has there.
+        The next total contains an earlier or a later report of this process.
+        Subtracting the present count instead of that report would count the
+        prompt twice or hide load of another process.
         """
         fleet = _Fleet(8, 2)
         streams.begin(fleet.pool_of('p3').streams, 'i-0')
@@ -214,13 +221,13 @@
             else:
                 streams.end(own, 'i-0')
             fleet.run(STEP_S)
-            self.assertEqual(fleet.told('p2', 'i-0').running, 1)
+            self.assertEqual(fleet.known_load('p2', 'i-0').running, 1)
 
     def test_at_once(self) -> None:
         """In a small fleet a long prompt is known everywhere after its report.
 
-        Each level waited for its next round: half a second on the mean, in
-        which other processes sent their prompts to the same runner.
+        When each level waited for its next round, this took half a second on
+        average, and other processes sent their prompts to the same runner.
         """
         fleet = _Fleet(8, 3)
         fleet.run(2)
@@ -233,7 +240,7 @@
             backlog.begin(reading, instance, prompt, fleet.now, is_home=False)
             others = [name for name in fleet.loads if name != sender]
             while any(
-                not fleet.told(each, instance).work_cs for each in others
+                not fleet.known_load(each, instance).work_cs for each in others
             ):
                 fleet.run(STEP_S)
                 waited += 1
@@ -242,14 +249,15 @@
         self.assertLess(waited * STEP_S / 20, 0.35)
 
     def test_flat(self) -> None:
-        """Messages a process are as many at 300 processes as at 30.
+        """A process sends as many messages in a fleet of 300 as in one of 30.
 
-        The primaries of a zone send more, to each process of it once a round.
+        The primaries send more: a message to each process of their zone a
+        round.
         """
         mean = {}
         for size in (30, 300):
             fleet = _Fleet(size, size // 15)
-            _load(fleet)
+            _add_load(fleet)
             fleet.run(2)
             fleet.sent.clear()
             fleet.run(4)
@@ -259,10 +267,10 @@
         self.assertLess(mean[300], 20)
 
     def test_idle(self) -> None:
-        """Two totals a second, and no more, while there is nothing to tell.
+        """An idle fleet sends two totals per second and nothing more.
 
-        They tell who follows the store, and that the primary of a zone lives.
-        An end of load is told.
+        They carry which processes follow the store and show that a zone's
+        primary is alive. The end of a load is still sent.
         """
         fleet = _Fleet(30)
         fleet.run(2)
@@ -271,40 +279,41 @@
         fleet.run(2)
         streams.end(fleet.pool_of('p1').streams, 'i-0')
         fleet.run(2)
-        self.assertEqual(fleet.wrong('i-0'), [])
+        self.assertEqual(fleet.inconsistent('i-0'), [])
         self._assert_idle(fleet)
 
     def test_unheard(self) -> None:
-        """A process that no total reaches goes on to report, and says so.
+        """A process that gets no totals keeps reporting, and says so.
 
-        It has nothing, so nobody would need its report; but the primary of
-        its zone does not know of it, and would never tell it anything.
+        It has no load, so its report is not needed for its content. But the
+        primary of its zone does not know the process, and would never send it
+        any totals.
         """
         fleet = _Fleet(10, 1)
         fleet.run(2)
         for each in fleet.loads.values():
             members.found_gone(each._members, 'p3', fleet.now)  # noqa: SLF001
         fleet.run(aggregation.KEPT_S)
-        self.assertTrue(fleet.loads['p3'].is_unheard(fleet.now))
+        self.assertTrue(fleet.loads['p3'].lacks_totals(fleet.now))
         fleet.sent.clear()
         fleet.run(2)
         self.assertGreater(fleet.sent['p3'], 4)
 
     def test_large_messages(self) -> None:
-        """A process with requests at 400 runners tells all of them.
+        """A process with requests at 400 runners reports all of them.
 
-        One datagram would not hold them; one that is too large is not sent.
+        They do not fit one datagram, and one that is too large is not sent.
         """
         fleet = _Fleet(60, 1)
         for number in range(400):
             streams.begin(fleet.pool_of('p1').streams, f'i-{number}')
         fleet.run(KNOWN_S)
-        self.assertEqual(fleet.wrong('i-7'), [])
-        self.assertEqual(fleet.wrong('i-399'), [])
+        self.assertEqual(fleet.inconsistent('i-7'), [])
+        self.assertEqual(fleet.inconsistent('i-399'), [])
         self.assertLessEqual(fleet.largest, datagrams.MOST_BYTES)
 
-    def test_points(self) -> None:
-        """What a server did to one process is known to all within a second."""
+    def test_suspicion_points(self) -> None:
+        """A failure that one process saw is known to all within a second."""
         fleet = _Fleet(72)
         failures = fleet.pool_of('p4').failures
         suspicion.failed(failures, 'i-1', 2, fleet.now)
@@ -322,32 +331,32 @@
         self.assertLessEqual(sum(fleet.sent.values()) / 4 / 30, 2)
 
 
-Break = Callable[[_Fleet, str], object]
+Failure = Callable[[_Fleet, str], object]
 
 
-class BrokenTest(unittest.TestCase):
-    """The primary of a zone, or all of it, breaks while loads change.
+class FailureTest(unittest.TestCase):
+    """The primary of a zone, or the whole zone, fails while loads change.
 
-    Callers see nothing of it: for a second and a half prompts are placed by
-    what was last told, or by what each process knows itself.
+    Callers notice nothing: for a second and a half prompts are placed by the
+    last known loads, or by what each process knows itself.
     """
 
     def test_primary(self) -> None:
-        """The standby takes its place, and all know of changes again."""
-        table: tuple[tuple[str, Break], ...] = (
+        """The standby replaces the primary, and all learn of changes again."""
+        table: tuple[tuple[str, Failure], ...] = (
             ('killed', lambda fleet, name: fleet.kill(name)),
             ('frozen', lambda fleet, name: fleet.frozen.add(name)),
-            ('not heard', lambda fleet, name: fleet.silent.add(name)),
+            ('not heard', lambda fleet, name: fleet.drops_outgoing.add(name)),
             ('cut off', _cut_off),
         )
-        for title, breaks in table:
+        for title, inject in table:
             with self.subTest(title):
                 fleet = _Fleet(40)
-                _load(fleet)
+                _add_load(fleet)
                 fleet.run(2)
                 lost = fleet.primary('z1')
-                breaks(fleet, lost)
-                fleet.run(MENDED_S)
+                inject(fleet, lost)
+                fleet.run(FAILOVER_S)
                 other = next(name for name in fleet.loads if name != lost)
                 streams.begin(fleet.pool_of(other).streams, 'i-5')
                 fleet.run(KNOWN_S)
@@ -359,36 +368,36 @@
                 whole = sum(own.values())
                 others = [name for name in fleet.loads if name != lost]
                 for name in others:
-                    told = fleet.told(name, 'i-5').running
-                    self.assertEqual(told, whole - own[name], name)
+                    load_seen = fleet.known_load(name, 'i-5').running
+                    self.assertEqual(load_seen, whole - own[name], name)
 
-    def test_deaf(self) -> None:
-        """A primary that hears nothing tells totals of little.
+    def test_primary_without_input(self) -> None:
+        """A primary that receives nothing does not hide the zone's load.
 
-        Its link is cut towards it only, and its own word still goes out: its
-        zone would know of nothing until it is found gone. Its totals hold none
-        of the reports that the standby has, which tells the right ones; what
-        holds more reports counts. Who calls it finds it gone later.
+        Only its incoming link is cut, so it keeps sending totals, and its zone
+        would know no loads until the primary is found gone. Its totals contain
+        none of the reports that the standby has, and the totals with more
+        reports take precedence. Calls to the primary find it gone only later.
         """
         fleet = _Fleet(40)
-        _load(fleet)
+        _add_load(fleet)
         fleet.run(2)
         lost = fleet.primary('z1')
-        fleet.deaf.add(lost)
+        fleet.drops_incoming.add(lost)
         fleet.run(aggregation.KEPT_S + KNOWN_S)
-        wrong: set[str] = set()
+        inconsistent: set[str] = set()
         for number in range(RUNNERS):
-            wrong.update(fleet.wrong(f'i-{number}'))
-        self.assertLessEqual(wrong, {lost})
+            inconsistent.update(fleet.inconsistent(f'i-{number}'))
+        self.assertLessEqual(inconsistent, {lost})
 
-    def test_thaw(self) -> None:
-        """A primary that was frozen for five seconds wakes with old reports.
+    def test_resumed_primary(self) -> None:
+        """A primary that was frozen for five seconds resumes with old reports.
 
-        It reads what has come since before it tells again, and both tell for
-        a moment: they tell the same.
+        It reads the messages that came meanwhile before it sends again. For a
+        moment it and the standby both send totals, which are equal.
         """
         fleet = _Fleet(40)
-        _load(fleet)
+        _add_load(fleet)
         fleet.run(2)
         lost = fleet.primary('z1')
         fleet.frozen.add(lost)
@@ -399,44 +408,44 @@
         fleet.frozen.clear()
         fleet.run(KNOWN_S)
         for number in range(RUNNERS):
-            self.assertEqual(fleet.wrong(f'i-{number}'), [])
+            self.assertEqual(fleet.inconsistent(f'i-{number}'), [])
 
     def test_zone_lost(self) -> None:
-        """A zone loses its power: what it had counts no more."""
+        """After a whole zone has lost power, its load no longer counts."""
         fleet = _Fleet(40)
-        _load(fleet)
+        _add_load(fleet)
         fleet.run(2)
         for name, zone in fleet.zones.items():
             if zone == 'z1':
                 fleet.kill(name)
         fleet.run(aggregation.KEPT_S + KNOWN_S)
         for number in range(RUNNERS):
-            self.assertEqual(fleet.wrong(f'i-{number}'), [])
+            self.assertEqual(fleet.inconsistent(f'i-{number}'), [])
 
     def test_all_killed(self) -> None:
-        """All start again at once, with other loads than before."""
+        """All processes restart at once, with other loads than before."""
         fleet = _Fleet(40)
-        _load(fleet)
+        _add_load(fleet)
         fleet.run(2)
         for name in fleet.zones:
             fleet.start(name)
         streams.begin(fleet.pool_of('p9').streams, 'i-0')
         fleet.run(aggregation.KEPT_S + KNOWN_S)
         for number in range(RUNNERS):
-            self.assertEqual(fleet.wrong(f'i-{number}'), [])
+            self.assertEqual(fleet.inconsistent(f'i-{number}'), [])
 
     def test_two_views(self) -> None:
         """Half of a zone does not know its first aggregator.
 
-        They report to the second and third, the others to the first and
-        second, which hears of all. Whether the second knows the first or not,
-        all processes know all loads: its totals and sums hold more reports
-        than those of the two others, and go before them.
+        Those processes report to the second and third aggregator, the others to
+        the first and second, so the second gets all reports. Whether or not it
+        knows the first, all processes know all loads: its totals and sums
+        contain more reports than those of the two others and take precedence.
         """
         for half in (0, 1):
             with self.subTest(half):
                 fleet = _Fleet(40)
-                _load(fleet)
+                _add_load(fleet)
                 first = fleet.primary('z1')
                 names = [
                     name for name, zone in fleet.zones.items() if zone == 'z1'
@@ -446,39 +455,40 @@
                     members.found_gone(known, first, fleet.now)
                 fleet.run(4)
                 for number in range(RUNNERS):
-                    wrong = fleet.wrong(f'i-{number}')
-                    self.assertLessEqual(set(wrong), {first})
+                    inconsistent = fleet.inconsistent(f'i-{number}')
+                    self.assertLessEqual(set(inconsistent), {first})
 
     def test_disorder(self) -> None:
-        """Messages come twice, the second time late and out of order.
+        """Messages are duplicated, with the second copy late and reordered.
 
-        A late total holds what has ended since; it counts for less than a
-        round, and no load is ever added twice.
+        A late total contains load that has ended since. It counts for less than
+        a round, and no load is ever added twice.
         """
         fleet = _Fleet(40)
-        fleet.doubles = True
-        _load(fleet)
+        fleet.duplicates = True
+        _add_load(fleet)
         fleet.run(3)
         for number in range(RUNNERS):
-            self.assertEqual(fleet.wrong(f'i-{number}'), [])
+            self.assertEqual(fleet.inconsistent(f'i-{number}'), [])
 
     def test_start_again(self) -> None:
-        """A process starts again; its earlier reports are not its own.
+        """A restarted process does not take its earlier reports for its own.
 
-        The zone's total still holds its last report from before for a moment.
+        For a moment the zone's total still contains its last report from before
+        the restart.
         """
         fleet = _Fleet(20)
-        _load(fleet)
+        _add_load(fleet)
         fleet.run(2)
         fleet.start('p7')
         fleet.run(aggregation.KEPT_S + KNOWN_S)
         for number in range(RUNNERS):
-            self.assertEqual(fleet.wrong(f'i-{number}'), [])
+            self.assertEqual(fleet.inconsistent(f'i-{number}'), [])
 
 
 def _cut_off(fleet: _Fleet, name: str) -> None:
-    fleet.silent.add(name)
-    fleet.deaf.add(name)
+    fleet.drops_outgoing.add(name)
+    fleet.drops_incoming.add(name)
 
 
 if __name__ == '__main__':
--- a/beryllug/router/held_knowledge_test.py
+++ b/beryllug/router/held_knowledge_test.py
@@ -1,4 +1,8 @@
-"""What a process that starts after a return of the store learns of before."""
+"""Tests of what a process learns that starts after a store's restore.
+
+After a restore from an older copy, running processes hold what the copy lacks
+for a while; a newly started one can learn it only from them.
+"""
 
 import types
 import unittest
@@ -22,33 +26,36 @@
 OLD = stamps.stamp(1, 50)
 NEW = stamps.stamp(2, 20)
 NOW = 100.0
-# Seconds between the return and the start of the other process.
-STARTED_S = 6.0
-ENDS = NOW + stamps.HELD_S
+# Seconds between the restore and the start of the other process.
+START_DELAY_S = 6.0
+HOLD_ENDS = NOW + stamps.HELD_S
 DIGEST = peering_data.Digest('one', '127.0.0.1:1', '127.0.0.1:2')
 COPY = types.MappingProxyType(
     {'stays': 'ready', 'leaves': 'ready', 'goes': 'ready'}
 )
 
 
-class _Quiet(log_lines.LineWriter):
-    """Writes nothing."""
+class _NullWriter(log_lines.LineWriter):
+    """Discards log lines."""
 
     def __init__(self) -> None:
-        """Open nothing."""
+        """Open no file."""
 
     def write(self, event: str, **fields: object) -> None:
-        """Pass a line over."""
+        """Discard a line."""
 
 
 class HeldTest(unittest.TestCase):
-    """One process that saw the return, and one that starts after it."""
+    """One process that saw the restore, and one that starts after it."""
 
     def setUp(self) -> None:
-        """Let the first one know what the copy lacks."""
+        """Give the first process data that the restored copy lacks."""
         self.one = _known()
         self.one.servers.listed(_servers(COPY, OLD - 3), 0)
-        changes = (_left('leaves', 'draining', OLD - 1), _gone('goes', OLD))
+        changes = (
+            _state_change('leaves', 'draining', OLD - 1),
+            _removal('goes', OLD),
+        )
         self.one.servers.changed(store_data.Changes(changes, OLD), 0)
         self.one.zones.take((ZONE,), OLD, 'store', 0)
         for number, target in enumerate(('v2', 'v3')):
@@ -57,8 +64,12 @@
         self.other = _known()
 
     def test_told(self) -> None:
-        """Who starts late takes the copy for what holds, or for too long."""
-        start = NOW + STARTED_S
+        """A late starter holds against the copy what its peer holds, as long.
+
+        Otherwise it would take the restored copy for current, or go on holding
+        against it after the peer has stopped.
+        """
+        start = NOW + START_DELAY_S
         for title, before in (
             ('nothing is known yet', False),
             ('the store was listed', True),
@@ -67,18 +78,21 @@
                 self.other = _known()
                 if before:
                     _list_copy(self.other, start)
-                self._tell(start)
+                self._exchange(start)
                 self._assert_held(start)
                 _list_copy(self.other, start)
                 self._assert_held(start)
-                self._tell(ENDS + 0.1)
-                self._assert_copy(ENDS + 0.1)
+                self._exchange(HOLD_ENDS + 0.1)
+                self._assert_copy(HOLD_ENDS + 0.1)
 
     def test_written_again(self) -> None:
-        """A peer that is behind undoes what was written since the return."""
-        start = NOW + STARTED_S
+        """What was written since the restore wins over a peer that is behind.
+
+        Otherwise the peer's held data would undo the new entries.
+        """
+        start = NOW + START_DELAY_S
         _list_copy(self.other, start)
-        changes = (_left('leaves', 'ready', NEW + 1),)
+        changes = (_state_change('leaves', 'ready', NEW + 1),)
         self.other.servers.changed(store_data.Changes(changes, NEW + 1), start)
         self.other.zones.take((ZONE,), NEW + 1, 'store', start)
         self.other.zones.take((), NEW + 2, 'store', start)
@@ -86,20 +100,20 @@
         self.other.orders.changed(
             store_data.Changes((written,), NEW + 1), start
         )
-        self._tell(start)
+        self._exchange(start)
         self.assertEqual(_usable(self.other, start), set(COPY))
         self.assertEqual(self.other.zones.evacuated, set())
         self.assertEqual(_target(self.other), 'v2')
 
-    def test_calm(self) -> None:
-        """Where nothing has returned, or all is over, digests grow."""
-        for known, now in ((_known(), NOW), (self.one, ENDS + 0.1)):
+    def test_nothing_held(self) -> None:
+        """Digests have no held data without a restore or after the hold."""
+        for known, now in ((_known(), NOW), (self.one, HOLD_ENDS + 0.1)):
             digest = knowledge.Knowledge(known).complete(
                 DIGEST, peering_data.NOTHING_KNOWN, now
             )
             self.assertEqual(digest.held, peering_data.NOTHING_HELD)
 
-    def _tell(self, now: float) -> None:
+    def _exchange(self, now: float) -> None:
         given = knowledge.Knowledge(self.one)
         taken = knowledge.Knowledge(self.other)
         mine = DIGEST._replace(
@@ -120,7 +134,7 @@
 
 def _known() -> directory.Directory:
     api: Any = types.SimpleNamespace(eras=store_era.StoreEra())
-    lines = _Quiet()
+    lines = _NullWriter()
     return directory.Directory(
         api,
         server_list.ServerList(1, lines),
@@ -144,12 +158,12 @@
     return store_data.Listing(tuple(found), stamped)
 
 
-def _left(name: str, state: str, stamped: int) -> store_data.Change:
+def _state_change(name: str, state: str, stamped: int) -> store_data.Change:
     found = store_returns_test.stored(name, state, stamped)
     return store_data.Change(found, is_gone=False)
 
 
-def _gone(name: str, stamped: int) -> store_data.Change:
+def _removal(name: str, stamped: int) -> store_data.Change:
     found = store_returns_test.stored(name, 'ready', stamped)
     return store_data.Change(found, is_gone=True)
 
--- a/beryllug/router/held_servers.py
+++ b/beryllug/router/held_servers.py
@@ -1,4 +1,4 @@
-"""Servers whose entries in an older copy of the store are not believed yet."""
+"""Server entries of a restored, older store that are withheld for a while."""
 
 from collections.abc import Iterable
 
@@ -8,26 +8,27 @@
 
 
 class HeldServers:
-    """Entries that deny what was known before the store returned.
+    """Entries that contradict what was known before the store was restored.
 
-    A server that was known to leave, or to be gone, gets no more because the
-    store has lost that; the server writes it again.
+    A server known to be leaving or gone gets no more requests just because the
+    restored store has lost that information; the server will write its entry
+    again.
 
     Attributes:
         entries: The entries by name.
     """
 
     def __init__(self, book: listing.Book, lines: log_lines.LineWriter) -> None:
-        """Bind to the list; none are held."""
+        """Bind to the list; no entries are held."""
         self.entries: dict[str, servers_data.Server] = {}
-        self._until = 0.0
+        self._held_until = 0.0
         self._book = book
         self._lines = lines
 
     def hold(self, servers: Iterable[servers_data.Server], now: float) -> None:
-        """Hold entries of a list that is the first of a new era."""
-        self._until = now + stamps.HELD_S
-        self._put(
+        """Hold the contradicting entries of the first list of a new era."""
+        self._held_until = now + stamps.HELD_S
+        self._set_entries(
             server
             for server in servers
             if listing.is_contradicted(self._book, server)
@@ -38,7 +39,8 @@
     ) -> list[servers_data.Server]:
         """Return the entries of a whole list that are not held.
 
-        One that differs from the entry that is held was written since.
+        One that differs from the held entry was written after the restore, so
+        it is no longer held.
         """
         listed = {server.name: server for server in servers}
         self.entries = {
@@ -51,44 +53,44 @@
         ]
 
     def take(self, instances: Iterable[str], left_s: float, now: float) -> None:
-        """Hold entries that a process, whose list is no older, holds.
+        """Hold the entries that a peer holds, whose list is no older.
 
         Args:
             instances: The servers.
-            left_s: Seconds for which the other process still holds them.
-            now: The present second.
+            left_s: Seconds for which the peer still holds them.
+            now: Current time in seconds.
         """
-        told = set(instances)
+        peer_instances = set(instances)
         found = [
             server
             for server in self._book.servers.values()
-            if server.instance in told
+            if server.instance in peer_instances
         ]
         if not found:
             return
-        if self._until <= now:
-            self._until = now + left_s
+        if self._held_until <= now:
+            self._held_until = now + left_s
         for server in found:
             listing.withhold(self._book, server.name)
-        self._put([*self.entries.values(), *found])
+        self._set_entries([*self.entries.values(), *found])
 
     def told(self, now: float) -> tuple[float, tuple[str, ...]]:
-        """Return for how many seconds which servers are still held."""
+        """Return the seconds left and the instances that are still held."""
         held = (server.instance for server in self.entries.values())
-        return max(0, self._until - now), tuple(held)
+        return max(0, self._held_until - now), tuple(held)
 
     def changed(self, name: str) -> None:
-        """Take that a server has written its entry again."""
+        """Stop holding an entry that its server has written again."""
         self.entries.pop(name, None)
 
     def release(self, now: float) -> list[servers_data.Server]:
-        """Return entries that were held for long enough, once."""
-        if not self.entries or now < self._until:
+        """Return the entries whose hold time is over, once."""
+        if not self.entries or now < self._held_until:
             return []
         released = list(self.entries.values())
         self.entries.clear()
         return released
 
-    def _put(self, held: Iterable[servers_data.Server]) -> None:
+    def _set_entries(self, held: Iterable[servers_data.Server]) -> None:
         self.entries = {server.name: server for server in held}
         self._lines.write('servers_held', held=sorted(self.entries))
--- a/beryllug/router/knowledge.py
+++ b/beryllug/router/knowledge.py
@@ -1,4 +1,4 @@
-"""What peers hand one another of the platform's store, and how new it is."""
+"""Exchange of store data between peers, and of how recent it is."""
 
 import zlib
 from typing import Any
@@ -9,29 +9,29 @@
 from beryllug.core.peering import peering_data, standing
 from beryllug.router import directory, order_list
 
-# Level of compression: a list of backend servers, and a route table, is much
-# the same line again and again, and more than the least effort gains little. A
-# large table as it is takes longer over slow links, from the few who have it to
-# a whole fleet, than it may take to be in force.
+# Compression level. Lists of backend servers and route tables repeat much the
+# same line, so a higher level gains little. Uncompressed, a large table would
+# take longer over slow links, from the few processes that have it to the whole
+# fleet, than it may take to come into force.
 LEVEL = 1
 
 
 class Knowledge:
-    """Gives and takes what a directory knows.
+    """Sends and receives the data of a directory.
 
     Attributes:
-        standing: Who follows the store.
+        standing: Which processes follow the store.
     """
 
     def __init__(self, known: directory.Directory) -> None:
         """Bind to the directory."""
         self.standing = standing.Standing()
         self._known = known
-        self._packed = (0, b'')
-        self._packed_list = (0, b'')
+        self._table_cache = (0, b'')
+        self._servers_cache = (0, b'')
 
     def versions(self) -> peering_data.Versions:
-        """Return how new this process's knowledge is."""
+        """Return the versions of the data in this process."""
         known = self._known
         return peering_data.Versions(
             table=known.table.version if known.table else 0,
@@ -41,16 +41,16 @@
         )
 
     def evacuated(self) -> tuple[str, ...]:
-        """Return the evacuated availability zones, as the store names them."""
+        """Return the evacuated availability zones that the store lists."""
         return tuple(sorted(self._known.zones.stated))
 
     def is_behind(self, versions: peering_data.Versions) -> bool:
-        """Tell whether a peer with these versions knows more."""
+        """Tell whether a peer with these versions has newer data."""
         own = self.versions()
         return any(mine < theirs for mine, theirs in zip(own, versions))
 
     def learn_era(self, versions: peering_data.Versions) -> None:
-        """Take the era of the store that a peer knows."""
+        """Learn the era of the store from a peer's versions."""
         newest = max(versions.servers, versions.orders, versions.zones)
         self._known.eras.learn(stamps.era(newest))
 
@@ -60,11 +60,11 @@
         asked: peering_data.Versions,
         now: float,
     ) -> peering_data.Digest:
-        """Add to a digest what a peer with older versions lacks.
+        """Add the data that a peer with older versions lacks to a digest.
 
-        And who follows the store: one that has just started is told by nobody
-        else yet, and would begin to follow it for a moment, at the cost of
-        calls of the store.
+        It also tells which processes follow the store. One that has just
+        started has not heard it from anyone else and would begin to follow the
+        store for a moment, at the cost of calls to the store.
         """
         digest = digest._replace(
             followers=standing.followers(self.standing, now),
@@ -73,15 +73,17 @@
         own = digest.versions
         known = self._known
         if asked.table < own.table:
-            digest = digest._replace(table=self._packed_table(own.table))
+            digest = digest._replace(table=self._compressed_table(own.table))
         if asked.servers < own.servers:
-            digest = digest._replace(servers=self._packed_servers(own.servers))
+            digest = digest._replace(
+                servers=self._compressed_servers(own.servers)
+            )
         if asked.orders < own.orders:
             digest = digest._replace(orders=_encode(known.orders.orders))
         return digest
 
     def take(self, digest: peering_data.Digest, now: float) -> None:
-        """Take what a peer has added to its digest."""
+        """Apply the data that a peer has added to its digest."""
         standing.take_followers(self.standing, digest.followers, now)
         self.learn_era(digest.versions)
         known = self._known
@@ -92,7 +94,7 @@
             table = _decode(zlib.decompress(digest.table))
             known.take_table_spec(table, digest.name)
         if digest.servers:
-            known.servers.take_specs(
+            known.servers.apply_specs(
                 _decode(zlib.decompress(digest.servers)),
                 digest.versions.servers,
                 digest.name,
@@ -105,12 +107,13 @@
             for name, stored in orders.items():
                 known.orders.take(name, stored, now)
 
-        self._take_held(digest, now)
+        self._apply_held(digest, now)
 
     def _held(self, now: float) -> peering_data.Held:
-        """Return what holds against the store, for one that has just started.
+        """Return what is held against the store, for a newly started process.
 
-        It sees a list of the copy as its first one, and no return.
+        Such a process gets the restored copy as its first list and can't detect
+        the restore itself.
         """
         known = self._known
         left_s, instances = known.servers.held.told(now)
@@ -124,11 +127,12 @@
             _encode(known.orders.held(era)),
         )
 
-    def _take_held(self, digest: peering_data.Digest, now: float) -> None:
+    def _apply_held(self, digest: peering_data.Digest, now: float) -> None:
         held = digest.held
         if not held.left_s:
             return
-        # A peer with an older list may hold what was written again since.
+        # A peer with an older list may hold entries that were written again
+        # since.
         own = self.versions()
         known = self._known
         if digest.versions.servers >= own.servers:
@@ -140,27 +144,27 @@
         )
         known.orders.take_held(orders, now)
 
-    def _packed_servers(self, revision: int) -> bytes:
-        """Return the list of servers, packed once for all that ask for it.
+    def _compressed_servers(self, revision: int) -> bytes:
+        """Return the list of servers, compressed once for all requests.
 
-        Where a whole fleet starts, the few that have read it first hand it to
-        all others within a second.
+        When a whole fleet starts, the few processes that have read the list
+        first send it to all others within a second.
         """
-        if self._packed_list[0] != revision:
+        if self._servers_cache[0] != revision:
             raw = _encode(self._known.servers.specs)
-            self._packed_list = (revision, zlib.compress(raw, LEVEL))
-        return self._packed_list[1]
+            self._servers_cache = (revision, zlib.compress(raw, LEVEL))
+        return self._servers_cache[1]
 
-    def _packed_table(self, version: int) -> bytes:
-        """Return the route table, packed once for all that ask for it."""
-        if self._packed[0] != version:
+    def _compressed_table(self, version: int) -> bytes:
+        """Return the route table, compressed once for all requests."""
+        if self._table_cache[0] != version:
             raw = _encode(self._known.table_spec)
-            self._packed = (version, zlib.compress(raw, LEVEL))
-        return self._packed[1]
+            self._table_cache = (version, zlib.compress(raw, LEVEL))
+        return self._table_cache[1]
 
 
-def _encode(plain: Any) -> bytes:
-    return msgspec.json.encode(plain)
+def _encode(document: Any) -> bytes:
+    return msgspec.json.encode(document)
 
 
 def _decode(raw: bytes) -> Any:
--- a/beryllug/router/leaving_servers.py
+++ b/beryllug/router/leaving_servers.py
@@ -1,4 +1,4 @@
-"""Servers that state in their answers that they leave."""
+"""Servers that announce in their answers that they are leaving."""
 
 import math
 
@@ -7,20 +7,20 @@
 
 
 class LeavingServers:
-    """Takes out of the listed servers those that state that they leave."""
+    """Excludes listed servers that announce that they are leaving."""
 
     def __init__(self, book: listing.Book, lines: log_lines.LineWriter) -> None:
-        """Bind to the listed servers, and to the log."""
+        """Bind to the listed servers and to the log."""
         self._book = book
         self._lines = lines
 
     def heard(self, instance: str, source: str, now: float) -> bool:
-        """Take that a server leaves; returns whether that is new.
+        """Record that a server is leaving; returns whether that is new.
 
         Args:
             instance: The server.
-            source: Who has heard it.
-            now: The present second.
+            source: Who reported it.
+            now: Current time in seconds.
         """
         is_new = listing.states_leaving(self._book, instance, now)
         if is_new:
@@ -30,7 +30,7 @@
         return is_new
 
     def listed(self, now: float) -> list[str]:
-        """Return those that are listed, and forget those long gone."""
+        """Return the leaving servers with an entry, and drop expired ones."""
         if not self._book.leaving:
             return []
         listing.forget_leaving(self._book, now)
--- a/beryllug/router/order_list.py
+++ b/beryllug/router/order_list.py
@@ -1,4 +1,4 @@
-"""The roll-out orders that this process knows, as they stand in the store."""
+"""The roll-out orders that this process knows from the store."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
@@ -13,13 +13,13 @@
 from beryllug.platform import documents
 from beryllug.router import refusals
 
-# Versions that were ordered before the present one and are remembered.
+# Earlier target versions that are remembered per order.
 MOST_REPLACED = 20
 Listener = Callable[[canary_data.Order, canary_data.Phase, float], None]
 
 
 class StoredOrder(NamedTuple):
-    """An order as it stands in the store, to be told to peers."""
+    """An order as stored, to be sent to peers."""
 
     revision: int
     spec: Any
@@ -27,23 +27,24 @@
 
 
 class OrderList:
-    """Follows the store's orders, or what peers tell of them.
+    """Tracks roll-out orders, from the store or from peers.
 
     Attributes:
         orders: The orders by name.
     """
 
     def __init__(self, lines: log_lines.LineWriter) -> None:
-        """Begin without orders."""
+        """Start without orders."""
         self.orders: dict[str, StoredOrder] = {}
         self._refusals = refusals.Refusals('order_refused', lines)
         self._listeners: list[Listener] = []
         self._replaced: dict[str, dict[str, None]] = {}
-        # Orders that are known from a list, which may be that of a copy.
+        # Names of orders that came with a full list, which may be that of a
+        # restored, older store.
         self._listed: set[str] = set()
 
     def on_order(self, listener: Listener) -> None:
-        """Tell of each order and each change of its status."""
+        """Register a listener for new orders and changes of their status."""
         self._listeners.append(listener)
 
     def revision(self) -> int:
@@ -58,15 +59,15 @@
         *,
         is_listed: bool = False,
     ) -> None:
-        """Take an order or its status, if it is newer than what is known.
+        """Accept an order or its status, if it is newer than the known one.
 
         Args:
             name: Its name.
             stored: The order.
-            now: The present second.
-            is_listed: Whether it stands in a list of the store, which may be
-                that of an older copy: an order that was replaced is passed
-                over there.
+            now: Current time in seconds.
+            is_listed: Whether it comes from a full list of the store, which may
+                have been restored from an older copy: there an order that has
+                been replaced is ignored.
         """
         known = self.orders.get(name)
         if known is not None and stored.revision <= known.revision:
@@ -95,7 +96,7 @@
             listener(order, phase, now)
 
     def held(self, era: int) -> dict[str, peering_data.HeldOrder]:
-        """Return the orders of before an era that are still in force."""
+        """Return the orders from before an era that are still in force."""
         return {
             name: peering_data.HeldOrder(
                 *order, tuple(self._replaced.get(name, ()))
@@ -107,7 +108,7 @@
     def take_held(
         self, held: Mapping[str, peering_data.HeldOrder], now: float
     ) -> None:
-        """Take what a peer holds against the list of an older copy."""
+        """Apply a peer's orders that the restored, older store lacks."""
         for name, order in held.items():
             known = self.orders.get(name)
             target = known.spec['target'] if known else order.spec['target']
@@ -120,18 +121,18 @@
             self.take(name, stored, now)
 
     def listed(self, listed: store_data.Listing, now: float) -> None:
-        """Take a whole list of the store."""
+        """Process a full list from the store."""
         for each in listed.found:
             self.take(each.name, _stored(each), now, is_listed=True)
 
     def changed(self, changes: store_data.Changes, now: float) -> None:
-        """Take changes that the store reports."""
+        """Process changes from the store."""
         for change in changes.changes:
             if not change.is_gone:
                 self.take(change.stored.name, _stored(change.stored), now)
 
     def _note_replaced(self, name: str, before: str, target: str) -> None:
-        """Remember the versions that were ordered before the present one."""
+        """Remember the target versions that came before the present one."""
         replaced = self._replaced.setdefault(name, {})
         replaced[before] = None
         replaced.pop(target, None)
--- a/beryllug/router/probes.py
+++ b/beryllug/router/probes.py
@@ -1,9 +1,9 @@
-"""Short questions to other processes: are you there, and what do you know?
+"""Liveness probes by datagram, with an exchange of known processes.
 
-Each process asks a few others a second, by datagram, and tells some of the
-processes that it knows; the answer tells some of those that the other one
-knows. Only where no answer comes, or one of the two lacks something, is the
-other called: a call costs ten times the processor time of a datagram.
+Each process probes a few others a second and sends them some of the processes
+that it knows; the answer has some of those that the other one knows. Only if no
+answer comes, or one of the two lacks data, does a call follow: a call costs ten
+times the processor time of a datagram.
 """
 
 import random
@@ -14,21 +14,21 @@
 from beryllug.core.peering import members, peering_data
 from beryllug.router import peering, rollout_state, trials
 
-# Seconds after which a question counts as lost, and the other is called: a
+# Seconds after which a probe counts as lost and the process is called: a
 # hundred round trips between zones.
 ANSWER_S = 0.4
 Send = Callable[[Iterable[str], peering_data.Note], None]
 
 
-class _Asked(NamedTuple):
-    """A question that is not answered yet."""
+class _PendingProbe(NamedTuple):
+    """A probe that is not answered yet."""
 
     name: str
     at: float
 
 
 class Probes:
-    """Asks, answers, and has those called who do not answer."""
+    """Sends and answers probes, and calls processes that do not answer."""
 
     def __init__(
         self,
@@ -38,68 +38,72 @@
         canaries: trials.Trials,
         send: Send,
     ) -> None:
-        """Bind to the processes that are known, and to who sends notes."""
+        """Bind to the known processes and to the sender of notes."""
         self._cfg = cfg
         self._zone = zone
         self._peers = peers
         self._trials = canaries
         self._send = send
         self._rng = random.Random(peers.members.name)
-        self._number = 0
-        self._asked: dict[int, _Asked] = {}
+        self._last_number = 0
+        self._pending: dict[int, _PendingProbe] = {}
 
     def ask(self, name: str, note: peering_data.Note, now: float) -> None:
-        """Ask a process that is known.
+        """Probe a known process.
 
         Args:
             name: Its name.
             note: What this process knows of the store.
-            now: The present second.
+            now: Current time in seconds.
         """
         known = self._peers.members.known.get(name)
         if known is None:
             return
-        self._number += 1
-        self._asked[self._number] = _Asked(name, now)
-        question = self._introduced(note, now)._replace(asks=self._number)
-        self._send((known.notes,), question)
+        self._last_number += 1
+        self._pending[self._last_number] = _PendingProbe(name, now)
+        probe = self._with_sender_details(note, now)._replace(
+            asks=self._last_number
+        )
+        self._send((known.notes,), probe)
 
     def answer(
-        self, note: peering_data.Note, stated: peering_data.Note, now: float
+        self, note: peering_data.Note, state_note: peering_data.Note, now: float
     ) -> None:
-        """Answer a question.
+        """Answer a probe.
 
         Args:
-            note: The question.
-            stated: What this process knows of the store.
-            now: The present second.
+            note: The probe.
+            state_note: What this process knows of the store.
+            now: Current time in seconds.
         """
-        answer = self._introduced(stated, now)._replace(answers=note.asks)
+        answer = self._with_sender_details(state_note, now)._replace(
+            answers=note.asks
+        )
         self._send((note.notes,), answer)
 
     def take(self, note: peering_data.Note, now: float) -> None:
-        """Take what a question or an answer tells of other processes."""
-        self._peers.roster.heard_of(note.peers, now)
-        if note.answers in self._asked:
-            self._asked.pop(note.answers)
+        """Record the processes in a note, and whether it is an answer."""
+        self._peers.roster.merge_peers(note.peers, now)
+        if note.answers in self._pending:
+            self._pending.pop(note.answers)
             self._peers.roster.reached()
 
     def look(self, now: float) -> None:
-        """Have those called who did not answer in time."""
-        late = [
+        """Call the processes whose answer is overdue."""
+        expired = [
             number
-            for number, asked in self._asked.items()
-            if now - asked.at > ANSWER_S
+            for number, pending in self._pending.items()
+            if now - pending.at > ANSWER_S
         ]
-        for number in late:
-            name = self._asked.pop(number).name
+        for number in expired:
+            name = self._pending.pop(number).name
             for address in members.addresses(self._peers.members, (name,)):
                 self._peers.call_later(address)
 
-    def _introduced(
+    def _with_sender_details(
         self, note: peering_data.Note, now: float
     ) -> peering_data.Note:
-        """Return a note with who this process is and whom it knows."""
+        """Return a note with the sender's address, peers and roll-outs."""
         return note._replace(
             notes=self._cfg.notes_listen,
             zone=self._zone,
--- a/beryllug/router/probes_test.py
+++ b/beryllug/router/probes_test.py
@@ -1,4 +1,4 @@
-"""Tests of questions to other processes, in virtual time."""
+"""Tests of probes between processes, in virtual time."""
 
 import unittest
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class _Peers:
-    """Known processes; those that are called are noted."""
+    """Known processes; records which are called."""
 
     def __init__(self, name: str) -> None:
         self.roster = roster.Roster(name, log_lines.LineWriter(1))
@@ -30,7 +30,7 @@
 
 
 class _Process:
-    """One process; what it sends is kept."""
+    """A process that records what it sends."""
 
     def __init__(self, name: str) -> None:
         self.peers = _Peers(name)
@@ -38,10 +38,10 @@
         trials: Any = _Trials()
         cfg = settings_data.Router('', '', f'{name}:1', f'{name}:2', '', ())
         self.probes = probes.Probes(cfg, 'z1', peers, trials, self._send)
-        self.stated = peering_data.Note(name, f'{name}:1')
+        self.state_note = peering_data.Note(name, f'{name}:1')
         self.sent: list[tuple[str, peering_data.Note]] = []
 
-    def know(self, name: str, at: float) -> None:
+    def add_known(self, name: str, at: float) -> None:
         seen = members.Known(f'{name}:1', f'{name}:2', at, 'z1')
         members.heard(self.peers.members, name, seen)
 
@@ -50,21 +50,21 @@
 
 
 class ProbesTest(unittest.TestCase):
-    """One process asks another."""
+    """One process probes another."""
 
     def setUp(self) -> None:
         self.one = _Process('one')
         self.two = _Process('two')
-        self.one.know('two', 0)
-        self.two.know('six', 9)
+        self.one.add_known('two', 0)
+        self.two.add_known('six', 9)
 
     def test_answered(self) -> None:
-        """Who answers is not called, and both learn whom the other knows."""
-        self.one.probes.ask('two', self.one.stated, 10)
-        address, question = self.one.sent.pop()
+        """A process that answers is not called, and both learn new peers."""
+        self.one.probes.ask('two', self.one.state_note, 10)
+        address, probe = self.one.sent.pop()
         self.assertEqual(address, 'two:2')
-        self.two.probes.answer(question, self.two.stated, 10.01)
-        self.two.probes.take(question, 10.01)
+        self.two.probes.answer(probe, self.two.state_note, 10.01)
+        self.two.probes.take(probe, 10.01)
         address, answer = self.two.sent.pop()
         self.assertEqual(address, 'one:2')
         self.one.probes.take(answer, 10.02)
@@ -73,12 +73,12 @@
         self.assertIn('six', self.one.peers.members.known)
 
     def test_lost(self) -> None:
-        """Who does not answer in time is called, once, by the sure way.
+        """A process that does not answer in time is called once, by RPC.
 
-        A datagram may be lost. A process that was taken for gone after one
-        would be told so to all, and they would forget it for a moment.
+        A datagram may be lost. Declaring a process gone after one lost datagram
+        would make all others forget it for a moment.
         """
-        self.one.probes.ask('two', self.one.stated, 10)
+        self.one.probes.ask('two', self.one.state_note, 10)
         for now, called in (
             (10.3, []),
             (10.5, ['two:1']),
@@ -89,11 +89,11 @@
                 self.assertEqual(self.one.peers.called, called)
 
     def test_late(self) -> None:
-        """An answer that comes late, or twice, changes nothing."""
-        self.one.probes.ask('two', self.one.stated, 10)
-        _, question = self.one.sent.pop()
-        self.two.probes.answer(question, self.two.stated, 10.01)
-        self.two.probes.take(question, 10.01)
+        """An answer that is late or duplicated changes nothing."""
+        self.one.probes.ask('two', self.one.state_note, 10)
+        _, probe = self.one.sent.pop()
+        self.two.probes.answer(probe, self.two.state_note, 10.01)
+        self.two.probes.take(probe, 10.01)
         _, answer = self.two.sent.pop()
         self.one.probes.look(10.5)
         for now in (10.6, 10.7):
--- a/beryllug/router/roster.py
+++ b/beryllug/router/roster.py
@@ -1,4 +1,4 @@
-"""The processes of the role that this one knows, and how it learns of them."""
+"""The known processes of the role, and how they are learned."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -6,68 +6,71 @@
 from beryllug.core.peering import members, peering_data
 from beryllug.kernel import log_lines
 
-# Seconds since some process answered, within which this one is not cut off.
-REACHED_S = 2.0
+# Seconds since any process answered within which this one does not count as cut
+# off.
+RECENT_ANSWER_S = 2.0
 
 
 class Roster:
-    """Keeps the known processes, and logs who comes and goes.
+    """Tracks the known processes and logs which ones come and go.
 
     Attributes:
-        members: The processes that are known.
-        on_gone: Told of each process that this one found gone.
+        members: The known processes.
+        on_gone: Called with the name of each process that this one found gone.
     """
 
     def __init__(self, name: str, lines: log_lines.LineWriter) -> None:
-        """Begin with this process alone."""
+        """Start with this process alone."""
         self.members = members.Members(name)
-        self.on_gone: Callable[[str], None] = _pass_over
+        self.on_gone: Callable[[str], None] = _ignore_gone_peer
         self._lines = lines
-        self._reached_at = float('-inf')
+        self._last_answer_at = float('-inf')
 
     def forget(self, now: float) -> None:
-        """Forget processes that were silent for long."""
+        """Drop processes that have been silent for too long."""
         for name in members.forget(self.members, now):
             self._lines.write('peer_lost', peer=name, source='silence')
 
     def heard(self, name: str, seen: members.Known) -> None:
-        """Take a sign of life of a process."""
+        """Record a sign of life of a process."""
         if members.heard(self.members, name, seen):
             self._lines.write('peer_found', peer=name, address=seen.address)
 
-    def heard_of(self, told: Iterable[peering_data.Peer], now: float) -> None:
-        """Take what a peer has heard of others."""
+    def merge_peers(
+        self, peers: Iterable[peering_data.Peer], now: float
+    ) -> None:
+        """Record signs of life that a peer has received from others."""
         longest_s = members.alive_s(self.members)
-        for peer in told:
+        for peer in peers:
             if peer.heard_ago_s < longest_s:
                 at = now - peer.heard_ago_s
                 seen = members.Known(peer.address, peer.notes, at, peer.zone)
                 self.heard(peer.name, seen)
 
     def left(self, name: str, now: float) -> None:
-        """Take that a process is gone: it, or who has called it, says so."""
+        """Record that a process is gone, by its own word or another's."""
         if members.found_gone(self.members, name, now):
             self._lines.write('peer_lost', peer=name, source='told')
 
     def reached(self) -> None:
-        """Take that a process has answered."""
-        self._reached_at = time.monotonic()
+        """Record that some process has answered."""
+        self._last_answer_at = time.monotonic()
 
     def missed(self, address: str) -> None:
-        """Forget a process that can't be called, and tell all.
+        """Drop a process whose calls have failed, and report it as gone.
 
-        A process that reaches no one is cut off itself and tells nobody: a
-        link that is cut in one direction would carry its word that all the
-        others are gone.
+        A process that reaches nobody is itself cut off and reports nothing:
+        over a link that is cut in one direction only, it could make others
+        believe that all processes are gone.
         """
         now = time.monotonic()
         name = members.name_of(self.members, address)
         if name is None or not members.found_gone(self.members, name, now):
             return
         self._lines.write('peer_lost', peer=name, source='called')
-        if now - self._reached_at < REACHED_S:
+        if now - self._last_answer_at < RECENT_ANSWER_S:
             self.on_gone(name)
 
 
-def _pass_over(name: str) -> None:
-    """Tell nobody that a process is gone."""
+def _ignore_gone_peer(name: str) -> None:
+    """Default of `on_gone`."""
--- a/beryllug/router/server_list.py
+++ b/beryllug/router/server_list.py
@@ -1,4 +1,4 @@
-"""The backend servers that this process believes to be there."""
+"""The list of backend servers, from the store or from peers."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
@@ -21,9 +21,9 @@
     """Changes of the list between two revisions of the store.
 
     Attributes:
-        since: Stamp that the changes follow on.
-        revision: Stamp that the list is of with them.
-        entries: Names in order, each with its entry; None where it went.
+        since: Stamp of the list that the changes apply to.
+        revision: Stamp of the list after them.
+        entries: Names in order, each with its entry; None if it was deleted.
     """
 
     since: int
@@ -32,28 +32,29 @@
 
 
 class ServerList:
-    """Follows the store's list of servers, or what peers tell of it.
+    """Tracks the store's list of servers, directly or through peers.
 
     Attributes:
         is_known: Whether there is a list at all.
         is_cut_off: Whether the store did not answer the last call.
-        specs: The sound entries by name, for peers.
-        revision: Stamp of the store that the list is of.
-        held: Entries of an older copy that are not believed yet.
-        leaving: Those that state in their answers that they leave.
-        on_known: Told when there is a list.
-        on_lost: Told of each server that is gone without having said so.
-        on_restarted: Told of each incarnation that another one of the same
-            name has taken the place of.
-        on_listed: Told of each entry that is new or has changed.
+        specs: The valid entries by name, to send to peers.
+        revision: Stamp of the list.
+        held: Entries of a restored, older store that are withheld for now.
+        leaving: Servers that announce in their answers that they are leaving.
+        on_list_replaced: Called after each full list, the first one included.
+        on_lost: Called for each server that is gone without notice.
+        on_restarted: Called with each instance that another one of the same
+            name has replaced.
+        on_listed: Called for each new or changed entry.
     """
 
     def __init__(self, doubt_s: float, lines: log_lines.LineWriter) -> None:
-        """Begin without a list.
+        """Start without a list.
 
         Args:
-            doubt_s: Seconds for which a dropped server is doubted.
-            lines: Takes log lines.
+            doubt_s: Seconds for which a server is doubted once its entry is
+                gone.
+            lines: Log writer.
         """
         self.is_known = False
         self.is_cut_off = False
@@ -65,29 +66,29 @@
         self._lines = lines
         self._listeners: list[Callable[[Delta], None]] = []
         self._refusals = refusals.Refusals('server_refused', lines)
-        self.on_known: Callable[[], None] = _pass_over_list
-        self.on_lost: LostListener = _pass_over
-        self.on_restarted: RestartListener = _pass_over_restart
-        self.on_listed: ListedListener = _pass_over_listed
+        self.on_list_replaced: Callable[[], None] = _ignore_list
+        self.on_lost: LostListener = _ignore_loss
+        self.on_restarted: RestartListener = _ignore_restart
+        self.on_listed: ListedListener = _ignore_entry
 
     def on_changes(self, listener: Callable[[Delta], None]) -> None:
-        """Tell of changes that the store has brought."""
+        """Register a listener for changes that come from the store."""
         self._listeners.append(listener)
 
     def usable(
         self, now: float
     ) -> tuple[list[servers_data.Server], list[servers_data.Server]]:
-        """Return the listed servers that take work, and the doubted ones."""
+        """Return the listed servers that accept work, and the doubted ones."""
         for server in self.held.release(now):
             self._put(server, 'held', now)
         return listing.usable(self._book, now)
 
     def returned_ago_s(self, now: float) -> float:
-        """Return the seconds since the store came back from an outage."""
+        """Return the seconds since the store recovered from an outage."""
         return now - self._book.returned_at
 
     def dump(self) -> dict[str, Any]:
-        """Return the listed and the doubted servers."""
+        """Return the listed, held and doubted servers."""
         return {
             'revision': stamps.shown(self.revision),
             'held': sorted(self.held.entries),
@@ -97,19 +98,19 @@
         }
 
     def reached(self, is_reached: bool, now: float) -> None:
-        """Take whether the store has answered."""
+        """Record whether the store answered the last call."""
         self.is_cut_off = not is_reached
         if is_reached:
             listing.store_answered(self._book, now)
         else:
             listing.store_failed(self._book)
 
-    def peer_returned(self, at: float) -> None:
-        """Take when a peer saw the store come back from an outage."""
+    def peer_store_recovered(self, at: float) -> None:
+        """Record when a peer saw the store recover from an outage."""
         self._book.returned_at = max(self._book.returned_at, at)
 
     def listed(self, found: store_data.Listing, now: float) -> None:
-        """Take a whole list of the store, unless it is of an earlier era."""
+        """Process a full list from the store, unless its era is over."""
         if stamps.is_return(self.revision, found.revision):
             return
         specs = {each.name: each.spec for each in found.found}
@@ -121,7 +122,7 @@
         )
 
     def changed(self, changes: store_data.Changes, now: float) -> None:
-        """Take changes that the store reports, likewise."""
+        """Process changes from the store, unless their era is over."""
         if stamps.is_return(self.revision, changes.revision):
             return
         entries: list[tuple[str, Any]] = []
@@ -139,10 +140,10 @@
         for listener in self._listeners:
             listener(delta)
 
-    def take_specs(
+    def apply_specs(
         self, specs: Mapping[str, Any], revision: int, source: str, now: float
     ) -> None:
-        """Take a peer's list, if it is newer."""
+        """Replace the list by that of a peer, if it is newer."""
         if revision <= self.revision:
             return
         self._replace(specs, revision, source, now)
@@ -153,11 +154,11 @@
             servers=len(specs),
         )
 
-    def take_delta(self, delta: Delta, source: str, now: float) -> bool:
-        """Take a peer's changes; returns whether they follow on the list.
+    def apply_delta(self, delta: Delta, source: str, now: float) -> bool:
+        """Apply a peer's changes; returns whether they connect to the list.
 
-        Changes that are known already may come again: in their order, they
-        end with the same list.
+        Changes that are known already may be applied again: in order, they lead
+        to the same list.
         """
         if not self.is_known or delta.since > self.revision:
             return False
@@ -197,8 +198,8 @@
         self.specs[server.name] = documents.server_spec(server)
         before = listing.put(self._book, server)
         if before is not None:
-            # It was not seen to go, which a crash explains: what ran there
-            # is lost, and its connections lead nowhere.
+            # No deletion of the earlier instance was seen, as after a crash:
+            # its requests are lost and its connections are dead.
             self.on_restarted(before)
             self.on_lost(before.instance, now)
         self.on_listed(server, now)
@@ -232,12 +233,13 @@
         for server in servers:
             if self._book.servers.get(server.name) != server:
                 self._put(server, source, now)
-        # Peers are handed what the store says, and hold what they know.
+        # Peers get the entries of the store; each of them decides by its own
+        # data which ones to hold.
         for held in self.held.entries.values():
             self.specs[held.name] = documents.server_spec(held)
         self.revision = revision
         self.is_known = True
-        self.on_known()
+        self.on_list_replaced()
 
     def _read(self, name: str, spec: Any) -> servers_data.Server | None:
         try:
@@ -249,17 +251,17 @@
         return server
 
 
-def _pass_over_list() -> None:
-    """Tell nobody that there is a list."""
+def _ignore_list() -> None:
+    """Default of `on_list_replaced`."""
 
 
-def _pass_over_restart(before: servers_data.Server) -> None:
-    """Tell nobody of a server that has started again."""
+def _ignore_restart(before: servers_data.Server) -> None:
+    """Default of `on_restarted`."""
 
 
-def _pass_over_listed(server: servers_data.Server, now: float) -> None:
-    """Tell nobody of an entry."""
+def _ignore_entry(server: servers_data.Server, now: float) -> None:
+    """Default of `on_listed`."""
 
 
-def _pass_over(instance: str, now: float) -> None:
-    """Tell nobody of a lost server."""
+def _ignore_loss(instance: str, now: float) -> None:
+    """Default of `on_lost`."""
--- a/beryllug/router/server_list_test.py
+++ b/beryllug/router/server_list_test.py
@@ -1,4 +1,4 @@
-"""Tests of the list of servers against what others write into the store."""
+"""Tests of the list of servers with invalid entries in the store."""
 
 import io
 import unittest
@@ -30,8 +30,8 @@
 ORDER: Mapping[str, Any] = MappingProxyType(
     {'service': 'pool', 'target': 'v2', 'duration_s': 12}
 )
-# What stands in a field's place, or is no entry at all.
-STRANGE: tuple[Any, ...] = (
+# Values of a wrong type, for one field or for the whole entry.
+MALFORMED: tuple[Any, ...] = (
     None,
     '',
     'x' * 100_000,
@@ -42,7 +42,7 @@
     {},
     ['a', {'b': 1}],
 )
-PLAIN = strategies.recursive(
+JSON_VALUES = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.integers()
@@ -63,31 +63,31 @@
 
 
 class ServerListTest(unittest.TestCase):
-    """What the process believes after entries came."""
+    """The servers that the process uses after entries were read."""
 
     def setUp(self) -> None:
         self.out = io.BytesIO()
         self.lost: list[str] = []
         self.restarted: list[str] = []
-        self.listed = server_list.ServerList(DOUBT_S, _Lines(self.out))
+        self.listed = server_list.ServerList(DOUBT_S, _EventRecorder(self.out))
         self.listed.on_lost = lambda instance, _: self.lost.append(instance)
         self.listed.on_restarted = lambda server: self.restarted.append(
             server.instance
         )
 
-    def test_strange_fields(self) -> None:
-        """A writer puts another type into one field, or leaves it out.
+    def test_malformed_fields(self) -> None:
+        """A field has a value of the wrong type, or is missing.
 
-        The entry names no server and is logged once, however often the list
-        is read; the sound ones beside it hold.
+        The entry names no server and is logged once, however often the list is
+        read; the valid entries beside it are kept.
         """
         for field in ('service', 'address', 'zone', 'slots', 'state', 'born'):
-            for strange in STRANGE:
-                with self.subTest(field=field, strange=str(strange)[:20]):
-                    self._check_refused({**ENTRY, field: strange})
+            for malformed in MALFORMED:
+                with self.subTest(field=field, malformed=str(malformed)[:20]):
+                    self._check_refused({**ENTRY, field: malformed})
 
     def test_missing_fields(self) -> None:
-        """All but the start must be there, and numbers be numbers."""
+        """Required fields must be present, and numbers must not be strings."""
         for text in ('slots', 'born'):
             self._check_refused({**ENTRY, text: '7'})
         for field in ('service', 'address', 'zone', 'version', 'slots'):
@@ -98,18 +98,18 @@
     @settings(max_examples=200, deadline=None)
     @example({**ENTRY, 'state': 'retired'})
     @example({**ENTRY, 'address': 'elsewhere:80'})
-    @given(PLAIN)
+    @given(JSON_VALUES)
     def test_drawn(self, spec: Any) -> None:
-        """Any entry leaves the others as they are."""
+        """Any invalid entry leaves the others unchanged."""
         self.setUp()
         self._take({'good': dict(ENTRY), 'drawn': spec})
         self.assertIn('good', self._usable())
 
     def test_overwritten(self) -> None:
-        """A sound entry is overwritten by another writer's, then is back.
+        """A valid entry is overwritten by another writer, then restored.
 
-        It names no server meanwhile; its server is doubted as one whose entry
-        was dropped, since it may serve on.
+        Meanwhile it names no server. Its server is doubted like one whose entry
+        was deleted, since it may still be running.
         """
         self._take({'good': dict(ENTRY), 'hit': dict(ENTRY)})
         self._change('hit', {'service': 7})
@@ -124,8 +124,9 @@
     def test_restart(self) -> None:
         """A server crashes and is listed again under its id.
 
-        Its new start has another identity, so no count or suspicion of the
-        one before holds, and what ran there is known to be lost.
+        The new start is another instance, so no count and no suspicion of the
+        earlier one applies, and the requests that ran there are known to be
+        lost.
         """
         self._take({'s1': dict(ENTRY)})
         before = f's1@{BORN}'
@@ -138,18 +139,18 @@
         self.assertEqual(late, listed)
 
     def test_told(self) -> None:
-        """A peer is handed sound entries only, and takes the same list."""
+        """A peer gets only valid entries and ends with the same list."""
         self._take({'good': dict(ENTRY), 'bad': 3})
-        other = server_list.ServerList(DOUBT_S, _Lines(io.BytesIO()))
-        other.take_specs(self.listed.specs, 7, 'peer', NOW)
+        other = server_list.ServerList(DOUBT_S, _EventRecorder(io.BytesIO()))
+        other.apply_specs(self.listed.specs, 7, 'peer', NOW)
         self.assertEqual(other.usable(NOW), self.listed.usable(NOW))
         self.assertEqual(set(other.specs), {'good'})
 
     def test_orders(self) -> None:
-        """Strange orders name no roll-out; a sound one beside them does."""
-        orders = order_list.OrderList(_Lines(self.out))
+        """Invalid orders start no roll-out; a valid one after them does."""
+        orders = order_list.OrderList(_EventRecorder(self.out))
         cases: tuple[Any, ...] = (
-            *STRANGE,
+            *MALFORMED,
             {},
             {**ORDER, 'duration_s': 'long'},
             {**ORDER, 'duration_s': -3},
@@ -187,15 +188,15 @@
         return [server.name for server in listed]
 
 
-class _Lines(log_lines.LineWriter):
-    """Keeps the lines."""
+class _EventRecorder(log_lines.LineWriter):
+    """Records the events of log lines."""
 
     def __init__(self, out: io.BytesIO) -> None:
         super().__init__(1)
         self._out = out
 
     def write(self, event: str, **fields: object) -> None:
-        """Keep one line's event."""
+        """Record the event of one line."""
         self._out.write(f'{event}\n'.encode())
 
 
--- a/beryllug/router/sharing.py
+++ b/beryllug/router/sharing.py
@@ -1,9 +1,9 @@
-"""Service 'sharing': short notes between the processes of the fleet.
+"""Service 'sharing': short datagrams between the processes of the fleet.
 
-Round by round it tells what this process has at backend servers and who
-follows the platform's store, by the aggregators of the zones; see
-`core.peering.aggregation`. What is seldom goes to all at once: a process that
-is gone, a server that was lost under a request, the phase of a roll-out.
+Each round it sends the load of this process on backend servers, and which
+processes follow the platform's store, through the aggregators of the zones; see
+`core.peering.aggregation`. Rare events go to all processes at once: a process
+that is gone, a server that was lost during a request, the phase of a roll-out.
 """
 
 import asyncio
@@ -31,12 +31,12 @@
     trials,
 )
 
-# Sessions in one note, of some 40 bytes each.
-MOST_SESSIONS = 20
+# Sessions per note, of about 40 bytes each.
+MAX_SESSIONS_PER_NOTE = 20
 
 
 class Decided(NamedTuple):
-    """The services whose knowledge of requests is told."""
+    """The services whose data about requests is shared."""
 
     pool: pool.Pool
     trials: trials.Trials
@@ -45,7 +45,7 @@
 
 
 class Sharing:
-    """Sends notes, and acts on those that come."""
+    """Sends notes and handles received ones."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         decided: Decided,
         keys: fleet_key.KeyRing,
     ) -> None:
-        """Bind to what is told and to who takes it."""
+        """Bind to the services that provide and receive the data."""
         self._cfg = cfg
         self._zone = zone
         self._peers = peers
@@ -65,7 +65,9 @@
         self._loads = fleet_loads.FleetLoads(zone, peers.members, decided.pool)
         self._trials = decided.trials
         self._crashes = decided.crashes
-        self._notes = datagrams.Datagrams(keys, peering_data.Note, self._take)
+        self._notes = datagrams.Datagrams(
+            keys, peering_data.Note, self._handle_note
+        )
         self._news = store_news.StoreNews(
             cfg, zone, peers, known, self._notes.send
         )
@@ -83,28 +85,30 @@
         )
         self._limits.claim = self._claims.claim
         self._statements = decided.statements
-        self._limits.on_changed = self._tell_statements
-        self._statements.on_changed = self._tell_statements
-        self._stated_at = float('-inf')
+        self._limits.on_changed = self._broadcast_statements
+        self._statements.on_changed = self._broadcast_statements
+        self._statements_sent_at = float('-inf')
         self._task: asyncio.Task[None] | None = None
-        peers.ask = self._ask
-        peers.roster.on_gone = lambda name: self._tell_all(_gone(name, cfg))
+        peers.ask = self._send_probe
+        peers.roster.on_gone = lambda name: self._broadcast(
+            _gone_note(name, cfg)
+        )
 
     async def start(self) -> None:
-        """Start to tell and to take."""
+        """Start sending and receiving notes."""
         await self._notes.start(self._cfg.notes_listen)
         now = time.monotonic()
         self._news.start(now)
-        await self._news.follow_or_not(now)
+        await self._news.update_following(now)
         self._task = asyncio.create_task(self._run())
 
     async def stop(self, grace_s: float) -> None:
-        """Stop to tell."""
+        """Stop sending, and tell all others that this process is stopping."""
         self._news.stop()
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
-        self._tell_all(_gone(self._peers.members.name, self._cfg))
+        self._broadcast(_gone_note(self._peers.members.name, self._cfg))
         self._notes.stop()
 
     def dump(self) -> dict[str, Any]:
@@ -122,13 +126,13 @@
         }
 
     def tell_phase(self, rollout: rollout_state.Rollout, now: float) -> None:
-        """Tell all how far a roll-out has come, as it changes.
+        """Tell all processes the phase of a roll-out when it changes.
 
-        A version that was taken back must get nothing more from any process
-        within seconds, also while the store can't be written.
+        A version that was rolled back must get no more requests from any
+        process within seconds, even while the store can't be written.
         """
-        told = rollout_state.news((rollout,), now)
-        self._tell_all(self._note()._replace(rollouts=told))
+        phases = rollout_state.news((rollout,), now)
+        self._broadcast(self._new_note()._replace(rollouts=phases))
 
     async def _run(self) -> None:
         while True:
@@ -141,77 +145,83 @@
             fleet_size.count(self._pool.eligible.size, present, ever, now)
             self._forget_limits(now)
             self._statements.forget(now)
-            self._tell_statements()
+            self._broadcast_statements()
             self._known.zones.settle(now)
-            await self._news.follow_or_not(now)
+            await self._news.update_following(now)
             self._news.tell()
-            self._tell_loads(self._loads.due(now), now)
-            self._tell_news()
+            self._send_loads(self._loads.due(now), now)
+            self._broadcast_events()
             self._probes.look(now)
 
-    def _ask(self, name: str) -> None:
+    def _send_probe(self, name: str) -> None:
         now = time.monotonic()
-        self._probes.ask(name, self._stated(now), now)
+        self._probes.ask(name, self._state_note(now), now)
 
-    def _stated(self, now: float) -> peering_data.Note:
-        """Return a note of what this process knows, for one other."""
-        stated = self._news.relayed(self._news.stated(), now)
-        return stated._replace(
+    def _state_note(self, now: float) -> peering_data.Note:
+        """Return a note with what this process knows, for a single peer."""
+        own_note = self._news.with_store_state(self._news.stated(), now)
+        return own_note._replace(
             limits=self._limits.recent(now),
             leaving=self._statements.recent(now),
         )
 
-    def _tell_all(self, note: peering_data.Note) -> None:
+    def _broadcast(self, note: peering_data.Note) -> None:
         known = self._peers.members.known.values()
         self._notes.send((each.notes for each in known), note)
 
-    def _tell_loads(self, told: Iterable[fleet_loads.Due], now: float) -> None:
-        for due in told:
-            note = with_loads(self._note(), due.told)
+    def _send_loads(
+        self, messages: Iterable[fleet_loads.OutgoingMessage], now: float
+    ) -> None:
+        for due in messages:
+            note = with_loads(self._new_note(), due.payload)
             if note.total is not None:
-                note = self._news.relayed(note, now)
-            if self._loads.is_unheard(now):
+                note = self._news.with_store_state(note, now)
+            if self._loads.lacks_totals(now):
                 note = note._replace(
                     notes=self._cfg.notes_listen, zone=self._zone
                 )
             self._notes.send(due.addresses, note)
 
-    def _note(self) -> peering_data.Note:
+    def _new_note(self) -> peering_data.Note:
         return peering_data.Note(
             self._peers.members.name, self._cfg.peer_listen
         )
 
-    def _tell_news(self) -> None:
-        """Tell of lost servers, and sessions that a roll-out may draw."""
-        running = sessions.tell(self._trials.pins.sessions, MOST_SESSIONS)
+    def _broadcast_events(self) -> None:
+        """Send lost servers, and sessions that a roll-out may select."""
+        running = sessions.tell(
+            self._trials.pins.sessions, MAX_SESSIONS_PER_NOTE
+        )
         losses = crashers.tell(self._crashes.state)
         if running or losses:
-            note = self._note()
-            self._tell_all(note._replace(running=tuple(running), losses=losses))
+            note = self._new_note()
+            self._broadcast(
+                note._replace(running=tuple(running), losses=losses)
+            )
 
     def _forget_limits(self, now: float) -> None:
-        # To go through all servers four times a second costs a large fleet
-        # as much as all else that it does while idle.
+        # Going through all servers four times a second would cost a large fleet
+        # as much as all its other idle work.
         if self._limits.known.observed:
             listed, doubted = self._known.servers.usable(now)
             self._limits.forget(itertools.chain(listed, doubted), now)
 
-    def _tell_statements(self) -> None:
-        """Tell all what servers have stated of themselves, once a round.
+    def _broadcast_statements(self) -> None:
+        """Send all processes what servers announced, at most once a round.
 
-        A server whose answers name a limit by turns is told of no more often.
+        The limit also covers a server whose answers keep changing their limit.
         """
         now = time.monotonic()
-        if now - self._stated_at < fleet_loads.PERIOD_S:
+        if now - self._statements_sent_at < fleet_loads.PERIOD_S:
             return
         limits = self._limits.changed(now)
         leaving = self._statements.changed()
         if limits or leaving:
-            self._stated_at = now
-            note = self._note()
-            self._tell_all(note._replace(limits=limits, leaving=leaving))
+            self._statements_sent_at = now
+            note = self._new_note()
+            self._broadcast(note._replace(limits=limits, leaving=leaving))
 
-    def _take(self, note: peering_data.Note) -> None:
+    def _handle_note(self, note: peering_data.Note) -> None:
         now = time.monotonic()
         if note.notes:
             seen = members.Known(note.address, note.notes, now, note.zone)
@@ -220,11 +230,11 @@
             members.heard_again(self._peers.members, note.name, now)
         for name in note.gone:
             self._peers.roster.left(name, now)
-        for told in (note.report, note.zone_sum, note.total):
-            if told is not None:
-                self._loads.take(note.name, told, now)
+        for payload in (note.report, note.zone_sum, note.total):
+            if payload is not None:
+                self._loads.take(note.name, payload, now)
         if note.report is not None or note.zone_sum is not None:
-            self._tell_loads(self._loads.due_at_once(now), now)
+            self._send_loads(self._loads.due_immediately(now), now)
         self._trials.pins.take(note.running)
         self._crashes.take(note.losses, now)
         self._claims.take(note, now)
@@ -232,23 +242,23 @@
         self._trials.take_phases(note.rollouts, note.name, now)
         self._news.take(note, now)
         if note.asks:
-            self._probes.answer(note, self._stated(now), now)
+            self._probes.answer(note, self._state_note(now), now)
         self._probes.take(note, now)
 
 
 def with_loads(
-    note: peering_data.Note, told: fleet_loads.Told
+    note: peering_data.Note, payload: fleet_loads.Told
 ) -> peering_data.Note:
-    """Return a note with what is told of loads."""
-    match told:
+    """Return a note with a load message as its content."""
+    match payload:
         case peering_data.Report():
-            return note._replace(report=told)
+            return note._replace(report=payload)
         case peering_data.ZoneSum():
-            return note._replace(zone_sum=told)
+            return note._replace(zone_sum=payload)
         case peering_data.Total():
-            return note._replace(total=told)
+            return note._replace(total=payload)
 
 
-def _gone(name: str, cfg: settings_data.Router) -> peering_data.Note:
-    """Return the note that a process is gone, or stops itself."""
+def _gone_note(name: str, cfg: settings_data.Router) -> peering_data.Note:
+    """Return the note that a process is gone, or that this one stops."""
     return peering_data.Note(name, cfg.peer_listen, gone=(name,))
--- a/beryllug/router/store_listing.py
+++ b/beryllug/router/store_listing.py
@@ -7,28 +7,28 @@
 from beryllug.drivers import object_data, store_data
 from beryllug.platform import store
 
-# Seconds before a further page is asked for again, and the parts of them
-# between which each pause is drawn.
+# Seconds before a further page is requested again, and the range of the jitter
+# factor of each pause.
 PAUSES_S = (0.05, 0.1, 0.2, 0.4, 0.8, 0.8)
 JITTER = (0.5, 1.5)
 
 
-# Most seconds that a process waits before each further page, while others may
-# have the whole list already.
+# Maximum pause in seconds before each further page, while other processes may
+# already have the whole list.
 MOST_PAUSE_S = 1.0
 
 
 def page_pause_s(drawn: float, *, is_seed: bool) -> float:
-    """Return the seconds that a process waits before each further page.
+    """Return the pause in seconds of a process before each further page.
 
-    After all processes were killed each lists all servers, and three hundred of
-    them press the store with twenty thousand calls: it refuses most, and none
-    has its list for half a minute. The seeds, whom all others ask, go first;
-    where none is left, the few that draw short pauses do. A list of one page,
-    as a small fleet has, is not delayed.
+    When all processes have been killed, each of them lists all servers. Three
+    hundred of them make twenty thousand calls; the store refuses most of these,
+    and for half a minute no process has its list. So the seeds, which all
+    others ask, go first; without a seed, the few processes with short random
+    pauses do. A list of one page, as in a small fleet, is not delayed.
 
     Args:
-        drawn: A number from 0 to 1, drawn for this process.
+        drawn: A random number from 0 to 1, drawn for this process.
         is_seed: Whether the others ask this process first.
     """
     return 0 if is_seed else drawn * MOST_PAUSE_S
@@ -39,9 +39,9 @@
 ) -> store_data.Listing:
     """List the objects of a kind.
 
-    The revision is that of the first page: what changes between two pages may
-    be on one that was read before, and a watch from the last one's revision
-    would never tell of it.
+    The revision is that of the first page: an object may change between two
+    pages after the page with it was read, and a watch from the last page's
+    revision would never report that change.
 
     Args:
         api: The store.
@@ -49,8 +49,8 @@
         pause_s: Seconds to wait before each further page.
 
     Raises:
-        CompactedError: The store has returned from a copy between two pages.
-        ObjectApiError: The store did not give all of them.
+        CompactedError: The store was restored from a copy between two pages.
+        ObjectApiError: The store did not return all pages.
     """
     page = await api.list_page(kind)
     revision = page.listing.revision
@@ -60,7 +60,9 @@
         await asyncio.sleep(pause_s)
         page = await _next_page(api, kind, page.after)
         if stamps.era(page.listing.revision) != stamps.era(revision):
-            raise object_data.CompactedError('a list of two eras')
+            raise object_data.CompactedError(
+                'pages of one list are from two eras'
+            )
         found.extend(page.listing.found)
         errors.extend(page.listing.errors)
     return store_data.Listing(tuple(found), revision, tuple(errors))
@@ -69,11 +71,11 @@
 async def _next_page(
     api: store.Store, kind: str, after: str
 ) -> store_data.Page:
-    """Return a further page, asked for again where it is refused.
+    """Return a further page, requested again if the store refuses it.
 
-    Where many list at once, the store refuses some calls of each. Begun anew
-    after each refusal, a list of sixty pages never ends, and the calls that it
-    makes meanwhile have others refused.
+    When many processes list at once, the store refuses some calls of each. If a
+    list of sixty pages were restarted after each refusal, it would never end,
+    and its calls would cause refusals for others.
     """
     for pause_s in PAUSES_S:
         try:
--- a/beryllug/router/store_news_test.py
+++ b/beryllug/router/store_news_test.py
@@ -1,4 +1,4 @@
-"""Tests of how what is known of the store goes through a fleet."""
+"""Tests of how store data spreads through a fleet."""
 
 import unittest
 from collections.abc import Iterable
@@ -38,18 +38,18 @@
 
 
 class _Known:
-    """A directory that follows the store or not."""
+    """A directory that follows the store or does not."""
 
     def __init__(self, *, is_current: bool) -> None:
         lines = log_lines.LineWriter(1)
         self.servers = server_list.ServerList(1, lines)
-        self.servers.take_specs({}, 5, 'p9', 0)
+        self.servers.apply_specs({}, 5, 'p9', 0)
         self.table: Any = None
         self.eras = store_era.StoreEra()
         self.orders = self
         self.zones = zone_list.ZoneList(lines)
         api: Any = None
-        self.pulse = store_pulse.StorePulse(api, ())
+        self.liveness = store_pulse.StoreLiveness(api, ())
         self._is_current = is_current
         self.followed: list[bool] = []
 
@@ -65,12 +65,12 @@
     def revision(self) -> int:
         return 0
 
-    async def follow_or_not(self, *, must: bool) -> None:
-        self.followed.append(must)
+    async def update_following(self, *, should_follow: bool) -> None:
+        self.followed.append(should_follow)
 
 
 class _Peers:
-    """Peers that are known; those that were asked for more are noted."""
+    """Known peers; records which are asked for data."""
 
     def __init__(
         self, known: members.Members, shared: knowledge.Knowledge
@@ -79,7 +79,7 @@
         self.knowledge = shared
         self.asked: list[str] = []
 
-    async def compare(self, address: str, within_s: float) -> None:
+    async def compare(self, address: str, max_delay_s: float) -> None:
         self.asked.append(address)
 
 
@@ -109,8 +109,8 @@
             self._send,
         )
 
-    def told(self) -> set[str]:
-        """Return the processes that were told, and forget them."""
+    def receivers(self) -> set[str]:
+        """Return the receivers of all notes so far, and forget the notes."""
         addresses = {name for chosen, _ in self.sent for name in chosen}
         self.sent.clear()
         return {each.removesuffix(':2') for each in addresses}
@@ -125,7 +125,7 @@
 
 
 def _change(revision: int, sender: str = 'p9') -> peering_data.Note:
-    """Return the word of a process that has seen a server come."""
+    """Return the note of a process that has seen a new server."""
     return peering_data.Note(
         sender,
         f'{sender}:1',
@@ -137,22 +137,25 @@
 
 
 class StoreNewsTest(unittest.IsolatedAsyncioTestCase):
-    """A fleet of 195 in five zones."""
+    """A fleet of 195 processes in five zones."""
 
     def test_few_are_told(self) -> None:
-        """Who follows the store tells ten aggregators, not 194 processes."""
-        is_one = 'p7' in _aggregators('z2')
-        for is_current, expected in ((True, 2 * ZONES - is_one), (False, 0)):
+        """A follower of the store tells ten aggregators, not 194 processes."""
+        is_aggregator = 'p7' in _aggregators('z2')
+        for is_current, expected in (
+            (True, 2 * ZONES - is_aggregator),
+            (False, 0),
+        ):
             with self.subTest(is_current=is_current):
                 process = _Process('p7', is_current=is_current)
                 process.news.tell()
-                self.assertEqual(len(process.told()), expected)
+                self.assertEqual(len(process.receivers()), expected)
 
     async def test_change_goes_on(self) -> None:
-        """A change reaches a zone by its aggregators, each telling it once.
+        """A change reaches a zone through its aggregators, once from each.
 
-        Where nobody told it on, a server that has left would get requests
-        until the next comparison of each process.
+        If nobody passed it on, a server that has left would get requests until
+        each process's next comparison with a peer.
         """
         aggregator = _aggregators('z1')[1]
         other = next(
@@ -171,11 +174,11 @@
                 )
 
     async def test_revision_of_changes(self) -> None:
-        """Changes go on with the revision that they lead to, and no higher.
+        """Changes are passed on with the revision that they lead to.
 
-        An aggregator knows of later ones by another way. Told with its own
-        revision, its zone would take itself to know those, too, and never
-        ask.
+        The aggregator may know of later changes by another way. Sent with its
+        own revision, these changes would make its zone believe that it has the
+        later ones too, and it would never ask for them.
         """
         process = _Process(_aggregators('z1')[0])
         process.news.take(_change(6), 100)
@@ -184,11 +187,12 @@
         self.assertEqual(note.since, 5)
 
     async def test_behind(self) -> None:
-        """Who lacks a change asks one that knows it, spread over several.
+        """A process that lacks a change asks one that has it, load spread.
 
-        Of a word of one who follows the store those who do are asked, of an
-        aggregator's word the aggregators of the zone, of any other its sender:
-        who asks only aggregators that are cut off would never learn of it.
+        After a note of a follower it asks any follower, after a note of an
+        aggregator of its zone any of these, and after any other note the
+        sender: if it asked only aggregators, and these were cut off, it would
+        never get the change.
         """
         following = ('p50', 'p51', 'p52')
         near = tuple(_aggregators('z1'))
@@ -209,14 +213,14 @@
                 for now in range(100, 130):
                     _hear(process, following, now)
                     process.news.take(note, now)
-                await _settle(process)
+                await _wait_for_calls(process)
                 asked = set(process.peers.asked)
                 self.assertEqual(asked, {f'{name}:1' for name in expected})
 
     async def test_relayed(self) -> None:
-        """A process that hears totals only knows who follows the store.
+        """A process that gets only totals learns from them who follows.
 
-        It would else follow the store itself, and 195 processes would list
+        Otherwise it would follow the store itself, and 195 processes would list
         and watch all of it.
         """
         primary = _Process(_aggregators('z1')[0])
@@ -225,23 +229,25 @@
         for step in range(40):
             now = 100 + step / 4
             for name in first:
-                word = peering_data.Note(name, f'{name}:1', is_watching=True)
-                primary.news.take(word, now - 0.2)
+                announced = peering_data.Note(
+                    name, f'{name}:1', is_watching=True
+                )
+                primary.news.take(announced, now - 0.2)
             if step % 2:
                 total = peering_data.Note(primary.members.name, '')
-                member.news.take(primary.news.relayed(total, now), now)
-            await member.news.follow_or_not(now + 0.4)
+                member.news.take(primary.news.with_store_state(total, now), now)
+            await member.news.update_following(now + 0.4)
         self.assertNotIn(True, member.known.followed[8:])
 
 
 def _hear(process: _Process, names: Iterable[str], now: float) -> None:
-    """Let a process know who follows the store."""
+    """Make a process know which others follow the store."""
     for name in names:
         standing.heard(process.news.standing, name, now)
 
 
-async def _settle(process: _Process) -> None:
-    """Wait for the calls that are spread over a part of a second."""
+async def _wait_for_calls(process: _Process) -> None:
+    """Wait for the calls, which are spread over part of a second."""
     for task in tuple(process.news._calls):  # noqa: SLF001
         await task
 
--- a/beryllug/router/store_returns.py
+++ b/beryllug/router/store_returns.py
@@ -1,4 +1,4 @@
-"""Service 'store_returns': notices that the store returned from a copy."""
+"""Service 'store_returns': detects restores of the store from a copy."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -9,19 +9,19 @@
 
 
 class StoreReturns:
-    """Tells that all kinds are to be listed anew.
+    """Triggers a new listing of all kinds after each restore.
 
     Attributes:
         eras: The era of the store.
-        on_returned: Told of each return.
+        on_returned: Called after each restore.
     """
 
     def __init__(
         self, eras: store_era.StoreEra, lines: log_lines.LineWriter
     ) -> None:
-        """Bind to what the store's answers, and peers, tell of its era."""
+        """Bind to the era, as the store's answers and peers tell it."""
         self.eras = eras
-        self.on_returned: Callable[[], None] = _pass_over
+        self.on_returned: Callable[[], None] = _ignore_return
         self._count = 0
         self._lines = lines
         self._refusals = refusals.Refusals('store_era_unreadable', lines)
@@ -29,17 +29,17 @@
         eras.on_unreadable = self._note_unreadable
 
     async def start(self) -> None:
-        """Do nothing: it is driven by answers and by notes."""
+        """Do nothing: it acts on answers of the store and on notes."""
 
     async def stop(self, grace_s: float) -> None:
         """Do nothing: it holds no socket and no task."""
 
     def dump(self) -> dict[str, Any]:
-        """Return the era, and how many returns were noticed."""
+        """Return the era and the number of detected restores."""
         return {'era': self.eras.era, 'returns': self._count}
 
     def measure(self) -> Iterable[metrics_data.Sample]:
-        """Return how often the store has returned."""
+        """Return the number of detected restores as a metric."""
         yield metrics_data.Sample(
             'store_returns',
             self._count,
@@ -48,16 +48,16 @@
         )
 
     def _changed(self, era: int, before: int) -> None:
-        # The first era that a process hears of is no return.
+        # The first era that a process learns is not a restore.
         if not before:
             return
         self._count += 1
         self._lines.write('store_returned', era=era, before=before)
         self.on_returned()
 
-    def _note_unreadable(self, told: str) -> None:
-        self._refusals.refused('era', told)
+    def _note_unreadable(self, text: str) -> None:
+        self._refusals.refused('era', text)
 
 
-def _pass_over() -> None:
-    """Tell nobody of a return."""
+def _ignore_return() -> None:
+    """Default of `on_returned`."""
--- a/beryllug/router/store_returns_test.py
+++ b/beryllug/router/store_returns_test.py
@@ -1,4 +1,7 @@
-"""Tests of what holds after a return of the store, and for how long."""
+"""Tests of what is held after a restore of the store, and for how long.
+
+OLD is a stamp from before the restore, NEW one from after it.
+"""
 
 import unittest
 from collections.abc import Iterable
@@ -17,7 +20,8 @@
 ZONE = 'b'
 OLD = stamps.stamp(1, 50)
 NEW = stamps.stamp(2, 20)
-# Seconds for which a dropped server is doubted, and of the returns.
+# Seconds for which a server is doubted once its entry is gone; the times of the
+# restore and of the end of the hold.
 DOUBT_S = 1.0
 NOW = 100.0
 LATER = NOW + stamps.HELD_S + 0.1
@@ -47,11 +51,11 @@
     return {'service': 'pool', 'target': target, 'duration_s': 12}
 
 
-class _Silent(log_lines.LineWriter):
-    """Keeps the events of lines."""
+class _EventRecorder(log_lines.LineWriter):
+    """Records the events of log lines."""
 
     def __init__(self) -> None:
-        """Open nothing."""
+        """Open no file."""
         self.events: list[str] = []
 
     def write(self, event: str, **fields: object) -> None:
@@ -59,10 +63,10 @@
 
 
 class ServersTest(unittest.TestCase):
-    """A process that knows one server of each kind as the store returns."""
+    """A process that knows a server of each kind before the restore."""
 
     def setUp(self) -> None:
-        self.servers = server_list.ServerList(DOUBT_S, _Silent())
+        self.servers = server_list.ServerList(DOUBT_S, _EventRecorder())
         states = {'stays': 'ready', 'leaves': 'ready', 'goes': 'ready'}
         self.servers.listed(_list(states, OLD - 2), NOW - 20)
         changes = store_data.Changes(
@@ -77,15 +81,22 @@
         self.copy = _list(states, NEW)
 
     def test_held(self) -> None:
-        """A server that leaves or has gone is asked again, by the copy."""
+        """Servers that are leaving or gone get no requests until the hold ends.
+
+        The restored copy lists them as ready.
+        """
         self.servers.listed(self.copy, NOW)
         self.assertEqual(self._usable(NOW), ({'stays'}, {'new'}))
         self.assertEqual(
             self._usable(LATER), ({'stays', 'leaves', 'goes'}, set())
         )
 
-    def test_later_word(self) -> None:
-        """The server's own later word is passed over while it is held."""
+    def test_later_entry(self) -> None:
+        """An entry that its server writes after the restore counts at once.
+
+        Otherwise a server that is ready again would get no requests, and one
+        that is leaving would get some when the hold ends.
+        """
         for state, listed in (('ready', True), ('draining', False)):
             with self.subTest(state):
                 self.setUp()
@@ -99,26 +110,26 @@
                 self.assertIs('leaves' in self._usable(NOW)[0], listed)
                 self.assertIs('leaves' in self._usable(LATER)[0], listed)
 
-    def test_earlier_words(self) -> None:
-        """Words of before the return come late, and count."""
+    def test_earlier_era(self) -> None:
+        """Late data from before the restore is ignored."""
         self.servers.listed(self.copy, NOW)
         before = self.servers.revision
         late = stored('stays', 'draining', OLD + 5)
         self.servers.listed(_list({}, OLD + 5), NOW)
         change = store_data.Change(late, is_gone=False)
         self.servers.changed(store_data.Changes((change,), OLD + 5), NOW)
-        self.servers.take_specs({}, OLD + 5, 'peer', NOW)
+        self.servers.apply_specs({}, OLD + 5, 'peer', NOW)
         for since in (OLD, OLD + 4):
             delta = server_list.Delta(since, OLD + 5, (('stays', None),))
-            self.servers.take_delta(delta, 'peer', NOW)
+            self.servers.apply_delta(delta, 'peer', NOW)
         delta = server_list.Delta(OLD, NEW + 1, (('stays', None),))
-        self.assertFalse(self.servers.take_delta(delta, 'peer', NOW))
+        self.assertFalse(self.servers.apply_delta(delta, 'peer', NOW))
         self.assertEqual(self.servers.revision, before)
         self.assertIn('stays', self._usable(NOW)[0])
 
     def test_from_peer(self) -> None:
-        """A peer hands the copy's list on, and it is believed at once."""
-        self.servers.take_specs(
+        """The restored list is held back also when it comes from a peer."""
+        self.servers.apply_specs(
             {each.name: each.spec for each in self.copy.found},
             NEW,
             'peer',
@@ -127,19 +138,26 @@
         self.assertEqual(self._usable(NOW), ({'stays'}, {'new'}))
 
     def test_listed_again(self) -> None:
-        """A second list of the copy, or of a peer, ends what is held."""
+        """Further lists of the restored copy do not end the hold.
+
+        An entry that was rewritten in the meantime counts at once.
+        """
         specs = {each.name: each.spec for each in self.copy.found}
         self.servers.listed(self.copy, NOW)
         for number in (1, 2):
-            self.servers.take_specs(specs, NEW + number, 'peer', NOW)
+            self.servers.apply_specs(specs, NEW + number, 'peer', NOW)
             self.assertEqual(self._usable(NOW)[0], {'stays'})
         specs['goes'] = _entry('goes', 'ready') | {'slots': 5}
-        self.servers.take_specs(specs, NEW + 3, 'peer', NOW)
+        self.servers.apply_specs(specs, NEW + 3, 'peer', NOW)
         self.assertEqual(self._usable(NOW)[0], {'stays', 'goes'})
         self.assertEqual(self._usable(LATER)[0], {'stays', 'goes', 'leaves'})
 
-    def test_hands_on(self) -> None:
-        """A peer is told of a server's leaving for ever: it was held here."""
+    def test_specs_for_peers(self) -> None:
+        """Peers get the store's entry of a held server.
+
+        If they got the held state instead, they would take the server to be
+        leaving for ever.
+        """
         self.servers.listed(self.copy, NOW)
         states = {
             name: spec['state'] for name, spec in self.servers.specs.items()
@@ -152,22 +170,26 @@
 
 
 class ZonesTest(unittest.TestCase):
-    """A zone was evacuated after the copy was taken."""
+    """A zone was evacuated after the copy was made."""
 
     def setUp(self) -> None:
-        self.zones = zone_list.ZoneList(_Silent())
+        self.zones = zone_list.ZoneList(_EventRecorder())
         self.zones.take((ZONE,), OLD, 'store', NOW - 5)
         self.zones.take((), NEW, 'store', NOW)
 
     def test_held(self) -> None:
-        """An evacuation that the copy lacks ends with it, or never."""
+        """An evacuation that the copy lacks ends with the hold, not earlier."""
         for now, evacuated in ((NOW, {ZONE}), (LATER, set())):
             self.zones.settle(now)
             self.assertEqual(self.zones.evacuated, evacuated)
             self.assertEqual(self.zones.stated, set())
 
     def test_written_again(self) -> None:
-        """An evacuation that is written again ends ten seconds later."""
+        """An evacuation written again after the restore outlasts the hold.
+
+        Otherwise it would end ten seconds after the restore. One that was
+        removed after the restore ends at once.
+        """
         for steps, evacuated in (
             (((False, NEW + 1),), {ZONE}),
             (((False, NEW + 1), (True, NEW + 2)), set()),
@@ -181,7 +203,7 @@
                 self.assertEqual(self.zones.evacuated, evacuated)
 
     def test_twice(self) -> None:
-        """A second return ends what the first has held."""
+        """A second restore during the hold extends it."""
         self.zones.take((), stamps.stamp(3, 1), 'store', LATER - 1)
         self.zones.settle(LATER)
         self.assertEqual(self.zones.evacuated, {ZONE})
@@ -194,15 +216,15 @@
 
 
 class OrdersTest(unittest.TestCase):
-    """A roll-out was ordered after another one, before the return."""
+    """A roll-out order had replaced another one before the restore."""
 
     def setUp(self) -> None:
-        self.orders = order_list.OrderList(_Silent())
+        self.orders = order_list.OrderList(_EventRecorder())
         for number, target in enumerate(('v2', 'v3')):
             self._list(order_of(target), OLD + number)
 
     def test_copy(self) -> None:
-        """An order that was replaced is taken from the copy."""
+        """An order that had been replaced is not accepted from the copy."""
         table: tuple[tuple[Any, str], ...] = (
             (order_of('v2'), 'v3'),
             (order_of('v3'), 'v3'),
@@ -218,13 +240,13 @@
                 self.assertEqual(self._target(), target)
 
     def test_other_time(self) -> None:
-        """An order whose time was changed counts as replaced by itself."""
+        """A change of an order's duration does not mark it as replaced."""
         self._list(order_of('v3') | {'duration_s': 9}, OLD + 2)
         self._list(order_of('v3'), NEW)
         self.assertGreater(self.orders.revision(), OLD + 2)
 
     def test_ordered_again(self) -> None:
-        """A version that is ordered once more counts as replaced."""
+        """A version that is ordered again no longer counts as replaced."""
         self._list(order_of('v2'), OLD + 2)
         self._list(order_of('v2'), NEW)
         self.assertGreater(self.orders.revision(), OLD + 2)
@@ -240,17 +262,17 @@
 
 
 class ErasTest(unittest.TestCase):
-    """What a process makes of the eras that it hears of."""
+    """How a process handles the eras that it learns of."""
 
     def test_returns(self) -> None:
-        """The first era counts as a return, or a second word as another."""
-        lines = _Silent()
+        """Each new era counts once as a restore, except for the first."""
+        lines = _EventRecorder()
         eras = store_era.StoreEra()
         returns = store_returns.StoreReturns(eras, lines)
         told: list[int] = []
         returns.on_returned = lambda: told.append(eras.era)
-        for word in ('4', '', '5', '5', 'x', '6'):
-            eras.answered(word)
+        for answer in ('4', '', '5', '5', 'x', '6'):
+            eras.answered(answer)
         eras.learn(5)
         eras.learn(7)
         self.assertEqual(told, [5, 6, 7])
--- a/beryllug/router/store_watch.py
+++ b/beryllug/router/store_watch.py
@@ -1,9 +1,9 @@
 """Follows one kind of objects in the platform's store, while told to.
 
-It lists the kind once and watches from there. A watch that fails is taken up
-where it stood; only when the store has dropped that history is the kind
-listed again. What is lost and regained is logged once each, with the count of
-tries between.
+It lists the kind once and watches from there. A failed watch resumes at its
+last revision; the kind is listed again only when the store has dropped that
+history. Loss and recovery are logged once each, the recovery with the number of
+failures between.
 """
 
 import asyncio
@@ -17,27 +17,29 @@
 from beryllug.platform import store
 from beryllug.router import refusals, store_listing
 
-# A waiting watch costs one call; the store lets one wait for 30 s. Ten bound
-# the time in which a watch that the network lost is not noticed.
+# A waiting watch costs one call; the store lets it wait for up to 30 s. Ten
+# seconds bound the time until a watch that the network lost is noticed.
 WAIT_S = 10.0
-# After a failure the first watch returns soon, so that the store's return is
-# known when it happens: what lapsed in an outage is doubted from then on.
-RETURN_WAIT_S = 0.05
-# Seconds between a change and the next watch. Changes come in swarms, as where
-# a zone's servers start or a version is brought in: each one alone would wake
-# every watch and be a call. The first is told at once, the others within a
-# tenth of the time in which a server that leaves must get no more.
+# After a failure the first watch returns soon, so that the store's recovery is
+# known when it happens: entries that expired in the outage are doubted from
+# then on.
+RECOVERY_WAIT_S = 0.05
+# Seconds between a change and the next watch. Changes come in bursts, as when a
+# zone's servers start or a version is rolled out; each one alone would wake
+# every watch and cost a call. The first change is passed on at once, the others
+# within a tenth of the time after which a leaving server must get no more
+# requests.
 GATHER_S = 0.25
 FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 1.0
-# Most seconds that the store is left alone as it asks: what it writes meanwhile
-# is not known here.
-MOST_ASKED_S = 10.0
-# A process that starts in an outage serves no one until the store is back:
-# the first tries come often, later ones once a second.
+MAX_PAUSE_S = 1.0
+# Maximum pause in seconds that the store can ask for: its changes in the
+# meantime are not known here.
+MAX_RETRY_AFTER_S = 10.0
+# A process that starts in an outage can serve nobody until the store recovers:
+# the first retries come often, later ones once a second.
 GROWTH = 1.3
-# Parts of a pause between which each one is drawn, so that processes that
-# lost the store together do not all return in the same moment.
+# Range of the jitter factor of each pause, so that processes that lost the
+# store together do not all reconnect at the same moment.
 JITTER = (0.5, 1.5)
 
 Listed = Callable[[store_data.Listing, float], None]
@@ -46,13 +48,13 @@
 
 
 class Follower(NamedTuple):
-    """Who is told of a kind.
+    """Callbacks for one kind.
 
     Attributes:
-        listed: Takes a whole listing.
-        changed: Takes changes, in order.
-        reached: Told after each call, before what it brought, whether the
-            store answered.
+        listed: Called with a full list.
+        changed: Called with changes, in order.
+        reached: Called after each call, before its result is passed on, with
+            whether the store answered.
     """
 
     listed: Listed
@@ -61,7 +63,7 @@
 
 
 class StoreWatch:
-    """Follows one kind from `start` to `stop`, as often as wanted.
+    """Follows one kind from `start` to `stop`; can be restarted.
 
     Attributes:
         is_current: Whether the last call was answered.
@@ -89,15 +91,16 @@
         self._revision = 0
 
     def start(self) -> None:
-        """Start to follow, from a whole listing on."""
+        """Start following, with a full list."""
         if self._task is None:
             self._revision = 0
             self._task = asyncio.create_task(self._run())
 
     def renew(self) -> None:
-        """List anew at once, also where a call is waiting.
+        """List again at once, even if a call is waiting.
 
-        Its own call, whose answer told that there is a new era, goes on.
+        If the watch's own task calls this, since its answer told of a new era,
+        that call goes on.
         """
         if self._task is None or self._task is asyncio.current_task():
             return
@@ -106,7 +109,7 @@
         self.start()
 
     def doubt(self, reason: str) -> None:
-        """Take a waiting call for lost, and go on from where it stood."""
+        """Treat the waiting call as failed and retry from its revision."""
         if self._task is None:
             return
         self._task.cancel()
@@ -114,7 +117,7 @@
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop to follow."""
+        """Stop following."""
         task = self._task
         self._task = None
         self.is_current = False
@@ -132,9 +135,9 @@
                 self._revision = 0
             except object_data.ObjectApiError as exc:
                 self._note_failure(exc)
-                drawn_s = pause_s * random.uniform(*JITTER)
-                await asyncio.sleep(max(drawn_s, _asked_s(exc)))
-                pause_s = min(pause_s * GROWTH, LONGEST_PAUSE_S)
+                jittered_s = pause_s * random.uniform(*JITTER)
+                await asyncio.sleep(max(jittered_s, _retry_after_s(exc)))
+                pause_s = min(pause_s * GROWTH, MAX_PAUSE_S)
             else:
                 pause_s = FIRST_PAUSE_S
 
@@ -148,7 +151,7 @@
             self._follower.listed(listing, time.monotonic())
             self._revision = listing.revision
             return
-        wait_s = RETURN_WAIT_S if self._failures else WAIT_S
+        wait_s = RECOVERY_WAIT_S if self._failures else WAIT_S
         changes = await self._api.watch(self._kind, self._revision, wait_s)
         self._note_answer()
         self._note_errors(changes.errors)
@@ -182,8 +185,8 @@
         self._failures = 0
 
 
-def _asked_s(exc: object_data.ObjectApiError) -> float:
-    """Return the seconds for which the store asks to be left alone."""
+def _retry_after_s(exc: object_data.ObjectApiError) -> float:
+    """Return the pause in seconds that the store asks for, bounded."""
     if isinstance(exc, object_data.RateLimitedError):
-        return min(exc.retry_after_s, MOST_ASKED_S)
+        return min(exc.retry_after_s, MAX_RETRY_AFTER_S)
     return 0
--- a/beryllug/router/store_watch_test.py
+++ b/beryllug/router/store_watch_test.py
@@ -12,11 +12,11 @@
 from beryllug.platform import store
 from beryllug.router import store_watch
 
-LOOKED_S = 20.0
+OBSERVED_S = 20.0
 
 
-class _Refusing:
-    """A store that refuses all calls and may ask to wait."""
+class _RateLimitingStore:
+    """A store that refuses all calls and may ask for a pause."""
 
     def __init__(self, retry_after_s: float) -> None:
         self.calls: list[float] = []
@@ -31,33 +31,33 @@
     """A store that answers, but refuses."""
 
     async def test_waits(self) -> None:
-        """A store that asks to be left alone for a time is called on."""
-        # Jitter and growth of the usual pauses give some dozen calls.
+        """Retries wait as long as the store asks, up to a maximum."""
+        # Without a requested pause, jitter and growth give a few dozen calls.
         table: tuple[tuple[float, int, int], ...] = (
             (0, 10, 200),
             (5, 2, 5),
             (1e300, 2, 3),
         )
-        for retry_after_s, least, most in table:
+        for retry_after_s, min_calls, max_calls in table:
             with self.subTest(retry_after_s):
                 calls = await self._calls(retry_after_s)
-                self.assertGreaterEqual(len(calls), least)
-                self.assertLessEqual(len(calls), most)
+                self.assertGreaterEqual(len(calls), min_calls)
+                self.assertLessEqual(len(calls), max_calls)
 
     async def _calls(self, retry_after_s: float) -> list[float]:
-        refusing = _Refusing(retry_after_s)
-        api: Any = refusing
+        rate_limiting = _RateLimitingStore(retry_after_s)
+        api: Any = rate_limiting
         lines = log_lines.LineWriter(os.open(os.devnull, os.O_WRONLY))
-        follower = store_watch.Follower(_pass_over, _pass_over, _pass_over)
+        follower = store_watch.Follower(_ignore, _ignore, _ignore)
         watch = store_watch.StoreWatch(api, store.SERVERS, follower, lines)
         watch.start()
-        await asyncio.sleep(LOOKED_S)
+        await asyncio.sleep(OBSERVED_S)
         await watch.stop()
-        return refusing.calls
+        return rate_limiting.calls
 
 
-def _pass_over(*_: Any) -> None:
-    """Take nothing."""
+def _ignore(*_: Any) -> None:
+    """Ignore all callbacks."""
 
 
 if __name__ == '__main__':
--- a/beryllug/router/unread_names.py
+++ b/beryllug/router/unread_names.py
@@ -1,8 +1,8 @@
 """Service 'unread_names': names that the platform's adapter does not know.
 
-A header or field that is new in the answers of servers or of the store may
-ask something of this system. It is logged once, so that it does not stay
-unnoticed until it is missed.
+A new header or field in the answers of servers or of the store may require
+something of this system. It is logged once, so that it is noticed before it
+causes a fault.
 """
 
 from collections.abc import Iterable
@@ -11,16 +11,16 @@
 from beryllug.kernel import log_lines, metrics_data
 from beryllug.router import dispatch
 
-# Names that are remembered, and logged, in the life of a process: any server
-# may send any number of them.
+# Names that a process remembers and logs in its lifetime: a server may send any
+# number of them.
 MOST = 100
-# Longest part of a name that is logged.
+# Maximum length of a logged name.
 MOST_TEXT = 100
 SERVER = 'server'
 
 
 class UnreadNames:
-    """Logs each name once."""
+    """Logs each unknown name once."""
 
     def __init__(self, lines: log_lines.LineWriter) -> None:
         """Bind to the log."""
@@ -28,20 +28,20 @@
         self._seen: set[tuple[str, str]] = set()
 
     async def start(self) -> None:
-        """Do nothing: it is driven by answers."""
+        """Do nothing: it acts on answers."""
 
     async def stop(self, grace_s: float) -> None:
         """Do nothing: it holds no socket and no task."""
 
     def dump(self) -> dict[str, Any]:
-        """Return the names, by where they stood."""
+        """Return the unknown names by source."""
         found: dict[str, list[str]] = {}
         for source, name in sorted(self._seen):
             found.setdefault(source, []).append(name)
         return found
 
     def measure(self) -> Iterable[metrics_data.Sample]:
-        """Return how many names are not known."""
+        """Return the number of unknown names as a metric."""
         yield metrics_data.Sample(
             'names_unread',
             len(self._seen),
@@ -49,12 +49,12 @@
         )
 
     def heard(self, said: dispatch.AnswerHead) -> None:
-        """Take the head of a server's answer."""
+        """Record the unknown names in the head of a server's answer."""
         if said.head.unread:
             self.take(SERVER, said.head.unread)
 
     def take(self, source: str, unread: Iterable[str]) -> None:
-        """Take names that are not known; `source` tells where they stood."""
+        """Record unknown names; `source` tells where they were found."""
         for name in unread:
             key = (source, name[:MOST_TEXT])
             if key in self._seen or len(self._seen) >= MOST:
--- a/beryllug/router/unread_names_test.py
+++ b/beryllug/router/unread_names_test.py
@@ -25,7 +25,7 @@
 
 
 class UnreadNamesTest(unittest.TestCase):
-    """A server or the store says something new, and nothing shows it."""
+    """A new name from a server or the store is logged, within bounds."""
 
     def setUp(self) -> None:
         self.lines = _Lines()
@@ -46,7 +46,7 @@
                 self.assertEqual(tuple(found), logged)
 
     def test_bounded(self) -> None:
-        """A server that sends ever new names fills neither log nor memory."""
+        """A server that keeps sending new names can't fill log or memory."""
         for number in range(2 * unread_names.MOST):
             self._hear({f'x-{number}': ''})
         self.assertEqual(len(self.lines.kept), unread_names.MOST)
--- a/beryllug/router/zone_list.py
+++ b/beryllug/router/zone_list.py
@@ -1,7 +1,7 @@
-"""The availability zones that are evacuated, as they stand in the store.
+"""The evacuated availability zones, from the store or from peers.
 
-While the operator has a zone evacuated, nothing more is sent to the backend
-servers there. What runs there ends there.
+While an operator has a zone evacuated, no new requests are sent to its backend
+servers. Requests that already run there are left to finish.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,27 +16,27 @@
 
 
 class ZoneList:
-    """Follows the store's list of evacuated zones, or what peers tell of it.
+    """Tracks the store's list of evacuated zones, directly or through peers.
 
     Attributes:
-        evacuated: Names of the zones that are taken to be evacuated.
-        stated: Those of them that the store names.
-        revision: Stamp of the store that the list is of, 0 for none.
-        on_reopened: Told of each zone that takes requests again.
+        evacuated: Names of the zones that count as evacuated.
+        stated: Those of them that the store lists.
+        revision: Stamp of the list, 0 for none.
+        on_reopened: Called for each zone that accepts requests again.
     """
 
     def __init__(self, lines: log_lines.LineWriter) -> None:
-        """Begin without a list."""
+        """Start without a list."""
         self.evacuated: frozenset[str] = frozenset()
         self.stated: frozenset[str] = frozenset()
         self.revision = 0
-        self.on_reopened: ReopenedListener = _pass_over
+        self.on_reopened: ReopenedListener = _ignore_reopened_zone
         self._lines = lines
         self._listeners: list[Listener] = []
         self._held: dict[str, float] = {}
 
     def on_changed(self, listener: Listener) -> None:
-        """Tell of each time that another set of zones is evacuated."""
+        """Register a listener for changes of the set of evacuated zones."""
         self._listeners.append(listener)
 
     def dump(self) -> dict[str, Any]:
@@ -48,12 +48,12 @@
         }
 
     def listed(self, found: store_data.Listing, now: float) -> None:
-        """Take a whole list of the store."""
+        """Process a full list from the store."""
         names = (each.name for each in found.found)
         self.take(names, found.revision, 'store', now)
 
     def changed(self, changes: store_data.Changes, now: float) -> None:
-        """Take changes that the store reports."""
+        """Process changes from the store."""
         names = set(self.stated)
         for change in changes.changes:
             self._held.pop(change.stored.name, None)
@@ -66,9 +66,9 @@
     def take(
         self, names: Iterable[str], revision: int, source: str, now: float
     ) -> None:
-        """Take the whole set of evacuated zones, if it is newer.
+        """Replace the set of evacuated zones, if the given one is newer.
 
-        Where the store has returned from a copy, zones that it lacks stay
+        After the store was restored from a copy, zones that it lacks stay
         evacuated for a while.
         """
         if revision <= self.revision:
@@ -78,26 +78,26 @@
             self._held.update(dict.fromkeys(self.evacuated, until))
         self.revision = revision
         self.stated = frozenset(names)
-        self._put_in_force(source, now)
+        self._update_evacuated(source, now)
 
     def take_held(
         self, names: Iterable[str], left_s: float, now: float
     ) -> None:
-        """Take what a peer, whose list is no older, holds against the store."""
+        """Hold the zones that a peer, whose list is no older, holds."""
         for name in names:
             self._held.setdefault(name, now + left_s)
-        self._put_in_force('held', now)
+        self._update_evacuated('held', now)
 
     def held(self) -> tuple[str, ...]:
-        """Return the zones that are evacuated against the store's word."""
+        """Return the zones that are evacuated although the store lacks them."""
         return tuple(sorted(self._held))
 
     def settle(self, now: float) -> None:
-        """Let go of zones that were held for long enough."""
+        """Release zones whose hold time is over."""
         if self._held:
-            self._put_in_force('held', now)
+            self._update_evacuated('held', now)
 
-    def _put_in_force(self, source: str, now: float) -> None:
+    def _update_evacuated(self, source: str, now: float) -> None:
         self._held = {
             zone: until
             for zone, until in self._held.items()
@@ -123,5 +123,5 @@
         )
 
 
-def _pass_over(zone: str, now: float) -> None:
-    """Tell nobody of a zone that takes requests again."""
+def _ignore_reopened_zone(zone: str, now: float) -> None:
+    """Default of `on_reopened`."""
