--- a/beryllug/core/peering/__init__.py
+++ b/beryllug/core/peering/__init__.py
@@ -1,6 +1,6 @@
-"""What the processes of the role `router` tell one another.
+"""Peer-to-peer state exchange between processes of the role `router`.
 
-They meet by seeds and by one another's word, compare what they know a few
-times a second, and take what is newer. Nothing is decided by a majority: what
-must be agreed goes through the platform's store.
+Processes find one another through seeds and gossip, compare their state a few
+times a second, and adopt what is newer. There is no majority vote: whatever
+needs agreement goes through the platform's store.
 """
--- a/beryllug/core/peering/aggregation.py
+++ b/beryllug/core/peering/aggregation.py
@@ -1,22 +1,22 @@
-"""Two levels of aggregation: an availability zone, and all zones.
-
-What one process sees of the servers is too little to decide by, and told to
-each other one it is too much: messages would grow with the square of the
-fleet. So each process reports to the aggregators of its zone. One of them, the
-primary, adds the reports up, tells the sum to the aggregators of the other
-zones, and the total of all zones to the processes of its own.
-
-The aggregators of a zone are the first two of a rank by hash over the living
-processes there, so each process finds them alone. Both get all reports. The
-second, its standby, takes its place where it has not heard it for `SILENT_S`,
-as when the primary was killed, froze or is cut off, and where the primary's
-totals hold clearly fewer reports than it has itself, as when nothing reaches
-the primary, or some do not know of it. Nothing has to be handed over, since
-both know the same, and nothing that they know needs to last.
-
-Everything told is a state and not a change: a message that is lost, late or
-comes twice is made good by the next. Where two take themselves for the primary,
-what holds more reports goes before the other, in the zone and in the others.
+"""Two-level aggregation of server load: per availability zone, then global.
+
+The load that one process observes is too little to decide by, and sending it
+to every other process would make traffic grow with the square of the fleet.
+Instead, each process reports to the aggregators of its zone. One of them, the
+primary, adds up the reports, sends the zone's sum to the aggregators of the
+other zones, and sends the total of all zones to the processes of its own zone.
+
+The aggregators of a zone are the first two of its live processes in rendezvous
+hash order, so every process determines them independently. Both receive all
+reports. The second, the standby, takes over if it has received no total from
+the primary for `SILENT_S` (the primary was killed, hangs or is partitioned),
+or if the primary's totals include clearly fewer reports than the standby has
+(reports do not reach the primary, or some processes do not know it). No
+handover is needed, as both hold the same data and none of it has to persist.
+
+Messages carry state and not deltas: a message that is lost, late or duplicated
+is corrected by the next one. If two processes act as primary at once, the one
+whose sums include more reports takes precedence, in its own zone and in others.
 """
 
 from collections.abc import Mapping
@@ -26,45 +26,45 @@
 from beryllug.core.peering import members, peering_data
 from beryllug.core.placement import load_sums
 
-# Aggregators of a zone; the second stands in for the first.
+# Aggregators per zone; the second is the standby of the first.
 AGGREGATORS = 2
-# Seconds without a total of the primary after which the standby takes its
-# place: totals are told twice a second at the least, and all must know of who
-# follows the store again within 1.2 s.
+# Seconds without a total from the primary after which the standby takes over.
+# Totals are sent at least twice a second, and every process has to know again
+# which processes watch the store within 1.2 s.
 SILENT_S = 0.6
-# Part of the reports that the standby has, below which the primary's totals
-# leave too much out. Those of processes that just came or went reach one of the
-# two before the other.
-ENOUGH_PART = 0.75
-# Seconds for which a report, and the sum of a zone, count.
+# The primary's totals are too incomplete if they include less than this ratio
+# of the reports that the standby has. Reports of processes that just joined or
+# left reach one of the two before the other.
+MIN_REPORT_RATIO = 0.75
+# Seconds after which a report, or the sum of a zone, expires.
 KEPT_S = 1.5
-# Own reports that are remembered, to take them out of a total that holds one
-# of them: as many as are sent within `KEPT_S`, and some more.
-REMEMBERED = 10
-# Reports are numbered from 0 to this, and again: one byte of a message.
-MOST_NUMBER = 127
-# Hundredths of a second by which a sum must rise at some server to be told at
-# once.
-RISE_CS = 30
+# Number of own reports kept, so that the one included in a total can be
+# subtracted from it: those sent within `KEPT_S`, and some spare.
+MAX_OWN_REPORTS = 10
+# Report numbers wrap around after this value, so that they encode as one byte.
+MAX_REPORT_NUMBER = 127
+# Increase of the load of some server, in hundredths of a second, that is sent
+# without waiting for the next regular message.
+INCREASE_THRESHOLD_CS = 30
 
 
-class _Heard(NamedTuple):
-    """What a process has reported, the number of it, and when it came."""
+class _ReceivedReport(NamedTuple):
+    """The last load report of a process, its number and its time of receipt."""
 
     loads: load_sums.Loads
     number: int
     at: float
 
 
-class _Told(NamedTuple):
-    """That a process told a total, of how many reports, and when."""
+class _ReceivedTotal(NamedTuple):
+    """How many reports a process's last total included, and its receipt."""
 
     reports: int
     at: float
 
 
-class _Zone(NamedTuple):
-    """The sum of a zone, of how many reports it is, and when it came."""
+class _ReceivedZoneSum(NamedTuple):
+    """The sum of a zone, how many reports it includes, and its receipt."""
 
     loads: dict[int, load_sums.Load]
     reports: int
@@ -73,36 +73,36 @@
 
 @dataclass(slots=True)
 class Aggregation:
-    """What one process has of the news of its fleet.
+    """The load reports, sums and totals that one process holds.
 
     Attributes:
         name: Name of the process.
         zone: Its availability zone.
-        others: What all others have.
-        reports: Reports of this zone, by process; kept by aggregators.
+        others: Load caused by all other processes.
+        reports: Reports of this zone by process; kept by aggregators.
         zones: Sums of the other zones; kept by aggregators.
-        primaries: The last totals of each other process, for this zone.
+        primaries: The last total for this zone from each other process.
         number: Number of the last own report.
-        own: The last own reports, by number.
-        told: The sum that the other zones were last told.
+        own: The last own reports by number.
+        told: The sum last sent to the other zones.
     """
 
     name: str
     zone: str
     others: load_sums.Others = field(default_factory=load_sums.Others)
-    reports: dict[str, _Heard] = field(default_factory=dict)
-    zones: dict[str, _Zone] = field(default_factory=dict)
-    primaries: dict[str, _Told] = field(default_factory=dict)
+    reports: dict[str, _ReceivedReport] = field(default_factory=dict)
+    zones: dict[str, _ReceivedZoneSum] = field(default_factory=dict)
+    primaries: dict[str, _ReceivedTotal] = field(default_factory=dict)
     number: int = 0
     own: dict[int, load_sums.Loads] = field(default_factory=dict)
     told: load_sums.Loads = field(default_factory=dict)
 
 
 def aggregators(known: members.Members, zone: str, own_zone: str) -> list[str]:
-    """Return the aggregators of a zone, this process too where it is one.
+    """Return the aggregators of a zone, possibly including this process.
 
     Args:
-        known: The processes that are known.
+        known: The known processes.
         zone: The zone.
         own_zone: Zone of this process.
     """
@@ -119,7 +119,7 @@
 
 
 def of_others(known: members.Members, own_zone: str) -> list[str]:
-    """Return the aggregators of all zones but this process's own."""
+    """Return the aggregators of all zones except this process's own."""
     return [
         name
         for zone in members.other_zones(known, own_zone)
@@ -128,29 +128,31 @@
 
 
 def is_primary(state: Aggregation, known: members.Members, now: float) -> bool:
-    """Tell whether this process tells the sums of its zone now."""
-    ranked = aggregators(known, state.zone, state.zone)
-    if state.name not in ranked:
+    """Return whether this process currently sends the sums of its zone."""
+    candidates = aggregators(known, state.zone, state.zone)
+    if state.name not in candidates:
         return False
-    ahead = ranked[: ranked.index(state.name)]
-    enough = ENOUGH_PART * _fresh(state, now)
-    return all(_reports_of(state, name, now) < enough for name in ahead)
+    preferred = candidates[: candidates.index(state.name)]
+    min_reports = MIN_REPORT_RATIO * _count_fresh_reports(state, now)
+    return all(
+        _report_count_of(state, name, now) < min_reports for name in preferred
+    )
 
 
 def report(
     state: Aggregation, own: load_sums.Loads, most: int
 ) -> list[peering_data.Report]:
-    """Return what this process reports next.
+    """Return the next load report of this process, in slices.
 
     Args:
-        state: What it has of the news.
-        own: What it has at servers.
-        most: Servers that one message may tell of.
+        state: The aggregation state of this process.
+        own: The load that this process causes at servers.
+        most: Maximum number of servers per message.
     """
-    state.number = state.number % MOST_NUMBER + 1
+    state.number = state.number % MAX_REPORT_NUMBER + 1
     state.own.pop(state.number, None)
     state.own[state.number] = own
-    while len(state.own) > REMEMBERED:
+    while len(state.own) > MAX_OWN_REPORTS:
         state.own.pop(next(iter(state.own)))
     return [
         peering_data.Report(state.number, part)
@@ -159,47 +161,47 @@
 
 
 def take_report(
-    state: Aggregation, name: str, told: peering_data.Report, now: float
+    state: Aggregation, name: str, received: peering_data.Report, now: float
 ) -> None:
-    """Take the report of a process of this zone."""
+    """Store the report of a process of this zone."""
     known = state.reports.get(name)
     before = known.loads if known else {}
-    merged = load_sums.merged(before, told.part)
-    state.reports[name] = _Heard(merged, told.number, now)
+    merged = load_sums.merged(before, received.part)
+    state.reports[name] = _ReceivedReport(merged, received.number, now)
 
 
 def take_sum(
-    state: Aggregation, told: peering_data.ZoneSum, now: float
+    state: Aggregation, received: peering_data.ZoneSum, now: float
 ) -> None:
-    """Take the sum of another zone.
+    """Store the sum of another zone.
 
-    Where two tell sums of a zone, the one to whom fewer reports come is passed
-    over while the other's word counts.
+    If two processes send sums of a zone, the one that includes fewer reports is
+    ignored until the other one has been silent for `SILENT_S`.
     """
-    known = state.zones.get(told.zone)
+    known = state.zones.get(received.zone)
     if known is None or now - known.at > KEPT_S:
-        known = _Zone({}, 0, now)
-    elif known.reports > told.reports and now - known.at < SILENT_S:
+        known = _ReceivedZoneSum({}, 0, now)
+    elif known.reports > received.reports and now - known.at < SILENT_S:
         return
-    merged = load_sums.merged(known.loads, told.part)
-    state.zones[told.zone] = _Zone(merged, told.reports, now)
+    merged = load_sums.merged(known.loads, received.part)
+    state.zones[received.zone] = _ReceivedZoneSum(merged, received.reports, now)
 
 
 def zone_sum(state: Aggregation, now: float) -> tuple[load_sums.Loads, int]:
-    """Return what the processes of this zone have, and of how many it is."""
+    """Return the load of this zone's processes and the number of reports."""
     state.reports = {
-        name: heard
-        for name, heard in state.reports.items()
-        if now - heard.at <= KEPT_S
+        name: received
+        for name, received in state.reports.items()
+        if now - received.at <= KEPT_S
     }
-    heard = state.reports.values()
-    return load_sums.add(each.loads for each in heard), len(heard)
+    received = state.reports.values()
+    return load_sums.add(each.loads for each in received), len(received)
 
 
 def total(
     state: Aggregation, own_zone: load_sums.Loads, now: float
 ) -> load_sums.Loads:
-    """Return what all zones have, this one's sum among them."""
+    """Return the total load of all zones, including this one."""
     state.zones = {
         zone: each
         for zone, each in state.zones.items()
@@ -211,66 +213,71 @@
 
 
 def holds(state: Aggregation) -> dict[int, int]:
-    """Return the numbers of the reports that are added up now."""
+    """Return the numbers of the reports included in the current sum."""
     return {
-        load_sums.key_of(name): heard.number
-        for name, heard in state.reports.items()
+        load_sums.key_of(name): received.number
+        for name, received in state.reports.items()
     }
 
 
 def hears_more(
-    state: Aggregation, name: str, told: peering_data.Total, now: float
+    state: Aggregation, name: str, received: peering_data.Total, now: float
 ) -> bool:
-    """Note a total; returns whether another process tells of more reports."""
-    state.primaries[name] = _Told(told.reports, now)
-    here = _reports_of(state, name, now)
+    """Record a total; return whether another process reports more."""
+    state.primaries[name] = _ReceivedTotal(received.reports, now)
+    report_count = _report_count_of(state, name, now)
     return any(
-        _reports_of(state, other, now) > here for other in state.primaries
+        _report_count_of(state, other, now) > report_count
+        for other in state.primaries
     )
 
 
 def take_total(
-    state: Aggregation, told: peering_data.Total, now: float
+    state: Aggregation, received: peering_data.Total, now: float
 ) -> None:
-    """Take a total, and leave this process's own part out of it.
+    """Apply a total, after subtracting this process's own load from it.
 
-    It holds an earlier report than the last, by as much as the way there and
-    back takes. Without its number, a prompt that was just sent would count
-    twice at its runner, or hide as much of what others have there.
+    The total includes a report older than the latest one, by the time of a
+    round trip; its number tells which. Subtracting another report would count
+    a prompt that was just sent twice at its runner, or hide as much of the
+    other processes' load there.
     """
-    number = told.holds.get(load_sums.key_of(state.name))
+    number = received.holds.get(load_sums.key_of(state.name))
     own: Mapping[int, load_sums.Load] = {}
     if number is not None:
         own = state.own.get(number, {})
-    others = load_sums.without(told.part.loads, own)
-    part = told.part._replace(loads=others)
+    others = load_sums.without(received.part.loads, own)
+    part = received.part._replace(loads=others)
     state.others.loads = load_sums.merged(state.others.loads, part)
     state.others.at = now
 
 
-def has_risen(now_told: load_sums.Loads, before: load_sums.Loads) -> bool:
-    """Tell whether others must know of a new load at once."""
+def has_risen(current: load_sums.Loads, before: load_sums.Loads) -> bool:
+    """Return whether the load rose enough to be sent immediately."""
     return any(
-        _rise(load, before.get(key, load_sums.NOTHING)) >= RISE_CS
-        for key, load in now_told.items()
+        _load_increase(load, before.get(key, load_sums.NOTHING))
+        >= INCREASE_THRESHOLD_CS
+        for key, load in current.items()
     )
 
 
-def _fresh(state: Aggregation, now: float) -> int:
-    """Return the reports that count, at least one: the own may be under way."""
-    counts = [now - heard.at <= KEPT_S for heard in state.reports.values()]
+def _count_fresh_reports(state: Aggregation, now: float) -> int:
+    """Count unexpired reports; at least 1, as the own one may be in transit."""
+    counts = [
+        now - received.at <= KEPT_S for received in state.reports.values()
+    ]
     return max(sum(counts), 1)
 
 
-def _reports_of(state: Aggregation, name: str, now: float) -> int:
-    """Return the reports in a process's last total; 0 where it is silent."""
-    told = state.primaries.get(name)
-    if told is None or now - told.at > SILENT_S:
+def _report_count_of(state: Aggregation, name: str, now: float) -> int:
+    """Return how many reports a process's last total included; 0 if expired."""
+    last_total = state.primaries.get(name)
+    if last_total is None or now - last_total.at > SILENT_S:
         return 0
-    return max(told.reports, 1)
+    return max(last_total.reports, 1)
 
 
-def _rise(load: load_sums.Load, before: load_sums.Load) -> int:
+def _load_increase(load: load_sums.Load, before: load_sums.Load) -> int:
     return max(
         load.work_cs - before.work_cs,
         load.overdue_cs - before.overdue_cs,
--- a/beryllug/core/peering/members.py
+++ b/beryllug/core/peering/members.py
@@ -1,13 +1,13 @@
-"""Which processes of the role there are.
+"""Membership: the live processes of the role `router`.
 
-A process is gone when it says so, or when a call to it fails twice, which who
-finds it tells all others. Silence alone takes long to tell anything: a few
-calls a second bring a word of each process of a large fleet only now and
-then, so the time after which silence counts grows with the fleet. A later
-sign of life, of which others hear too, brings a process back.
+A process is gone when it says that it stops, or when two calls to it failed;
+whoever detects that notifies all others. Silence alone is a slow signal: with
+a few calls a second, news of any one process of a large fleet arrives only now
+and then, so the timeout grows with the size of the fleet. A later sign of
+life, which also spreads to the others, makes the process a member again.
 
-Nothing depends on all processes having the same view: it decides whom to
-call, and by how many a bound of the fleet is divided.
+Nothing requires all processes to have the same view: it determines which peers
+are called, and by how many processes a fleet-wide limit is divided.
 """
 
 import random
@@ -18,29 +18,30 @@
 from beryllug.core import rendezvous
 from beryllug.core.peering import peering_data
 
-# Seconds without a sign of life after which a process counts as gone; of a
-# fleet beyond ten, so many a process. Each calls two peers a second and tells
-# six others each time. With one time for all sizes, processes of a large fleet
-# forget one another all the time, and take turns in following the store.
-ALIVE_S = 6.0
-ALIVE_A_PEER_S = 0.6
-# Seconds for which a process that is gone is remembered: older words of it are
-# passed over, and it is called now and then, since two halves of a fleet that
-# lost one another would else each stay alone when the link is back.
-GONE_S = 600.0
-# Processes that are told of in one message: with some in each, all are known
+# Seconds without a sign of life after which a process counts as gone; in a
+# fleet of more than ten, this many per process. Each process calls two peers a
+# second and includes six others in each message. With one timeout for all
+# sizes, processes of a large fleet expire one another all the time, and the
+# watchers of the store keep changing.
+PEER_TIMEOUT_S = 6.0
+PEER_TIMEOUT_PER_PEER_S = 0.6
+# Seconds for which a process that is gone is remembered. Older news of it is
+# ignored, and it is called now and then: after a network partition the two
+# halves of a fleet would otherwise stay separate when the link is back.
+GONE_PEER_RETENTION_S = 600.0
+# Processes included in one message. With a few in each, all processes are known
 # everywhere after a few rounds, whatever the size of the fleet.
 TOLD = 6
 
 
 class Known(NamedTuple):
-    """A process that was heard of.
+    """A known process.
 
     Attributes:
-        address: Where it is called.
-        notes: Where it takes datagrams.
-        heard_at: Second of the last sign of life of it.
-        zone: Its availability zone, or empty where it was not told.
+        address: Address for calls.
+        notes: Address for datagrams.
+        heard_at: Time of its last sign of life, in seconds.
+        zone: Its availability zone, or empty if unknown.
     """
 
     address: str
@@ -49,8 +50,8 @@
     zone: str = ''
 
 
-class Gone(NamedTuple):
-    """A process that is gone: since when, and where it was called."""
+class GonePeer(NamedTuple):
+    """A process that is gone, with the time and its address."""
 
     at: float
     address: str
@@ -58,89 +59,91 @@
 
 @dataclass(slots=True)
 class Members:
-    """The processes that this one knows, by name, without itself.
+    """The processes known to this one, by name, without itself.
 
     Attributes:
         name: Name of this process.
-        known: Those that are there; changed by the functions here only.
-        gone: Those that are gone.
-        orders: Orders of all names by subject, until one comes or goes.
-        zones: Names in a zone and elsewhere, by zone, likewise.
+        known: Live processes; changed only by the functions of this module.
+        gone: Processes that are gone.
+        orders: Cached ranking of all names by subject, until a process joins
+            or leaves.
+        zones: Cached names in a zone and elsewhere, by zone.
     """
 
     name: str
     known: dict[str, Known] = field(default_factory=dict)
-    gone: dict[str, Gone] = field(default_factory=dict)
+    gone: dict[str, GonePeer] = field(default_factory=dict)
     orders: dict[str, list[str]] = field(default_factory=dict)
     zones: dict[str, tuple[list[str], list[str]]] = field(default_factory=dict)
 
 
 def heard(members: Members, name: str, seen: Known) -> bool:
-    """Take a sign of life; returns whether the process was unknown."""
+    """Record a sign of life; return whether the process was unknown."""
     gone = members.gone.get(name)
-    is_older = gone is not None and seen.heard_at <= gone.at
-    if name == members.name or is_older:
+    is_outdated = gone is not None and seen.heard_at <= gone.at
+    if name == members.name or is_outdated:
         return False
     members.gone.pop(name, None)
     before = members.known.get(name)
     if before is None or before.heard_at < seen.heard_at:
         members.known[name] = seen
     if before is None or before.zone != seen.zone:
-        _changed(members)
+        _clear_caches(members)
     return before is None
 
 
 def heard_again(members: Members, name: str, now: float) -> None:
-    """Take a sign of life that does not tell where a process is called."""
+    """Record a sign of life that does not carry the process's address."""
     known = members.known.get(name)
     if known is not None:
         members.known[name] = known._replace(heard_at=now)
 
 
 def found_gone(members: Members, name: str, at: float) -> bool:
-    """Forget a process that was gone at a second; returns whether it counts.
+    """Remove a process that was gone at a given time.
 
-    It does not where a later sign of life is known.
+    Returns:
+        Whether it was removed; it stays if a later sign of life is known.
     """
     known = members.known.get(name)
     if known is None or known.heard_at > at:
         return False
     members.known.pop(name)
-    members.gone[name] = Gone(at, known.address)
-    _changed(members)
+    members.gone[name] = GonePeer(at, known.address)
+    _clear_caches(members)
     return True
 
 
 def alive_s(members: Members) -> float:
     """Return the seconds of silence after which a process counts as gone."""
-    return max(ALIVE_S, ALIVE_A_PEER_S * len(members.known))
+    return max(PEER_TIMEOUT_S, PEER_TIMEOUT_PER_PEER_S * len(members.known))
 
 
 def count_ever(members: Members) -> int:
-    """Return how many are there or were, this process too."""
+    """Count live and gone processes, including this one."""
     return 1 + len(members.known) + len(members.gone)
 
 
 def forget(members: Members, now: float) -> list[str]:
-    """Forget processes that were not heard of for long; returns their names."""
-    longest_s = alive_s(members)
+    """Remove processes that have been silent too long; return their names."""
+    timeout_s = alive_s(members)
     silent = [
         name
         for name, known in members.known.items()
-        if now - known.heard_at > longest_s
+        if now - known.heard_at > timeout_s
     ]
-    for lost in silent:
-        found_gone(members, lost, now)
+    for peer in silent:
+        found_gone(members, peer, now)
     members.gone = {
         name: gone
         for name, gone in members.gone.items()
-        if now - gone.at < GONE_S
+        if now - gone.at < GONE_PEER_RETENTION_S
     }
     return silent
 
 
 def name_of(members: Members, address: str) -> str | None:
-    """Return the name of the process that is called at an address."""
+    """Return the name of the process with an address, if it is known."""
     return next(
         (
             name
@@ -154,8 +157,8 @@
 def told(
     members: Members, now: float, rng: random.Random
 ) -> tuple[peering_data.Peer, ...]:
-    """Return some of the known processes, to tell a peer of them."""
-    chosen = rng.sample(sorted(members.known), min(TOLD, len(members.known)))
+    """Return a random sample of the known processes to send to a peer."""
+    selected = rng.sample(sorted(members.known), min(TOLD, len(members.known)))
     return tuple(
         peering_data.Peer(
             name,
@@ -164,73 +167,73 @@
             round(now - members.known[name].heard_at, 2),
             members.known[name].zone,
         )
-        for name in chosen
+        for name in selected
     )
 
 
 def ranked(members: Members, subject: str) -> list[str]:
-    """Return all names, this process's too, by preference for a subject.
+    """Return all names, including this process's, by rank for a subject.
 
-    Asked some times a second and changed some times a minute, so an order is
-    kept until a process comes or goes.
+    The ranking is read several times a second and changes several times a
+    minute, so it is cached until a process joins or leaves.
     """
-    order = members.orders.get(subject)
-    if order is None:
-        order = rendezvous.order(subject, [members.name, *members.known])
-        members.orders[subject] = order
-    return order
+    ranking = members.orders.get(subject)
+    if ranking is None:
+        ranking = rendezvous.order(subject, [members.name, *members.known])
+        members.orders[subject] = ranking
+    return ranking
 
 
 def by_zone(members: Members, zone: str) -> tuple[list[str], list[str]]:
-    """Return the names of those in a zone, and of the others, each in order."""
-    parted = members.zones.get(zone)
-    if parted is None:
+    """Return the sorted names of processes in a zone, and of the others."""
+    split = members.zones.get(zone)
+    if split is None:
         near: list[str] = []
         far: list[str] = []
         for name in sorted(members.known):
             is_near = members.known[name].zone == zone
             (near if is_near else far).append(name)
-        parted = near, far
-        members.zones[zone] = parted
-    return parted
+        split = near, far
+        members.zones[zone] = split
+    return split
 
 
 def partners(
     members: Members, zone: str, count: int, rng: random.Random
 ) -> list[str]:
-    """Return whom to compare with: one of a zone, and any others.
+    """Return random peers to exchange digests with: one of a zone, then any.
 
-    Links between zones are paid. Every process is asked by someone within some
-    rounds, and news passes zones once a second from each process, as it would
-    anyhow.
+    Traffic between zones is billed, hence the one of the own zone. Every
+    process is still called within some rounds, and each sends news to other
+    zones once a second, as it would in any case.
     """
     near, far = by_zone(members, zone)
     chosen = rng.sample(near, min(1, len(near)))
     others = [name for name in (*near, *far) if name not in chosen]
-    rest = min(count - len(chosen), len(others))
-    return chosen + rng.sample(others, rest)
+    other_count = min(count - len(chosen), len(others))
+    return chosen + rng.sample(others, other_count)
 
 
 def addresses(members: Members, names: Iterable[str]) -> list[str]:
-    """Return the addresses of processes that are known."""
+    """Return the call addresses of the named processes that are known."""
     return [
         members.known[name].address for name in names if name in members.known
     ]
 
 
 def note_addresses(members: Members, names: Iterable[str]) -> list[str]:
-    """Return where processes that are known take datagrams."""
+    """Return the datagram addresses of the named processes that are known."""
     return [
         members.known[name].notes for name in names if name in members.known
     ]
 
 
 def other_zones(members: Members, zone: str) -> list[str]:
-    """Return the zones of the known processes but for one."""
+    """Return the zones of the known processes, except one."""
     return sorted({each.zone for each in members.known.values()} - {zone})
 
 
-def _changed(members: Members) -> None:
-    """Forget what was worked out of the names that were known."""
+def _clear_caches(members: Members) -> None:
+    """Clear what is derived from the set of known names and zones."""
     members.orders.clear()
     members.zones.clear()
--- a/beryllug/core/peering/peering_data.py
+++ b/beryllug/core/peering/peering_data.py
@@ -1,6 +1,6 @@
 """Messages between processes of the role `router`.
 
-They travel as MessagePack arrays, so fields are only added at the end and
+Records are encoded as MessagePack arrays, so fields may only be appended, each
 with a default.
 """
 
@@ -11,13 +11,13 @@
 
 
 class Peer(NamedTuple):
-    """A process that was heard of.
+    """A known process.
 
     Attributes:
         name: Its name; unique in the fleet.
-        address: Where it is called.
-        notes: Where it takes datagrams.
-        heard_ago_s: Seconds since a sign of life of it.
+        address: Address for calls.
+        notes: Address for datagrams.
+        heard_ago_s: Seconds since its last sign of life.
         zone: Its availability zone, or empty.
     """
 
@@ -29,12 +29,12 @@
 
 
 class RolloutNews(NamedTuple):
-    """How far a roll-out has come, as the sender knows.
+    """The progress of a roll-out, as known to the sender.
 
     Attributes:
         service: Its service.
-        target: Its version.
-        phase: How far it has come.
+        target: The version being rolled out.
+        phase: Its phase.
         age_s: Seconds since its order, as far as the sender knows.
     """
 
@@ -45,7 +45,7 @@
 
 
 class TallyNews(NamedTuple):
-    """What the sender has seen of a roll-out since its order."""
+    """What the sender has observed of a roll-out since its order."""
 
     service: str
     target: str
@@ -55,13 +55,13 @@
 
 
 class Versions(NamedTuple):
-    """How new a process's knowledge is.
+    """How recent a process's data is.
 
     Attributes:
         table: Version of its route table, 0 for none.
-        servers: Revision of the store that its list of backend servers is of.
-        orders: Revision of the newest change of a roll-out order.
-        zones: Revision of the store that its list of evacuated zones is of.
+        servers: Store revision of its list of backend servers.
+        orders: Store revision of the latest change of a roll-out order.
+        zones: Store revision of its list of evacuated availability zones.
     """
 
     table: int = 0
@@ -74,11 +74,11 @@
 
 
 class Follower(NamedTuple):
-    """That a process follows the store, as another one has heard.
+    """A process that watches the store, as known to the sender.
 
     Attributes:
-        name: Name of the process that follows the store.
-        ago_s: Seconds since it said so.
+        name: Name of the process that watches the store.
+        ago_s: Seconds since it announced that.
     """
 
     name: str
@@ -86,11 +86,11 @@
 
 
 class Report(NamedTuple):
-    """What one process has at servers.
+    """The load that one process causes at servers.
 
     Attributes:
-        number: Number of the report, by its process.
-        part: What it has, or a slice of it.
+        number: Sequence number of the report, per process.
+        part: The load, or a slice of it.
     """
 
     number: int
@@ -98,11 +98,11 @@
 
 
 class ZoneSum(NamedTuple):
-    """What the processes of an availability zone have.
+    """The load caused by the processes of an availability zone.
 
     Attributes:
         zone: The zone.
-        reports: Reports that were added up.
+        reports: Number of reports added up.
         part: A slice of the sum.
     """
 
@@ -112,13 +112,13 @@
 
 
 class Total(NamedTuple):
-    """What all processes have, for those of one availability zone.
+    """The load caused by all processes, sent to those of one zone.
 
     Attributes:
-        holds: Numbers of the zone's reports that it holds, by the key of the
-            process; those of the receivers.
+        holds: Numbers of the included reports of that zone, by the key of the
+            process; only those of the receivers.
         part: A slice of the total.
-        reports: Reports of the zone that it holds, of all processes.
+        reports: Number of included reports of that zone, of all processes.
     """
 
     holds: dict[int, int]
@@ -127,13 +127,13 @@
 
 
 class LimitNews(NamedTuple):
-    """What a server was last known to say of its limit.
+    """The rate limit that a server was last known to state.
 
     Attributes:
         instance: The server.
-        per_s: Requests a second that it takes from all processes together;
-            None where it names no limit.
-        ago_s: Seconds since it was known to say so.
+        per_s: Requests a second that it accepts from all processes together;
+            None if it states no limit.
+        ago_s: Seconds since it was known to state that.
     """
 
     instance: str
@@ -142,11 +142,11 @@
 
 
 class Claim(NamedTuple):
-    """A question whether a request may be sent to a server.
+    """A request for a permit to send one request to a rate-limited server.
 
     Attributes:
-        number: Number of the question.
-        limit: The server's limit, as the sender knows it.
+        number: Id of this claim.
+        limit: The server's limit, as known to the sender.
     """
 
     number: int
@@ -157,10 +157,10 @@
     """The answer to a claim.
 
     Attributes:
-        number: Number of the question.
-        wait_s: Seconds until the next request is due; 0 where this one may be
+        number: Id of the claim.
+        wait_s: Seconds until the next request is due; 0 if this one may be
             sent now.
-        limit: The server's limit, as the sender knows it.
+        limit: The server's limit, as known to the sender.
     """
 
     number: int
@@ -169,43 +169,43 @@
 
 
 class Note(NamedTuple):
-    """What a process tells by datagram, some times a second.
+    """A datagram, sent several times a second by each process.
 
     Attributes:
         name: Name of the sender.
-        address: Where it is called.
-        running: Versions that sessions, which may be drawn for a roll-out,
-            run on.
-        is_watching: Whether it follows the store, and the store answers it.
-        versions: How new its knowledge is.
+        address: Its address for calls.
+        running: Versions that sessions run on, of those sessions that a
+            roll-out may send to its new version.
+        is_watching: Whether the sender watches the store and is answered.
+        versions: How recent its data is.
         returned_ago_s: Seconds since the store came back from an outage.
-        since: Revision of the store that `entries` follow on.
+        since: Store revision that `entries` follow on.
         entries: Changes of the list of backend servers up to its revision,
             as JSON, or empty.
-        rollouts: How far roll-outs have come that just changed.
-        losses: Servers that were lost under requests, since its last note.
-        gone: Processes that were found gone just now, or that stop.
-        report: What it has at backend servers, for the aggregators of its zone.
-        zone_sum: What the processes of its zone have, for other zones.
-        total: What all processes have, for those of its zone.
-        followers: Who follows the store, as the sender has heard.
-        notes: Where it takes datagrams; told by a process that its zone may
+        rollouts: Progress of roll-outs that has just changed.
+        losses: Servers lost while serving requests, since the last datagram.
+        gone: Processes that were just found gone, or that are stopping.
+        report: Its load at backend servers, for the aggregators of its zone.
+        zone_sum: The load of its zone's processes, for other zones.
+        total: The load of all processes, for those of its zone.
+        followers: The processes that watch the store, as known to the sender.
+        notes: Its address for datagrams; set by a process that its zone may
             not know yet, else empty.
         zone: Its availability zone, likewise.
-        asks: Number of the question whether the receiver is there; 0 for none.
-        answers: Number of the question that is answered; 0 for none.
-        peers: Some of the processes that it knows.
-        evacuated: The evacuated availability zones, where `versions` tells of
-            them. They are few, so they come with each word of what is known:
-            nobody has to be asked for them first.
-        limits: Limits of servers that have just begun or ended; in a question
-            or an answer, some of those that the sender knows.
-        claim: Asks for a permit.
-        permit: Answers a claim.
-        leaving: Servers that have just stated that they leave; in a question
-            or an answer, some of those that the sender knows.
-        has_lost_store: Whether it has followed the store, which has just
-            fallen silent for it.
+        asks: Id of a probe that the receiver should answer; 0 for none.
+        answers: Id of the probe that this answers; 0 for none.
+        peers: Some of the processes it knows.
+        evacuated: The evacuated availability zones, if `versions` covers them.
+            As they are few, they are included whenever `versions` is, which
+            saves a call to fetch them.
+        limits: Rate limits of servers that have just begun or ended; in a
+            probe or its answer, some of those known to the sender.
+        claim: A request for a permit.
+        permit: The answer to a claim.
+        leaving: Servers that have just announced their shutdown; in a probe
+            or its answer, some of those known to the sender.
+        has_lost_store: Whether it was watching the store, which has just
+            stopped answering it.
     """
 
     name: str
@@ -237,12 +237,12 @@
 
 
 class HeldOrder(NamedTuple):
-    """A roll-out order that the store replaced by an older one of a copy.
+    """A roll-out order that a restored store replaced by an older one.
 
     Attributes:
         revision: Stamp of the order.
         spec: The order as it was stored.
-        status: Its status, likewise.
+        status: Its status as it was stored.
         replaced: Versions that were ordered before it.
     """
 
@@ -253,12 +253,12 @@
 
 
 class Held(NamedTuple):
-    """What holds against the word of a store that returned from a copy.
+    """State that overrides the data of a store restored from a copy.
 
     Attributes:
-        left_s: Seconds for which it still holds.
-        instances: Servers that were known to leave, or to be gone.
-        zones: Evacuated availability zones that the store does not name.
+        left_s: Seconds for which it remains in force.
+        instances: Servers known to be leaving, or to be gone.
+        zones: Evacuated availability zones that the store does not list.
         orders: Roll-out orders by name, as JSON.
     """
 
@@ -272,17 +272,17 @@
 
 
 class Digest(NamedTuple):
-    """What a process tells when it calls a peer, and what it is answered.
+    """What a process sends when it calls a peer, and what it gets back.
 
     Attributes:
         name: Name of the sender.
-        address: Where it is called.
-        notes: Where it takes datagrams.
-        is_leaving: Whether it stops.
-        versions: How new its knowledge is.
-        peers: Some of the processes that it knows.
-        rollouts: The roll-outs that it knows.
-        tallies: What it has seen of open ones.
+        address: Its address for calls.
+        notes: Its address for datagrams.
+        is_leaving: Whether it is stopping.
+        versions: How recent its data is.
+        peers: Some of the processes it knows.
+        rollouts: The roll-outs it knows.
+        tallies: What it has observed of those in progress.
         table: The stored route table as compressed JSON, for a peer with an
             older one.
         servers: The stored entries of backend servers by instance, as
@@ -290,9 +290,10 @@
         orders: The stored roll-out orders by name, as JSON, for a peer with
             older ones.
         zone: Availability zone of the sender.
-        followers: Who follows the store, as the sender has heard; in an answer.
+        followers: The processes that watch the store, as known to the sender;
+            in an answer.
         evacuated: The evacuated availability zones.
-        held: What holds against the store's word; in an answer.
+        held: State that overrides the store's data; in an answer.
     """
 
     name: str
--- a/beryllug/core/peering/standing.py
+++ b/beryllug/core/peering/standing.py
@@ -1,9 +1,9 @@
-"""Who follows the platform's store for the others.
+"""Which processes watch the platform's store on behalf of the others.
 
-Each watch of each process is a call that wakes it at every change, so that
-all processes together would pay for a change as many times as they are. A few
-watch instead, chosen by a hash over the living processes, and tell the rest.
-A process that hears of no one who watches follows the store itself.
+A watch is a long poll that wakes its process at every change, so the cost of a
+change would grow with the number of processes that watch. Only a few do,
+chosen by rendezvous hash among the live processes, and they forward what they
+learn. A process that knows of no watcher watches the store itself.
 """
 
 from collections.abc import Iterable
@@ -12,43 +12,44 @@
 
 from beryllug.core.peering import members, peering_data
 
-# Processes that watch. With three, two may be cut off or die at a time and
-# the third still tells what changes.
+# Processes that watch. With three, two may be partitioned or die at the same
+# time and the third still forwards changes.
 WATCHERS = 3
-# Seconds without a word of a process that watches, after which one watches
-# itself. They speak twice a second; a change is to be in force within two.
+# Seconds after which a watcher that has not been heard of no longer counts.
+# Watchers announce themselves twice a second, and a change has to take effect
+# within two seconds.
 SILENT_S = 1.2
 SUBJECT = 'store'
-# Parts of the wait at a start between which each one's is drawn: where no seed
-# answers, not all turn to the store in the same moment.
+# Range of the random factor applied to the wait at startup, so that not all
+# processes contact the store at the same moment if no seed answers.
 START_JITTER = (1.0, 2.0)
-# Seconds that each chosen one is waited for that does not watch. The word of
-# one that begins to watch comes within half a second; three dead ones are
-# passed over in less.
-PASS_OVER_S = 0.1
-# Of a large fleet, so many try soon and the others a second each later: while
-# the store is down for all, no one's try succeeds, and a thousand processes
-# would press it as it comes back.
-SOON = 10
+# Seconds to wait for each preferred process that does not watch. A process that
+# begins to watch is heard of within half a second; three dead ones are skipped
+# in less.
+SKIP_DELAY_S = 0.1
+# Beyond this many skipped processes, each further one adds `LATE_S`: while the
+# store is unreachable for all, no attempt succeeds, and a thousand processes
+# would overload it when it returns.
+MAX_SKIPPED_WITHOUT_DELAY = 10
 LATE_S = 1.0
 
 
 class Heard(NamedTuple):
-    """When a process last said that it watches, and the store answers it."""
+    """When a process last announced a watch that the store answers."""
 
     at: float
 
 
 @dataclass(slots=True)
 class Standing:
-    """What this process knows of those who watch.
+    """What this process knows about the watchers.
 
     Attributes:
-        watching: When each was last heard of, by name.
-        silent: When the store fell silent for each, by name.
-        few_since: Second since which too few are heard of; None if enough.
-        waits_until: Second until which this process, which has just started,
-            leaves the store to others.
+        watching: When each watcher was last heard of, by name.
+        silent: When the store stopped answering each former watcher, by name.
+        few_since: Time since which too few watchers are known; None if enough.
+        waits_until: Time until which this process, having just started, leaves
+            the store to others.
     """
 
     watching: dict[str, Heard] = field(default_factory=dict)
@@ -58,9 +59,9 @@
 
 
 def heard(standing: Standing, name: str, now: float) -> None:
-    """Take that a process watches and that the store answers it.
+    """Record that a process watches and that the store answers it.
 
-    Its word may come again later by a longer way; the latest counts.
+    The same news may arrive again later by a longer path; the latest counts.
     """
     before = standing.watching.get(name)
     is_newer = before is None or before.at < now
@@ -69,9 +70,9 @@
 
 
 def silent(standing: Standing, name: str, now: float) -> None:
-    """Take that the store has fallen silent for a process that watches.
+    """Record that the store stopped answering a process that watches.
 
-    What it had said before then, and comes later by a longer way, is over.
+    Earlier news of its watch that arrives later by a longer path is ignored.
     """
     standing.watching.pop(name, None)
     standing.silent = {
@@ -85,7 +86,7 @@
 def followers(
     standing: Standing, now: float
 ) -> tuple[peering_data.Follower, ...]:
-    """Return who watches, to tell others."""
+    """Return the current watchers, to send to other processes."""
     return tuple(
         peering_data.Follower(name, round(now - standing.watching[name].at, 2))
         for name in sorted(watching(standing, now))
@@ -93,15 +94,15 @@
 
 
 def take_followers(
-    standing: Standing, told: Iterable[peering_data.Follower], now: float
+    standing: Standing, reported: Iterable[peering_data.Follower], now: float
 ) -> None:
-    """Take who watches, as another process has heard."""
-    for word in told:
-        heard(standing, word.name, now - word.ago_s)
+    """Record the watchers that another process has reported."""
+    for follower in reported:
+        heard(standing, follower.name, now - follower.ago_s)
 
 
 def watching(standing: Standing, now: float) -> set[str]:
-    """Return the names of those who watch."""
+    """Return the names of the current watchers."""
     return {
         name
         for name, each in standing.watching.items()
@@ -110,47 +111,48 @@
 
 
 def started(
-    standing: Standing, now: float, wait_s: float, drawn: float
+    standing: Standing, now: float, wait_s: float, jitter: float
 ) -> None:
-    """Take that this process starts, and leaves the store to others.
+    """Delay the watch of this process, which is starting up.
 
-    Where a whole fleet starts, those whom all call first, the seeds, read the
-    store, and the others learn from them within a tenth of a second. Else all
-    follow it for some seconds, and each server that is listed wakes each of
-    them. A process that restarts does not wait: callers do, and the seeds may
-    be down as well.
+    When a whole fleet starts, the seeds, which all others call first, read the
+    store, and the others learn its content from them within a tenth of a
+    second. Without the delay all processes would watch for some seconds, and
+    each server that registers would wake every one of them. A process that
+    restarts does not wait, as callers are waiting for it and the seeds may be
+    down as well.
 
     Args:
-        standing: What it knows of those who watch.
-        now: The present second.
-        wait_s: Seconds to wait, at the least.
-        drawn: A number from 0 to 1, drawn for this process.
+        standing: What this process knows about the watchers.
+        now: The current time in seconds.
+        wait_s: Minimum wait in seconds.
+        jitter: A random number from 0 to 1, drawn for this process.
     """
-    least, most = START_JITTER
-    standing.waits_until = now + wait_s * (least + drawn * (most - least))
+    lowest, highest = START_JITTER
+    standing.waits_until = now + wait_s * (lowest + jitter * (highest - lowest))
 
 
 def must_watch(standing: Standing, known: members.Members, now: float) -> bool:
-    """Tell whether this process is to follow the store itself."""
+    """Return whether this process should watch the store itself."""
     if now < standing.waits_until:
         return False
-    present = watching(standing, now)
-    others = present - {known.name}
+    watchers = watching(standing, now)
+    others = watchers - {known.name}
     if len(others) >= WATCHERS:
         standing.few_since = None
     elif standing.few_since is None:
         standing.few_since = now
-    ranked = members.ranked(known, SUBJECT)
-    ahead = ranked[: ranked.index(known.name)]
-    watching_ahead = sum(name in present for name in ahead)
-    if watching_ahead >= WATCHERS:
+    ranking = members.ranked(known, SUBJECT)
+    preferred = ranking[: ranking.index(known.name)]
+    preferred_watchers = sum(name in watchers for name in preferred)
+    if preferred_watchers >= WATCHERS:
         return False
-    if known.name in present:
+    if known.name in watchers:
         return True
-    # Who was chosen and does not watch, since the store turns it away or it
-    # is gone, is passed over after a moment. Without the moment all others
-    # would list the whole store at once.
+    # A preferred process may not watch because the store rejects it or because
+    # it is gone. It is skipped after a short delay; without the delay all
+    # others would list the whole store at once.
     few_s = 0 if standing.few_since is None else now - standing.few_since
-    passed_over = len(ahead) - watching_ahead
-    late = max(passed_over - SOON, 0)
-    return few_s >= PASS_OVER_S * passed_over + LATE_S * late
+    skipped = len(preferred) - preferred_watchers
+    skipped_late = max(skipped - MAX_SKIPPED_WITHOUT_DELAY, 0)
+    return few_s >= SKIP_DELAY_S * skipped + LATE_S * skipped_late
--- a/beryllug/core/peering/standing_test.py
+++ b/beryllug/core/peering/standing_test.py
@@ -1,4 +1,4 @@
-"""Tests of who follows the platform's store."""
+"""Tests of which processes watch the platform's store."""
 
 import unittest
 
@@ -15,12 +15,12 @@
     return fleet
 
 
-def _watching(
+def _watch_and_notify(
     fleet: dict[str, members.Members],
     states: dict[str, standing.Standing],
     now: float,
 ) -> set[str]:
-    """Return who watches now, and tell all of it."""
+    """Return the processes that watch now, and notify all of them."""
     watching = {
         name
         for name, known in fleet.items()
@@ -32,12 +32,12 @@
     return watching
 
 
-def _turning_to_store(
+def _should_watch(
     fleet: dict[str, members.Members],
     states: dict[str, standing.Standing],
     now: float,
 ) -> set[str]:
-    """Return who is to watch now, which nobody is told of."""
+    """Return the processes that should watch now, notifying nobody."""
     return {
         name
         for name, known in fleet.items()
@@ -46,27 +46,29 @@
 
 
 class StandingTest(unittest.TestCase):
-    """Processes that start, die and are cut off."""
+    """Processes that start, die and are partitioned."""
 
     def setUp(self) -> None:
         self.fleet = _fleet(NAMES)
         self.states = {name: standing.Standing() for name in NAMES}
 
     def test_start(self) -> None:
-        """All watch at first, a few once they hear of one another."""
+        """All watch at first, and a few once they know of one another."""
         for name in NAMES:
             alone = members.Members(name)
             self.assertTrue(standing.must_watch(self.states[name], alone, 0))
         for state in self.states.values():
             for name in NAMES:
                 standing.heard(state, name, 0)
-        self.assertEqual(len(_watching(self.fleet, self.states, 0.5)), 3)
-        self.assertEqual(len(_watching(self.fleet, self.states, 1)), 3)
+        self.assertEqual(
+            len(_watch_and_notify(self.fleet, self.states, 0.5)), 3
+        )
+        self.assertEqual(len(_watch_and_notify(self.fleet, self.states, 1)), 3)
 
-    def test_first_to_start(self) -> None:
-        """All start at once; the seeds read the store, the others wait.
+    def test_seeds_read_first(self) -> None:
+        """When all start at once, the seeds read the store, the others wait.
 
-        Where no seed is there, the others turn to the store one by one.
+        If no seed answers, the others turn to the store one by one.
         """
         alone = members.Members('one')
         for wait_s, now, expected in (
@@ -81,27 +83,27 @@
                 found = standing.must_watch(state, alone, now)
                 self.assertEqual(found, expected)
 
-    def test_all_die(self) -> None:
-        """The few who watch die at once; others watch before a change is due.
+    def test_all_watchers_die(self) -> None:
+        """All watchers die at once; others replace them before a change is due.
 
-        The survivors still take them for living: their membership is slower.
-        A few more than needed watch for a moment, never all.
+        The survivors still take them for live, as membership is slower. For a
+        moment a few more than needed watch, but never all.
         """
         first = self._settle(0)
         for name in first:
             self.fleet.pop(name)
-        begun = 0.0
+        resumed_at = 0.0
         for step in range(1, 40):
             now = step * 0.1
-            watching = _watching(self.fleet, self.states, now)
+            watching = _watch_and_notify(self.fleet, self.states, now)
             self.assertLess(len(watching), 10)
-            if watching and not begun:
-                begun = now
-        self.assertLess(begun, 1.9)
+            if watching and not resumed_at:
+                resumed_at = now
+        self.assertLess(resumed_at, 1.9)
         self.assertEqual(len(watching), 3)
 
-    def test_cut_off(self) -> None:
-        """One whom the store turns away is replaced while it is."""
+    def test_rejected_by_store(self) -> None:
+        """A watcher that the store rejects is replaced meanwhile."""
         cut_off = min(self._settle(0))
         watching: set[str] = set()
         for step in range(1, 40):
@@ -117,35 +119,39 @@
         self.assertEqual(len(watching - {cut_off}), 3)
 
     def test_alone(self) -> None:
-        """A process that knows no other watches."""
+        """A process that knows no other one watches."""
         alone = members.Members('one')
         self.assertTrue(standing.must_watch(standing.Standing(), alone, 0))
 
     def test_silent(self) -> None:
-        """Those for whom the store fell silent are waited for as before."""
-        _watching(self.fleet, self.states, 0)
-        first = _watching(self.fleet, self.states, 0.1)
-        self.assertEqual(len(first), standing.WATCHERS)
-        told = standing.followers(self.states['p0'], 0.2)
+        """Watchers that the store stopped answering are replaced gradually."""
+        _watch_and_notify(self.fleet, self.states, 0)
+        former_watchers = _watch_and_notify(self.fleet, self.states, 0.1)
+        self.assertEqual(len(former_watchers), standing.WATCHERS)
+        reported = standing.followers(self.states['p0'], 0.2)
         for state in self.states.values():
-            for name in first:
+            for name in former_watchers:
                 standing.silent(state, name, 0.2)
-            # A word of before comes by a longer way.
-            standing.take_followers(state, told, 0.3)
+            # Earlier news arrives late, by a longer path.
+            standing.take_followers(state, reported, 0.3)
         for now, least, most in ((0.3, 0, 0), (0.6, 1, 4)):
-            others = _turning_to_store(self.fleet, self.states, now) - first
+            others = (
+                _should_watch(self.fleet, self.states, now) - former_watchers
+            )
             self.assertGreaterEqual(len(others), least)
             self.assertLessEqual(len(others), most)
-        for name in first:
+        for name in former_watchers:
             standing.heard(self.states['p0'], name, 1)
-        self.assertEqual(standing.watching(self.states['p0'], 1), first)
+        self.assertEqual(
+            standing.watching(self.states['p0'], 1), former_watchers
+        )
 
     def _settle(self, now: float) -> set[str]:
-        """Let the chosen few watch, and return them."""
+        """Make the preferred few the watchers, and return them."""
         for state in self.states.values():
             for name in NAMES:
                 standing.heard(state, name, now - 1)
-        _watching(self.fleet, self.states, now)
+        _watch_and_notify(self.fleet, self.states, now)
         for state in self.states.values():
             state.watching.clear()
         chosen = members.ranked(self.fleet['p0'], standing.SUBJECT)[:3]
