--- a/beryllug/core/canary/__init__.py
+++ b/beryllug/core/canary/__init__.py
@@ -1,5 +1,5 @@
-"""Roll-outs of a service's new version, ordered with a time to be done in.
+"""Canary roll-outs of a service's new version within an ordered time.
 
-Which requests try the new version, what their answers say of it, and when it
-has proved itself or is taken back.
+Which requests are sent to the new version, how its answers are judged, and
+when the version is promoted or rolled back.
 """
--- a/beryllug/core/canary/canary_data.py
+++ b/beryllug/core/canary/canary_data.py
@@ -1,4 +1,4 @@
-"""Records of an ordered roll-out and of what was seen of its version."""
+"""Records of an ordered roll-out and of the evidence about its version."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -6,7 +6,7 @@
 
 
 class Phase(StrEnum):
-    """How far a roll-out has come."""
+    """The phase of a roll-out."""
 
     TRIAL = 'trial'
     FULL = 'full'
@@ -20,7 +20,7 @@
     Attributes:
         service: The service.
         target: The new version.
-        duration_s: Seconds in which it is to be done.
+        duration_s: Seconds within which the roll-out has to be complete.
         revision: Revision of the order, which its status is written against.
     """
 
@@ -31,14 +31,15 @@
 
 
 class Bounds(NamedTuple):
-    """What a roll-out must keep to.
+    """The limits of a roll-out.
 
     Attributes:
         share: Largest share of a service's requests that a bad version may
-            get.
-        slack: Requests that it may get beyond that share, fleet-wide.
-        session_s: Seconds within which a session's next request belongs to
-            it, and must run on its version.
+            receive.
+        slack: Number of requests that it may receive beyond that share, over
+            the whole fleet.
+        session_s: Seconds within which the next request of a session belongs
+            to it, and must run on the same version.
     """
 
     share: float
@@ -46,33 +47,34 @@
     session_s: float
 
 
-# Counts of answers by how long they took: the key is twice the logarithm of
-# the seconds to base two, so each holds times that differ by less than half.
+# Histogram of answer times. The key is twice the base-2 logarithm of the
+# seconds, so times in one bucket differ by less than half.
 Times = dict[int, int]
 
 
 class Answers(NamedTuple):
-    """Answers of one backend server of a version."""
+    """Counts of good and bad answers of one backend server."""
 
     good: int = 0
     bad: int = 0
 
 
 class Seen(NamedTuple):
-    """Answers of the new version by instance, beside those of the others."""
+    """Answers of the new version by instance, and of the other versions."""
 
     by_instance: dict[str, Answers]
     old: Answers
 
 
 class Evidence(NamedTuple):
-    """What was seen on one route.
+    """The answers observed on one route.
 
     Attributes:
-        answers: By instance, of the new version.
-        old: Answers of the other versions together.
-        new_times: By instance and by what was asked, of the new version.
-        old_times: By what was asked, of the others.
+        answers: Answers of the new version, by instance.
+        old: Answers of all other versions together.
+        new_times: Answer times of the new version, by instance and by the kind
+            of work.
+        old_times: Answer times of the other versions, by the kind of work.
     """
 
     answers: dict[str, Answers]
@@ -83,12 +85,12 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What one process has seen of a service during a roll-out.
+    """What one process has observed of a service during a roll-out.
 
     Attributes:
-        requests: Requests for the service.
-        tried: Those of them that went to the new version.
-        by_route: What was seen on each route.
+        requests: Number of requests for the service.
+        tried: Number of those that were sent to the new version.
+        by_route: The evidence on each route.
     """
 
     requests: int = 0
@@ -97,7 +99,7 @@
 
 
 def evidence(tally: Tally, route: str) -> Evidence:
-    """Return what was seen on a route, to be added to."""
+    """Return the evidence on a route, creating an empty one if needed."""
     found = tally.by_route.get(route)
     if found is None:
         found = Evidence({}, Answers(), {}, {})
--- a/beryllug/core/canary/plan.py
+++ b/beryllug/core/canary/plan.py
@@ -1,10 +1,11 @@
-"""How a roll-out goes on with time, and which requests try its version.
-
-For most of its time a small share of new sessions tries the new version: a
-session that runs on one version stays there. Once its answers speak for it,
-all requests go to it, so late that even a version which fails only then gets
-no more of the ordered time's requests than a bad one may; shortly before the
-time is over the roll-out is complete, and the platform stops the old servers.
+"""The phases of a roll-out, and which requests go to the new version.
+
+During the trial a small share of new sessions uses the new version, and a
+session stays on the version it runs on. Once the answers show that the version
+is good, all requests go to it. This happens so late that even a version which
+starts to fail only then receives no more of the requests than a bad one may.
+Shortly before its time is over the roll-out is complete, and the platform stops
+the old servers.
 """
 
 from collections.abc import Mapping
@@ -13,50 +14,53 @@
 from beryllug.core import rendezvous
 from beryllug.core.canary import canary_data, verdict
 
-# Most requests that try a version, as a part of those that a bad one may get:
-# the rest is for the time in which all requests go to it. With 0.6 of it, and
-# all requests from 0.63 to 0.8 of the time on, a version that failed only under
-# load, or late, got 352 of 1,597 requests where 270 were allowed.
-TRIAL_PART = 0.35
-# Share of new sessions that try a version, as a part of the share that a bad
-# one may get. All processes draw the same ones, so a session that comes by
-# another process stays on its version unless that one has used up its requests
-# on trial: with all of the share drawn it had, and four sessions of a fleet of
-# 72 left theirs. Where a version has too few answers by half of the time, all
-# of the share is drawn.
+# Part of the requests allowed for a bad version that the trial may use; the
+# rest is reserved for the phase in which all requests go to the version. With
+# 0.6, and that phase from 0.63 to 0.8 of the time on, a version that failed
+# late, or only under load, received 352 of 1,597 requests where 270 were
+# allowed.
+TRIAL_BUDGET_RATIO = 0.35
+# Part of the share allowed for a bad version that new sessions are sampled
+# with. All processes sample the same sessions, so a session that arrives at
+# another process stays on its version unless that process has used up its
+# budget of trial requests. With the whole share sampled, budgets ran out and
+# four sessions of a fleet of 72 changed version. If a version has too few
+# answers after half of the time, the whole share is sampled.
 DRAWN_PART = 0.25
-# Part of the ordered time in which sessions stay where they are.
-HALF = 0.5
-# Parts of the share and of the slack that are used: what was seen of the
-# requests is some tenths of a second old, and more may come than did.
-USED_SHARE = 0.95
-USED_SLACK = 0.5
-# Times the mean of the requests so far that may come to the end: a crowd, or
-# callers who come back. With 1.0 a version got 301 arrivals of 300 allowed as
-# a third of the callers repeated at once.
-SURGE = 1.3
+# Part of the ordered time during which sessions stay on their version.
+SESSION_BINDING_RATIO = 0.5
+# Parts of the share and of the slack that are used. The counts are some tenths
+# of a second old, and requests may arrive faster than before.
+USABLE_SHARE_RATIO = 0.95
+USABLE_SLACK_RATIO = 0.5
+# Assumed rate of the remaining requests, relative to the mean rate so far: a
+# burst may come, or callers may retry. With 1.0 a version received 301 requests
+# of 300 allowed when a third of the callers retried at once.
+SURGE_FACTOR = 1.3
 # Seconds before the end of the ordered time at which a roll-out is complete,
-# and most part of that time: it must stand in the store by then, also where
-# the store turns both judges away and another process writes it, which takes
-# twice a judge's wait and two looks, and counts some tenths before the end.
-COMPLETE_LEFT_S = 1.2
-COMPLETE_LEFT_PART = 0.06
-# Seconds, and most part of the ordered time, before its end at which all
-# requests go to a version at the latest. A bad one may get a tenth of the
-# requests of that time, so in a short order it is less.
-LEAST_FULL_S = 1.6
-LEAST_FULL_PART = 0.08
-# Seconds in which all processes know that all requests go to a version; only
-# then may the old servers be stopped.
+# and the upper limit of that as a part of the time. Its status has to be in
+# the store by the end even if the store rejects both judges and another process
+# writes it. That takes twice the wait of a judge and two of its periods, and
+# the status has to be there some tenths before the end.
+COMPLETION_LEAD_S = 1.2
+COMPLETION_LEAD_RATIO = 0.06
+# Seconds before the end at which all requests go to a version at the latest,
+# and the upper limit of that as a part of the ordered time. A bad version may
+# get a tenth of the requests of the ordered time, so it is less if the time is
+# short.
+MIN_FULL_S = 1.6
+MIN_FULL_RATIO = 0.08
+# Seconds after which all processes know that all requests go to a version; the
+# old servers may only be stopped then.
 KNOWN_S = 0.3
-# Seconds before the end at which they go over at the earliest: the old servers
-# have ended most of what they run by then.
-MOST_FULL_S = 5.0
-# Answers without which nothing is known of a version. A version that fails
-# three in ten gives twelve good ones once in seventy times; six are taken
-# where so little was asked of it that more did not come.
-LEAST_ANSWERS = 12
-LEAST_LATE_ANSWERS = 6
+# Seconds before the end at which all requests go to a version at the earliest:
+# enough for the old servers to finish most of their requests.
+MAX_FULL_S = 5.0
+# Answers needed to judge a version. A version that fails three requests in ten
+# gives twelve good answers in a row once in seventy times. Six are enough late
+# in a roll-out, if a service gets too few requests for more.
+MIN_ANSWERS = 12
+MIN_LATE_ANSWERS = 6
 
 
 class Ages(NamedTuple):
@@ -74,14 +78,14 @@
     bounds: canary_data.Bounds,
     lowest: Mapping[str, float] = verdict.NO_SCORES,
 ) -> canary_data.Phase:
-    """Return how far a roll-out has come.
+    """Return the phase that a roll-out is in now.
 
     Args:
         order: The order.
-        phase: How far it had come.
-        tally: What the fleet has seen.
-        ages: How long it goes on.
-        bounds: What it must keep to.
+        phase: Its phase so far.
+        tally: What the fleet has observed.
+        ages: Seconds since the order and since the phase began.
+        bounds: The limits of the roll-out.
         lowest: The lowest scores so far, by `verdict.lowest_scores`.
     """
     if is_over(phase):
@@ -90,16 +94,16 @@
         return canary_data.Phase.ROLLED_BACK
     left_s = order.duration_s - ages.order_s
     if phase is canary_data.Phase.TRIAL:
-        if _has_proved_itself(order, tally, ages.order_s, bounds):
+        if _is_proven(order, tally, ages.order_s, bounds):
             return canary_data.Phase.FULL
         return phase
-    if left_s <= _complete_left_s(order) and ages.phase_s >= KNOWN_S:
+    if left_s <= _completion_lead_s(order) and ages.phase_s >= KNOWN_S:
         return canary_data.Phase.COMPLETE
     return phase
 
 
 def is_over(phase: canary_data.Phase) -> bool:
-    """Tell whether a roll-out has ended."""
+    """Return whether a roll-out has ended."""
     return phase in {
         canary_data.Phase.COMPLETE,
         canary_data.Phase.ROLLED_BACK,
@@ -107,8 +111,8 @@
 
 
 def binds_sessions(order: canary_data.Order, age_s: float) -> bool:
-    """Tell whether sessions on the old version must stay there."""
-    return age_s < order.duration_s * HALF
+    """Return whether sessions on the old version must stay there."""
+    return age_s < order.duration_s * SESSION_BINDING_RATIO
 
 
 def may_try(
@@ -117,34 +121,35 @@
     processes: int,
     dither: float = 0,
 ) -> bool:
-    """Tell whether this process may send one more request on trial.
+    """Return whether this process may send one more request on trial.
 
-    Each process keeps to the share of what it sees itself, so the fleet does
-    without a message. One process of a large fleet may send a part of a
-    request; drawn by each anew, the parts add up to whole ones. Rounded down,
-    no process would send any until most of the order's time is over.
+    Each process applies the limit to the requests it observes itself, so the
+    fleet needs no coordination. In a large fleet the budget of one process may
+    be a fraction of a request. Each process adds a random fraction of its own,
+    so that the budgets add up to whole requests; rounded down, no process
+    would send any until most of the ordered time is over.
 
     Args:
-        tally: What this process has seen.
-        bounds: What the roll-out must keep to.
-        processes: Processes of the fleet.
-        dither: Drawn between 0 and 1 once a roll-out.
+        tally: What this process has observed.
+        bounds: The limits of the roll-out.
+        processes: Number of processes in the fleet.
+        dither: A random number from 0 to 1, drawn once per roll-out.
     """
-    slack = bounds.slack * TRIAL_PART / max(processes, 1)
-    allowed = bounds.share * TRIAL_PART * tally.requests + slack
+    slack = bounds.slack * TRIAL_BUDGET_RATIO / max(processes, 1)
+    allowed = bounds.share * TRIAL_BUDGET_RATIO * tally.requests + slack
     return tally.tried + 1 <= allowed + dither
 
 
 def is_drawn(subject: str, bounds: canary_data.Bounds, part: float = 1) -> bool:
-    """Tell whether a session, or a request without one, is to try it.
+    """Return whether a session, or a request without one, is sampled.
 
-    All processes draw the same sessions, so one that comes by another
-    process stays on its version.
+    All processes sample the same sessions, so a session that arrives at
+    another process stays on its version.
 
     Args:
-        subject: What is drawn.
-        bounds: What the roll-out must keep to.
-        part: Part of the share that is drawn.
+        subject: Id of the session or request.
+        bounds: The limits of the roll-out.
+        part: Part of the allowed share that is sampled.
     """
     return rendezvous.share(subject) < bounds.share * part
 
@@ -152,24 +157,24 @@
 def drawn_part(
     order: canary_data.Order, tally: canary_data.Tally, age_s: float
 ) -> float:
-    """Return the part of the share of sessions that are drawn now."""
-    is_late = age_s > order.duration_s * HALF
-    if is_late and verdict.judged(tally) < LEAST_ANSWERS:
+    """Return the part of the allowed share of sessions that is sampled now."""
+    is_late = age_s > order.duration_s * SESSION_BINDING_RATIO
+    if is_late and verdict.judged(tally) < MIN_ANSWERS:
         return 1
     return DRAWN_PART
 
 
-def _complete_left_s(order: canary_data.Order) -> float:
+def _completion_lead_s(order: canary_data.Order) -> float:
     """Return the seconds before its end at which a roll-out is complete."""
-    return min(COMPLETE_LEFT_S, order.duration_s * COMPLETE_LEFT_PART)
+    return min(COMPLETION_LEAD_S, order.duration_s * COMPLETION_LEAD_RATIO)
 
 
-def _least_full_s(order: canary_data.Order) -> float:
-    """Return the seconds before the end at which all requests go over."""
-    return min(LEAST_FULL_S, order.duration_s * LEAST_FULL_PART)
+def _min_full_s(order: canary_data.Order) -> float:
+    """Return the latest start of the full phase, in seconds before the end."""
+    return min(MIN_FULL_S, order.duration_s * MIN_FULL_RATIO)
 
 
-def _has_proved_itself(
+def _is_proven(
     order: canary_data.Order,
     tally: canary_data.Tally,
     age_s: float,
@@ -177,25 +182,25 @@
 ) -> bool:
     count = verdict.judged(tally)
     left_s = order.duration_s - age_s
-    if left_s <= _least_full_s(order):
-        return count >= LEAST_LATE_ANSWERS
-    most_full_s = min(MOST_FULL_S, order.duration_s * (1 - HALF))
-    if left_s > most_full_s or count < LEAST_ANSWERS:
+    if left_s <= _min_full_s(order):
+        return count >= MIN_LATE_ANSWERS
+    max_full_s = min(MAX_FULL_S, order.duration_s * (1 - SESSION_BINDING_RATIO))
+    if left_s > max_full_s or count < MIN_ANSWERS:
         return False
-    return _is_within(tally, left_s, age_s, bounds)
+    return _keeps_within_bounds(tally, left_s, age_s, bounds)
 
 
-def _is_within(
+def _keeps_within_bounds(
     tally: canary_data.Tally,
     left_s: float,
     age_s: float,
     bounds: canary_data.Bounds,
 ) -> bool:
-    """Tell whether a version may get all requests to the end of its time.
+    """Return whether a version may get all requests until the end.
 
-    Judged as if it were bad, since it may turn bad at any moment.
+    The estimate assumes that it is bad, as it may become so at any moment.
     """
-    to_come = tally.requests * left_s / max(age_s, left_s)
-    share = bounds.share * USED_SHARE * (tally.requests + to_come)
-    allowed = share + bounds.slack * USED_SLACK
-    return tally.tried + to_come * SURGE <= allowed
+    remaining = tally.requests * left_s / max(age_s, left_s)
+    share = bounds.share * USABLE_SHARE_RATIO * (tally.requests + remaining)
+    allowed = share + bounds.slack * USABLE_SLACK_RATIO
+    return tally.tried + remaining * SURGE_FACTOR <= allowed
--- a/beryllug/core/canary/plan_test.py
+++ b/beryllug/core/canary/plan_test.py
@@ -1,4 +1,4 @@
-"""Tests of roll-outs: verdicts, phases and shares."""
+"""Tests of roll-outs: verdicts, phases and trial shares."""
 
 import random
 import unittest
@@ -11,9 +11,9 @@
 Phase = canary_data.Phase
 ORDER = canary_data.Order('pool', 'v2', 20, 7)
 BOUNDS = canary_data.Bounds(share=0.15, slack=30, session_s=5)
-# Looks at a roll-out in a second.
-STEPS_A_SECOND = 4
-# Steps of time, two a doubling; the others' median is -8, a sixteenth second.
+# Evaluations of a roll-out per second.
+STEPS_PER_SECOND = 4
+# Histogram buckets, two a doubling; the others' median is -8, 1/16 s.
 OLD_TIMES = MappingProxyType({-9: 20, -8: 60, -7: 20})
 MANY_OLD = Answers(200, 2)
 
@@ -39,7 +39,7 @@
     old: Answers = MANY_OLD,
     new_times: dict[str, dict[int, int]] | None = None,
 ) -> canary_data.Tally:
-    """Return what was seen where there is one route."""
+    """Return what is observed if there is one route."""
     seen = _evidence(answers, old, new_times)
     return canary_data.Tally(requests=200, tried=20, by_route={'chat': seen})
 
@@ -98,20 +98,28 @@
         False,
     ),
 )
-# The same with fewer requests on trial: there is room for two seconds of all.
-CALM = canary_data.Tally(requests=200, tried=12, by_route=GOOD.by_route)
-# The same, of a fleet with so few requests that all may go over at any time.
-IDLE = canary_data.Tally(requests=8, tried=2, by_route=GOOD.by_route)
-# A fleet that has seen so many requests in most of the ordered time that more
-# than a second and a half of all of them is over the bound.
-BUSY = canary_data.Tally(requests=4000, tried=200, by_route=GOOD.by_route)
+# Fewer requests on trial, which leaves room for two seconds of all requests.
+FEW_TRIED = canary_data.Tally(requests=200, tried=12, by_route=GOOD.by_route)
+# So few requests that all of them may go to the version at any time.
+FEW_REQUESTS = canary_data.Tally(requests=8, tried=2, by_route=GOOD.by_route)
+# So many requests in most of the ordered time that more than a second and a
+# half of all requests would exceed the bound.
+MANY_REQUESTS = canary_data.Tally(
+    requests=4000, tried=200, by_route=GOOD.by_route
+)
 PHASES: tuple[tuple[str, Phase, canary_data.Tally, plan.Ages, Phase], ...] = (
-    ('young', Phase.TRIAL, GOOD, plan.Ages(5, 5), Phase.TRIAL),
+    ('too early', Phase.TRIAL, GOOD, plan.Ages(5, 5), Phase.TRIAL),
     ('not yet needed', Phase.TRIAL, GOOD, plan.Ages(14.9, 14.9), Phase.TRIAL),
     ('over its share', Phase.TRIAL, GOOD, plan.Ages(17.9, 17.9), Phase.TRIAL),
-    ('proved', Phase.TRIAL, CALM, plan.Ages(17.9, 17.9), Phase.FULL),
-    ('busy', Phase.TRIAL, BUSY, plan.Ages(17.9, 17.9), Phase.TRIAL),
-    ('busy, no time left', Phase.TRIAL, BUSY, plan.Ages(18.5, 9), Phase.FULL),
+    ('proved', Phase.TRIAL, FEW_TRIED, plan.Ages(17.9, 17.9), Phase.FULL),
+    ('busy', Phase.TRIAL, MANY_REQUESTS, plan.Ages(17.9, 17.9), Phase.TRIAL),
+    (
+        'busy, no time left',
+        Phase.TRIAL,
+        MANY_REQUESTS,
+        plan.Ages(18.5, 9),
+        Phase.FULL,
+    ),
     ('no evidence', Phase.TRIAL, _tally({}), plan.Ages(19, 19), Phase.TRIAL),
     ('bad', Phase.TRIAL, BAD, plan.Ages(1, 1), Phase.ROLLED_BACK),
     ('bad in full', Phase.FULL, BAD, plan.Ages(18, 1), Phase.ROLLED_BACK),
@@ -126,13 +134,13 @@
     """Requests for a service during a roll-out.
 
     Attributes:
-        title: Its name.
+        title: Title of the test case.
         rate: Requests a second.
         duration_s: Seconds of the order.
-        bounds: What the roll-out must keep to.
-        processes: Processes of the fleet.
-        burst: Times as many requests in a part of the time.
-        burst_at: Parts of the time between which these come.
+        bounds: The limits of the roll-out.
+        processes: Number of processes in the fleet.
+        burst: Factor of the rate during the burst.
+        burst_at: Start and end of the burst, as parts of the duration.
     """
 
     title: str
@@ -149,16 +157,16 @@
     Load('eight processes', 35, 24),
     Load('eight processes, a short order', 35, 12),
     Load('few requests', 4, 20),
-    Load('a crowd at first', 35, 22, burst=2, burst_at=(0.1, 0.3)),
-    Load('a crowd in the middle', 35, 22, burst=1.8, burst_at=(0.4, 0.65)),
-    Load('a crowd that stays', 35, 24, burst=1.8, burst_at=(0.5, 1)),
+    Load('a burst at first', 35, 22, burst=2, burst_at=(0.1, 0.3)),
+    Load('a burst in the middle', 35, 22, burst=1.8, burst_at=(0.4, 0.65)),
+    Load('a burst that stays', 35, 24, burst=1.8, burst_at=(0.5, 1)),
     Load('72 processes', 200, 24, LARGE_BOUNDS, 72),
     Load('72 processes, a short order', 200, 16, LARGE_BOUNDS, 72),
 )
 
 
 class PlanTest(unittest.TestCase):
-    """How a roll-out is judged and goes on."""
+    """Verdicts and phases of a roll-out."""
 
     def test_verdicts(self) -> None:
         """Each case of the table."""
@@ -169,9 +177,9 @@
     def test_one_route(self) -> None:
         """A version fails half of the requests of one route in four.
 
-        Seven of its sixty answers are failures, on both of its servers, and
-        one in a hundred of the others'. Judged with those of all routes it
-        passed, all requests went to it, and it got more than its share.
+        Seven of its sixty answers are failures, on both of its servers,
+        against one in a hundred of the others'. Judged over all routes it
+        passed, all requests went to it, and it received more than its share.
         """
         sound = {'n1': Answers(7), 'n2': Answers(8)}
         routes = {
@@ -185,7 +193,7 @@
     def test_routes_together(self) -> None:
         """A version fails one request in five, on each of its routes.
 
-        No route alone shows enough in the time of the trial.
+        No single route provides enough evidence during the trial.
         """
         few = _evidence({'n1': Answers(2, 1), 'n2': Answers(2)})
         routes = {name: few for name in ('a', 'b', 'c', 'd', 'e', 'f')}
@@ -201,37 +209,39 @@
                 self.assertIs(found, expected)
 
     def test_unseen(self) -> None:
-        """A version turns bad when nobody can see it any more.
+        """A version turns bad too late to be noticed.
 
-        It is good in its trial, all requests go to it, and it fails in the
+        It is good during the trial, all requests go to it, and it fails in the
         last moment of the ordered time, or under a load that only then comes.
-        All that it got in this time counts as served by a bad version.
+        All requests it received in this time count as served by a bad version.
         """
         for load in LOADS:
             with self.subTest(load.title):
-                tally, phase = _play(load)
+                tally, phase = _simulate(load)
                 allowed = load.bounds.share * tally.requests
                 self.assertLess(tally.tried, allowed + load.bounds.slack)
                 self.assertIs(phase, Phase.COMPLETE)
 
     def test_short_order(self) -> None:
-        """An order that is over in six seconds leaves sessions their half.
+        """In an order of six seconds sessions stay for the first half, too.
 
-        Its version has proved itself within a second. All requests that went
-        to it then would take sessions with them in the first half.
+        The version has proved itself within a second. If all requests went to
+        it then, sessions would change version in the first half.
         """
         order = canary_data.Order('pool', 'v2', 6, 7)
         for age_s, expected in ((2.9, Phase.TRIAL), (3.1, Phase.FULL)):
             with self.subTest(age_s):
                 ages = plan.Ages(age_s, age_s)
-                found = plan.next_phase(order, Phase.TRIAL, IDLE, ages, BOUNDS)
+                found = plan.next_phase(
+                    order, Phase.TRIAL, FEW_REQUESTS, ages, BOUNDS
+                )
                 self.assertIs(found, expected)
 
     def test_large_fleet(self) -> None:
-        """72 processes together send enough on trial in a short order.
+        """72 processes together send enough trial requests in a short order.
 
-        Each may send a third of a request in eight seconds. Rounded down none
-        was sent, the version had no answers, and its order was not done.
+        The budget of each is a third of a request in eight seconds. Rounded
+        down, none was sent, the version had no answers, and its order failed.
         """
         load = LOADS[-1]
         seconds = load.duration_s // 2
@@ -241,14 +251,14 @@
         for number in range(early.rate * seconds):
             index = number % load.processes
             dither = index / load.processes
-            _ask(total, own[index], load, Phase.TRIAL, dither)
-        self.assertGreater(total.tried, 2 * plan.LEAST_ANSWERS)
+            _count_request(total, own[index], load, Phase.TRIAL, dither)
+        self.assertGreater(total.tried, 2 * plan.MIN_ANSWERS)
 
     def test_share(self) -> None:
-        """All processes together keep to the share that a bad one may get.
+        """All processes together keep to the share allowed for a bad version.
 
-        Eight processes see unlike parts of the requests and each tries as
-        often as it may.
+        Eight processes observe unequal parts of the requests, and each sends as
+        many trial requests as it may.
         """
         processes = 8
         total = 0
@@ -262,7 +272,7 @@
         self.assertLess(total, BOUNDS.share * everything + BOUNDS.slack)
 
     def test_drawn_part(self) -> None:
-        """Few sessions are drawn, unless a version lacks answers late."""
+        """Few sessions are sampled, unless a version lacks answers late."""
         few = _tally({'n1': Answers(5)})
         table: tuple[tuple[str, canary_data.Tally, float, float], ...] = (
             ('early', few, 9, plan.DRAWN_PART),
@@ -275,11 +285,11 @@
                 self.assertEqual(found, expected)
 
     def test_stays(self) -> None:
-        """A session comes by a process that was not told of its version.
+        """A session arrives at a process that was not told of its version.
 
-        It was drawn elsewhere and runs on the new version. Drawn again it
-        must be let on: processes whose requests on trial are used up sent two
-        in three such sessions back, and each left its version.
+        It was sampled elsewhere and runs on the new version. When it is sampled
+        again, it must be admitted: processes that had used up their budget of
+        trial requests moved two in three such sessions off their version.
         """
         rng = random.Random(9)
         processes = 72
@@ -301,14 +311,14 @@
         self.assertLess(refused / drawn, 0.4)
 
     def test_drawn(self) -> None:
-        """The same sessions are drawn everywhere, as many as the share."""
+        """All processes sample the same sessions, as many as the share."""
         drawn = [
             plan.is_drawn(f'session-{number}', BOUNDS) for number in range(2000)
         ]
         self.assertAlmostEqual(sum(drawn) / 2000, BOUNDS.share, delta=0.03)
 
     def test_sessions(self) -> None:
-        """A session stays on its version while it goes on."""
+        """A session keeps its version during its lifetime."""
         known = sessions.Sessions()
         sessions.ran(known, 'pool', 'guest', 'v1', 10)
         for now, expected in ((14, 'v1'), (15.9, 'v1'), (16.1, None)):
@@ -317,31 +327,33 @@
                 self.assertEqual(found, expected)
 
     def test_merge(self) -> None:
-        """What several processes saw adds up."""
+        """The observations of several processes add up."""
         total = verdict.merge((GOOD, BAD))
         self.assertEqual(total.by_route['chat'].answers['n1'], Answers(12, 2))
         self.assertEqual(total.requests, 400)
         self.assertEqual(verdict.judged(total), 27)
 
 
-def _play(load: Load) -> tuple[canary_data.Tally, Phase]:
-    """Return what a sound version got in the ordered time, and its phase."""
+def _simulate(load: Load) -> tuple[canary_data.Tally, Phase]:
+    """Return the final tally and phase of a roll-out of a good version."""
     order = canary_data.Order('pool', 'v2', load.duration_s, 7)
     total = canary_data.Tally(by_route=GOOD.by_route)
     own = [canary_data.Tally() for _ in range(load.processes)]
     phase = Phase.TRIAL
     full_at = 0.0
-    steps = load.duration_s * STEPS_A_SECOND
+    steps = load.duration_s * STEPS_PER_SECOND
     due = 0.0
     for step in range(steps):
-        age_s = step / STEPS_A_SECOND
+        age_s = step / STEPS_PER_SECOND
         begin, end = (part * load.duration_s for part in load.burst_at)
         times = load.burst if begin <= age_s < end else 1
-        due += load.rate * times / STEPS_A_SECOND
+        due += load.rate * times / STEPS_PER_SECOND
         while due >= 1:
             due -= 1
             number = total.requests % load.processes
-            _ask(total, own[number], load, phase, number / load.processes)
+            _count_request(
+                total, own[number], load, phase, number / load.processes
+            )
         ages = plan.Ages(age_s, age_s - full_at)
         after = plan.next_phase(order, phase, total, ages, load.bounds)
         if after is not phase and after is Phase.FULL:
@@ -350,7 +362,7 @@
     return total, phase
 
 
-def _ask(
+def _count_request(
     total: canary_data.Tally,
     own: canary_data.Tally,
     load: Load,
--- a/beryllug/core/canary/sessions.py
+++ b/beryllug/core/canary/sessions.py
@@ -1,29 +1,29 @@
 """Which version each session runs on.
 
-Known only to the process that served it. A session that another process
-served last is drawn anew by its id, which gives the same version unless it
-had begun before the roll-out.
+A process knows this only of sessions it has served, or was told of by peers.
+A session that was last served elsewhere is sampled again by its id, which
+gives the same version unless it began before the roll-out.
 """
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-# Sessions that are remembered at most; the oldest are forgotten first.
+# Maximum number of sessions kept; the least recent are dropped first.
 MOST = 20000
-# Seconds beyond a session's own time, since its caller counts from when it
-# has the answer.
+# Seconds added to a session's lifetime, since its caller counts from when it
+# receives the answer.
 MARGIN_S = 1.0
 
 
 class Pin(NamedTuple):
-    """The version that a session ran on, and when it did last."""
+    """The version that a session ran on, and when it last did."""
 
     version: str
     seen_at: float
 
 
 class Told(NamedTuple):
-    """A session's version, as processes tell one another."""
+    """A session's version, as sent to peers."""
 
     service: str
     session: str
@@ -32,11 +32,11 @@
 
 @dataclass(slots=True)
 class Sessions:
-    """Which version sessions ran on.
+    """The versions that sessions ran on.
 
     Attributes:
         pins: Pins by service and session, the least recent first.
-        untold: What peers are still to be told of, once each.
+        untold: Session versions still to be sent to peers, in order.
     """
 
     pins: dict[tuple[str, str], Pin] = field(default_factory=dict)
@@ -60,7 +60,7 @@
 def ran(
     sessions: Sessions, service: str, session: str, version: str, now: float
 ) -> None:
-    """Note that a request of a session ran, or goes on running."""
+    """Record that a request of a session ran, or is still running."""
     key = (service, session)
     sessions.pins.pop(key, None)
     sessions.pins[key] = Pin(version, now)
@@ -71,7 +71,7 @@
 def of_service(
     sessions: Sessions, service: str, session_s: float, now: float
 ) -> list[Told]:
-    """Return the sessions of a service that go on."""
+    """Return the current sessions of a service."""
     return [
         Told(service, session, pin.version)
         for (each, session), pin in sessions.pins.items()
@@ -80,7 +80,7 @@
 
 
 def tell(sessions: Sessions, most: int) -> list[Told]:
-    """Return some of what peers are to be told of; the rest comes next."""
+    """Remove and return the next session versions to send, up to a maximum."""
     chosen = list(sessions.untold)[:most]
     for told in chosen:
         sessions.untold.pop(told)
--- a/beryllug/core/canary/verdict.py
+++ b/beryllug/core/canary/verdict.py
@@ -1,12 +1,12 @@
-"""Whether a new version is bad, judged on the answers of the whole fleet.
+"""Whether a new version is bad, judged by the answers of the whole fleet.
 
-A version that fails, or is slow, is told from a backend server that is by
-where that happens: a bad version is bad on each of its servers. An answer is
-slow if it took three times what the others' answers take for the same work; a
-version may be slow for part of its requests only, which a mean would hide.
+A bad version is distinguished from a bad backend server by where it fails or is
+slow: a bad version does so on each of its servers. An answer is slow if it
+took three times as long as the other versions take for the same work; a version
+may be slow for some of its requests only, which a mean would hide.
 
-It may also be bad on one route only, so each route is judged by itself, and
-all together: a few failures on each of many routes tell as much.
+A version may also be bad on one route only, so each route is judged by itself,
+and all together: a few failures on each of many routes are as significant.
 """
 
 import math
@@ -17,71 +17,73 @@
 from beryllug.core.canary import canary_data
 
 BAD_SCORE = 4.5
-# The same above the lowest score so far: a version that turns bad, or is bad
-# only under load, has hundreds of good answers by then, and a score so low
-# that 22 failures among 120 answers did not raise it above zero. Higher than
-# the first, since there are as many chances as answers.
-TURNED_SCORE = 7.0
-# Key of the score of all routes together.
-TOGETHER = ''
+# Score above the lowest one so far that also counts as bad. A version that
+# turns bad, or is bad only under load, has hundreds of good answers by then,
+# and such a low score that 22 failures among 120 answers did not raise it above
+# zero. It is higher than `BAD_SCORE`, since every answer is a chance to reach
+# it by accident.
+REGRESSION_SCORE = 7.0
+# Key of the score of all routes combined.
+ALL_ROUTES = ''
 NO_SCORES: Mapping[str, float] = MappingProxyType({})
-# Good answers of a version's other servers beside which one that is bad is at
-# fault itself: a version that fails half of a route's requests gives five
-# good ones in a row once in thirty times.
-SOUND_ANSWERS = 5
-# Bad answers of one server alone, while nothing is known of the others, that
-# are taken for the version's: two may be the server's own.
-ALONE_FAILURES = 3
-# Steps of time above the others' median from which an answer is slow: three
-# halves of a doubling, which is 2.8 times as long.
+# Good answers of a version's other servers that show a single bad server to be
+# at fault itself. A version that fails half of a route's requests gives five
+# good answers in a row once in thirty times.
+MIN_GOOD_OF_OTHER_SERVERS = 5
+# Bad answers of a single server that are attributed to its version if nothing
+# is known of other servers; two may be caused by the server itself.
+MIN_FAILURES_OF_ONE_SERVER = 3
+# Histogram buckets above the others' median from which an answer is slow. Two
+# buckets are a doubling, so three are 2.8 times as long.
 SLOW_STEPS = 3
-# Times of the others without which nothing can be compared.
-LEAST_TIMES = 10
-# A version whose bad answers are fewer than so many times those that the
-# others' rates let expect is bad for a reason that is not its own.
-SAME_RATIO = 2.0
-# Answers of the usual rate that are added to the others', so that the first
-# few of a route don't stand for its rate.
+# Answer times of the other versions needed for a comparison.
+MIN_TIMES = 10
+# A version is bad only if it has more than this many times the bad answers
+# expected from the others' rates; otherwise the cause is not the version.
+MIN_EXCESS_RATIO = 2.0
+# Answers at the baseline rate added to those of the other versions, so that the
+# first few answers of a route do not determine its rate.
 PRIOR_ANSWERS = 10
 
 
-class _Rates(NamedTuple):
-    """Rates of bad answers that a sequential test tells apart.
+class _ErrorRates(NamedTuple):
+    """Rates of bad answers told apart by a sequential probability ratio test.
 
     Attributes:
-        usual: Of a sound version, where the others show no higher one.
-        extra: Part of the otherwise good answers that a bad version spoils.
+        baseline: Rate of a sound version, unless the others have a higher
+            one.
+        excess: Part of the otherwise good answers that a bad version spoils.
     """
 
-    usual: float
-    extra: float
+    baseline: float
+    excess: float
 
-    def sound(self, old: canary_data.Answers) -> float:
-        """Return the rate of a sound version on a route.
+    def sound_rate(self, old: canary_data.Answers) -> float:
+        """Return the rate of bad answers of a sound version on a route.
 
-        Some routes fail one request in seven whatever the version is; tested
-        against the usual rate, such a route took back one sound version in
-        four.
+        Some routes fail one request in seven whatever the version is. Tested
+        against the baseline rate, such a route caused one sound version in
+        four to be rolled back.
         """
         count = old.good + old.bad + PRIOR_ANSWERS
-        rate = (old.bad + PRIOR_ANSWERS * self.usual) / count
-        return max(self.usual, rate)
+        rate = (old.bad + PRIOR_ANSWERS * self.baseline) / count
+        return max(self.baseline, rate)
 
     def score(self, seen: canary_data.Seen) -> float:
-        """Return the logarithm of the likelihood ratio on a route."""
-        answers = _total(seen)
-        sound = self.sound(seen.old)
-        bad = sound + (1 - sound) * self.extra
-        per_bad = math.log(bad / sound)
-        per_good = math.log((1 - bad) / (1 - sound))
+        """Return the log-likelihood ratio of a bad to a sound version."""
+        answers = _total_answers(seen)
+        sound_rate = self.sound_rate(seen.old)
+        bad = sound_rate + (1 - sound_rate) * self.excess
+        per_bad = math.log(bad / sound_rate)
+        per_good = math.log((1 - bad) / (1 - sound_rate))
         return answers.bad * per_bad + answers.good * per_good
 
 
-# Two failures in a row reach the score; three among eight answers do, too.
-FAILING = _Rates(usual=3 / 100, extra=3 / 10)
-# One answer in ten is slow by chance, on a busy or a cold server: four slow
-# ones in a row reach the score, or six among ten.
-SLOW = _Rates(usual=1 / 10, extra=3 / 10)
+# Two failures in a row reach the score, as do three among eight answers.
+FAILURE_RATES = _ErrorRates(baseline=3 / 100, excess=3 / 10)
+# One answer in ten is slow by chance, on a busy or a cold server. Four slow
+# answers in a row reach the score, as do six among ten.
+SLOWNESS_RATES = _ErrorRates(baseline=1 / 10, excess=3 / 10)
 
 
 def merge(tallies: Iterable[canary_data.Tally]) -> canary_data.Tally:
@@ -99,26 +101,28 @@
 def is_bad(
     tally: canary_data.Tally, lowest: Mapping[str, float] = NO_SCORES
 ) -> bool:
-    """Tell whether the new version is to be taken back.
+    """Return whether the new version should be rolled back.
 
     Args:
-        tally: What the fleet has seen.
+        tally: What the fleet has observed.
         lowest: The lowest scores so far, by `lowest_scores`.
     """
-    if _is_version_bad(failures(tally), FAILING, lowest):
+    if _is_version_bad(failures(tally), FAILURE_RATES, lowest):
         return True
-    # Slowness that comes later is as often load, which all requests bring to
-    # the version and which the others are not there to show.
-    return _is_version_bad(slowness(tally), SLOW, NO_SCORES)
+    # Later slowness is as often caused by load: all requests go to the
+    # version by then, and no other version is left to compare with.
+    return _is_version_bad(slowness(tally), SLOWNESS_RATES, NO_SCORES)
 
 
 def lowest_scores(
     tally: canary_data.Tally, known: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return the lowest scores of failures so far, by route and together."""
+    """Return the lowest failure scores so far, by route and combined."""
     routes = failures(tally)
-    scores = {route: FAILING.score(seen) for route, seen in routes.items()}
-    scores[TOGETHER] = sum(scores.values())
+    scores = {
+        route: FAILURE_RATES.score(seen) for route, seen in routes.items()
+    }
+    scores[ALL_ROUTES] = sum(scores.values())
     return {key: min(known.get(key, 0), score) for key, score in scores.items()}
 
 
@@ -132,7 +136,7 @@
 
 
 def failures(tally: canary_data.Tally) -> dict[str, canary_data.Seen]:
-    """Return successes and failures by route."""
+    """Return counts of good and failed answers by route."""
     return {
         route: canary_data.Seen(seen.answers, seen.old)
         for route, seen in tally.by_route.items()
@@ -140,7 +144,7 @@
 
 
 def slowness(tally: canary_data.Tally) -> dict[str, canary_data.Seen]:
-    """Return answers in time and slow ones, as good and bad, by route."""
+    """Return counts of timely and slow answers, as good and bad, by route."""
     return {route: _slowness(seen) for route, seen in tally.by_route.items()}
 
 
@@ -148,7 +152,7 @@
     limits = {
         work: _median(times) + SLOW_STEPS
         for work, times in seen.old_times.items()
-        if sum(times.values()) >= LEAST_TIMES
+        if sum(times.values()) >= MIN_TIMES
     }
     by_instance = {
         instance: _split(works, limits)
@@ -173,73 +177,83 @@
 
 
 def _median(times: canary_data.Times) -> int:
-    half = sum(times.values()) / 2
-    passed = 0
+    half_count = sum(times.values()) / 2
+    cumulative = 0
     for step in sorted(times):
-        passed += times[step]
-        if passed >= half:
+        cumulative += times[step]
+        if cumulative >= half_count:
             return step
     return 0
 
 
 def _is_version_bad(
     routes: dict[str, canary_data.Seen],
-    rates: _Rates,
+    rates: _ErrorRates,
     lowest: Mapping[str, float],
 ) -> bool:
     seen = {
-        route: each for route, each in routes.items() if _count(_total(each))
+        route: each
+        for route, each in routes.items()
+        if _answer_count(_total_answers(each))
     }
-    # A higher score for each of several routes took back 0.1% of the sound
-    # versions and not 1.3%, and missed one more in thirty of those that are bad
-    # on one route, which costs callers more.
-    least = lowest.get(TOGETHER, 0)
-    if _is_bad_together(list(seen.values()), rates, least):
+    # A higher threshold for each of several routes rolled back 0.1% of the
+    # sound versions instead of 1.3%, but missed one more in thirty of those
+    # that are bad on one route, which costs callers more.
+    lowest_together = lowest.get(ALL_ROUTES, 0)
+    if _is_bad_on_routes(list(seen.values()), rates, lowest_together):
         return True
     return any(
-        _is_bad_together([each], rates, lowest.get(route, 0))
+        _is_bad_on_routes([each], rates, lowest.get(route, 0))
         for route, each in seen.items()
     )
 
 
-def _is_bad_together(
-    routes: Sequence[canary_data.Seen], rates: _Rates, lowest: float
+def _is_bad_on_routes(
+    routes: Sequence[canary_data.Seen], rates: _ErrorRates, lowest: float
 ) -> bool:
     score = sum(rates.score(each) for each in routes)
-    if score < BAD_SCORE and score - lowest < TURNED_SCORE:
+    if score < BAD_SCORE and score - lowest < REGRESSION_SCORE:
         return False
     by_instance: dict[str, canary_data.Answers] = {}
     for seen in routes:
         _add_answers(by_instance, seen.by_instance)
-    if _is_one_server(by_instance):
+    if _is_single_server_at_fault(by_instance):
         return False
     bad = sum(each.bad for each in by_instance.values())
-    expected = sum(_count(_total(each)) * _rate(each.old) for each in routes)
-    return bad > SAME_RATIO * expected
+    expected = sum(
+        _answer_count(_total_answers(each)) * _bad_rate(each.old)
+        for each in routes
+    )
+    return bad > MIN_EXCESS_RATIO * expected
 
 
-def _is_one_server(by_instance: dict[str, canary_data.Answers]) -> bool:
-    """Tell whether what is bad is rather one server than its version."""
+def _is_single_server_at_fault(
+    by_instance: dict[str, canary_data.Answers],
+) -> bool:
+    """Return whether a single server is at fault rather than the version."""
     bad = [each.bad for each in by_instance.values() if each.bad]
     if len(bad) != 1:
         return False
     others = sum(each.good for each in by_instance.values() if not each.bad)
-    return others >= SOUND_ANSWERS or bad[0] < ALONE_FAILURES
+    return (
+        others >= MIN_GOOD_OF_OTHER_SERVERS
+        or bad[0] < MIN_FAILURES_OF_ONE_SERVER
+    )
 
 
-def _total(seen: canary_data.Seen) -> canary_data.Answers:
+def _total_answers(seen: canary_data.Seen) -> canary_data.Answers:
     return canary_data.Answers(
         sum(each.good for each in seen.by_instance.values()),
         sum(each.bad for each in seen.by_instance.values()),
     )
 
 
-def _count(answers: canary_data.Answers) -> int:
+def _answer_count(answers: canary_data.Answers) -> int:
     return answers.good + answers.bad
 
 
-def _rate(answers: canary_data.Answers) -> float:
-    count = _count(answers)
+def _bad_rate(answers: canary_data.Answers) -> float:
+    count = _answer_count(answers)
     return answers.bad / count if count else 0
 
 
@@ -250,7 +264,7 @@
     for instance, works in more.new_times.items():
         _add_times(known.new_times.setdefault(instance, {}), works)
     _add_times(known.old_times, more.old_times)
-    return known._replace(old=_plus(known.old, more.old))
+    return known._replace(old=_add_counts(known.old, more.old))
 
 
 def _add_answers(
@@ -259,10 +273,10 @@
 ) -> None:
     for instance, answers in more.items():
         before = total.get(instance, canary_data.Answers())
-        total[instance] = _plus(before, answers)
+        total[instance] = _add_counts(before, answers)
 
 
-def _plus(
+def _add_counts(
     one: canary_data.Answers, other: canary_data.Answers
 ) -> canary_data.Answers:
     return canary_data.Answers(one.good + other.good, one.bad + other.bad)
--- a/beryllug/core/peering/members_test.py
+++ b/beryllug/core/peering/members_test.py
@@ -133,7 +133,7 @@
         """
         zoned = _known_peer('six', 11)._replace(zone='a')
         steps: tuple[tuple[str, Callable[[], object], int, list[str]], ...] = (
-            ('at first', lambda: None, 2, []),
+            ('unchanged', lambda: None, 2, []),
             (
                 'another one joins',
                 lambda: members.heard(
