--- a/beryllug/core/canary/sessions.py
+++ b/beryllug/core/canary/sessions.py
@@ -9,10 +9,10 @@
 from typing import NamedTuple
 
 # Maximum number of sessions kept; the least recent are dropped first.
-MOST = 20000
+MAX_SESSIONS = 20000
 # Seconds added to a session's lifetime, since its caller counts from when it
 # receives the answer.
-MARGIN_S = 1.0
+LIFETIME_MARGIN_S = 1.0
 
 
 class Pin(NamedTuple):
@@ -52,7 +52,7 @@
 ) -> str | None:
     """Return the version that a session runs on; None for a new one."""
     pin = sessions.pins.get((service, session))
-    if pin is None or now - pin.seen_at > session_s + MARGIN_S:
+    if pin is None or now - pin.seen_at > session_s + LIFETIME_MARGIN_S:
         return None
     return pin.version
 
@@ -64,7 +64,7 @@
     key = (service, session)
     sessions.pins.pop(key, None)
     sessions.pins[key] = Pin(version, now)
-    while len(sessions.pins) > MOST:
+    while len(sessions.pins) > MAX_SESSIONS:
         sessions.pins.pop(next(iter(sessions.pins)))
 
 
@@ -75,13 +75,14 @@
     return [
         Told(service, session, pin.version)
         for (each, session), pin in sessions.pins.items()
-        if each == service and now - pin.seen_at <= session_s + MARGIN_S
+        if each == service
+        and now - pin.seen_at <= session_s + LIFETIME_MARGIN_S
     ]
 
 
 def tell(sessions: Sessions, most: int) -> list[Told]:
     """Remove and return the next session versions to send, up to a maximum."""
-    chosen = list(sessions.untold)[:most]
-    for told in chosen:
+    batch = list(sessions.untold)[:most]
+    for told in batch:
         sessions.untold.pop(told)
-    return chosen
+    return batch
--- a/beryllug/core/canary/verdict.py
+++ b/beryllug/core/canary/verdict.py
@@ -94,7 +94,7 @@
         total.tried += tally.tried
         for route, seen in tally.by_route.items():
             known = canary_data.evidence(total, route)
-            total.by_route[route] = _add(known, seen)
+            total.by_route[route] = _add_evidence(known, seen)
     return total
 
 
@@ -145,23 +145,23 @@
 
 def slowness(tally: canary_data.Tally) -> dict[str, canary_data.Seen]:
     """Return counts of timely and slow answers, as good and bad, by route."""
-    return {route: _slowness(seen) for route, seen in tally.by_route.items()}
+    return {route: _slow_counts(seen) for route, seen in tally.by_route.items()}
 
 
-def _slowness(seen: canary_data.Evidence) -> canary_data.Seen:
+def _slow_counts(seen: canary_data.Evidence) -> canary_data.Seen:
     limits = {
         work: _median(times) + SLOW_STEPS
         for work, times in seen.old_times.items()
         if sum(times.values()) >= MIN_TIMES
     }
     by_instance = {
-        instance: _split(works, limits)
+        instance: _count_slow(works, limits)
         for instance, works in seen.new_times.items()
     }
-    return canary_data.Seen(by_instance, _split(seen.old_times, limits))
+    return canary_data.Seen(by_instance, _count_slow(seen.old_times, limits))
 
 
-def _split(
+def _count_slow(
     works: dict[str, canary_data.Times], limits: dict[str, int]
 ) -> canary_data.Answers:
     good = 0
@@ -257,7 +257,7 @@
     return answers.bad / count if count else 0
 
 
-def _add(
+def _add_evidence(
     known: canary_data.Evidence, more: canary_data.Evidence
 ) -> canary_data.Evidence:
     _add_answers(known.answers, more.answers)
--- a/beryllug/core/peering/aggregation.py
+++ b/beryllug/core/peering/aggregation.py
@@ -81,7 +81,7 @@
         others: Load caused by all other processes.
         reports: Reports of this zone by process; kept by aggregators.
         zones: Sums of the other zones; kept by aggregators.
-        primaries: The last total for this zone from each other process.
+        last_totals: The last total for this zone from each other process.
         number: Number of the last own report.
         own: The last own reports by number.
         told: The sum last sent to the other zones.
@@ -92,7 +92,7 @@
     others: load_sums.Others = field(default_factory=load_sums.Others)
     reports: dict[str, _ReceivedReport] = field(default_factory=dict)
     zones: dict[str, _ReceivedZoneSum] = field(default_factory=dict)
-    primaries: dict[str, _ReceivedTotal] = field(default_factory=dict)
+    last_totals: dict[str, _ReceivedTotal] = field(default_factory=dict)
     number: int = 0
     own: dict[int, load_sums.Loads] = field(default_factory=dict)
     told: load_sums.Loads = field(default_factory=dict)
@@ -224,11 +224,11 @@
     state: Aggregation, name: str, received: peering_data.Total, now: float
 ) -> bool:
     """Record a total; return whether another process reports more."""
-    state.primaries[name] = _ReceivedTotal(received.reports, now)
+    state.last_totals[name] = _ReceivedTotal(received.reports, now)
     report_count = _report_count_of(state, name, now)
     return any(
         _report_count_of(state, other, now) > report_count
-        for other in state.primaries
+        for other in state.last_totals
     )
 
 
@@ -271,7 +271,7 @@
 
 def _report_count_of(state: Aggregation, name: str, now: float) -> int:
     """Return how many reports a process's last total included; 0 if expired."""
-    last_total = state.primaries.get(name)
+    last_total = state.last_totals.get(name)
     if last_total is None or now - last_total.at > SILENT_S:
         return 0
     return max(last_total.reports, 1)
--- a/beryllug/core/peering/standing.py
+++ b/beryllug/core/peering/standing.py
@@ -19,7 +19,7 @@
 # Watchers announce themselves twice a second, and a change has to take effect
 # within two seconds.
 SILENT_S = 1.2
-SUBJECT = 'store'
+RANKING_SUBJECT = 'store'
 # Range of the random factor applied to the wait at startup, so that not all
 # processes contact the store at the same moment if no seed answers.
 START_JITTER = (1.0, 2.0)
@@ -27,14 +27,14 @@
 # begins to watch is heard of within half a second; three dead ones are skipped
 # in less.
 SKIP_DELAY_S = 0.1
-# Beyond this many skipped processes, each further one adds `LATE_S`: while the
-# store is unreachable for all, no attempt succeeds, and a thousand processes
-# would overload it when it returns.
+# Beyond this many skipped processes, each further one adds
+# `EXTRA_SKIP_DELAY_S`: while the store is unreachable for all, no attempt
+# succeeds, and a thousand processes would overload it when it returns.
 MAX_SKIPPED_WITHOUT_DELAY = 10
-LATE_S = 1.0
+EXTRA_SKIP_DELAY_S = 1.0
 
 
-class Heard(NamedTuple):
+class LastAnnouncement(NamedTuple):
     """When a process last announced a watch that the store answers."""
 
     at: float
@@ -47,14 +47,14 @@
     Attributes:
         watching: When each watcher was last heard of, by name.
         silent: When the store stopped answering each former watcher, by name.
-        few_since: Time since which too few watchers are known; None if enough.
+        too_few_since: Time since which too few watchers are known, or None.
         waits_until: Time until which this process, having just started, leaves
             the store to others.
     """
 
-    watching: dict[str, Heard] = field(default_factory=dict)
+    watching: dict[str, LastAnnouncement] = field(default_factory=dict)
     silent: dict[str, float] = field(default_factory=dict)
-    few_since: float | None = None
+    too_few_since: float | None = None
     waits_until: float = float('-inf')
 
 
@@ -66,7 +66,7 @@
     before = standing.watching.get(name)
     is_newer = before is None or before.at < now
     if is_newer and now > standing.silent.get(name, float('-inf')):
-        standing.watching[name] = Heard(now)
+        standing.watching[name] = LastAnnouncement(now)
 
 
 def silent(standing: Standing, name: str, now: float) -> None:
@@ -79,8 +79,8 @@
         each: at for each, at in standing.silent.items() if now - at <= SILENT_S
     }
     standing.silent[name] = now
-    if standing.few_since is None:
-        standing.few_since = now
+    if standing.too_few_since is None:
+        standing.too_few_since = now
 
 
 def followers(
@@ -139,10 +139,10 @@
     watchers = watching(standing, now)
     others = watchers - {known.name}
     if len(others) >= WATCHERS:
-        standing.few_since = None
-    elif standing.few_since is None:
-        standing.few_since = now
-    ranking = members.ranked(known, SUBJECT)
+        standing.too_few_since = None
+    elif standing.too_few_since is None:
+        standing.too_few_since = now
+    ranking = members.ranked(known, RANKING_SUBJECT)
     preferred = ranking[: ranking.index(known.name)]
     preferred_watchers = sum(name in watchers for name in preferred)
     if preferred_watchers >= WATCHERS:
@@ -152,7 +152,11 @@
     # A preferred process may not watch because the store rejects it or because
     # it is gone. It is skipped after a short delay; without the delay all
     # others would list the whole store at once.
-    few_s = 0 if standing.few_since is None else now - standing.few_since
+    too_few_s = (
+        0 if standing.too_few_since is None else now - standing.too_few_since
+    )
     skipped = len(preferred) - preferred_watchers
     skipped_late = max(skipped - MAX_SKIPPED_WITHOUT_DELAY, 0)
-    return few_s >= SKIP_DELAY_S * skipped + LATE_S * skipped_late
+    return (
+        too_few_s >= SKIP_DELAY_S * skipped + EXTRA_SKIP_DELAY_S * skipped_late
+    )
--- a/beryllug/core/peering/standing_test.py
+++ b/beryllug/core/peering/standing_test.py
@@ -154,7 +154,7 @@
         _watch_and_notify(self.fleet, self.states, now)
         for state in self.states.values():
             state.watching.clear()
-        chosen = members.ranked(self.fleet['p0'], standing.SUBJECT)[:3]
+        chosen = members.ranked(self.fleet['p0'], standing.RANKING_SUBJECT)[:3]
         for state in self.states.values():
             for name in chosen:
                 standing.heard(state, name, now)
--- a/beryllug/core/routes/__init__.py
+++ b/beryllug/core/routes/__init__.py
@@ -1,5 +1,5 @@
-"""Which route a request takes, who sends it, and what may be done with it.
+"""Request routing: route, target service, priority and permitted retries.
 
-Decided from the host, the path and the key of a request, by the newest route
-table that this process has accepted.
+Determined from the host, path and key of a request, by the newest route table
+that this process has accepted.
 """
--- a/beryllug/core/routes/match.py
+++ b/beryllug/core/routes/match.py
@@ -1,4 +1,4 @@
-"""The route of a request, the service it goes to, and its rank."""
+"""Matching of requests to routes, target services and priorities."""
 
 from beryllug.core.routes import routes_data
 
@@ -6,11 +6,11 @@
 def find_route(
     table: routes_data.RouteTable, host: str, target: str
 ) -> routes_data.Route | None:
-    """Return the route with the longest prefix that begins the path.
+    """Return the route with the longest matching path prefix.
 
     Args:
-        table: The table in force.
-        host: Host as the caller sent it, perhaps with a port.
+        table: The active route table.
+        host: Host as sent by the caller, optionally with a port.
         target: Path and query.
     """
     name = host.partition(':')[0].lower()
@@ -22,17 +22,17 @@
 
 
 def choose_service(route: routes_data.Route, share: float) -> str:
-    """Return the service of a request.
+    """Return the service that handles a request.
 
     Args:
         route: Its route.
-        share: A number from 0 to 1 that is drawn for the request.
+        share: A random number from 0 to 1, drawn for the request.
     """
     total = sum(target.weight for target in route.targets)
-    left = share * total
+    remaining = share * total
     for target in route.targets:
-        left -= target.weight
-        if left < 0:
+        remaining -= target.weight
+        if remaining < 0:
             return target.service
     return route.targets[-1].service
 
@@ -40,7 +40,7 @@
 def urgency(
     route: routes_data.Route, account: routes_data.Account | None
 ) -> int:
-    """Return the rank of a request, 0 the most urgent."""
+    """Return the priority of a request, 0 being the most urgent."""
     if account is not None and account.priority is not None:
         return account.priority
     return route.priority
@@ -51,13 +51,13 @@
 ) -> frozenset[str] | None:
     """Return the regions that a request may run in; None for any.
 
-    Where the route and the client account both name some, both bind: what is
-    left may be nothing, and then it runs nowhere.
+    If both the route and the client account name regions, both restrictions
+    apply. The result may be empty, in which case the request cannot run.
     """
-    named = [route.regions]
+    restrictions = [route.regions]
     if account is not None:
-        named.append(account.regions)
-    binding = [each for each in named if each]
-    if not binding:
+        restrictions.append(account.regions)
+    effective = [each for each in restrictions if each]
+    if not effective:
         return None
-    return frozenset.intersection(*binding)
+    return frozenset.intersection(*effective)
--- a/beryllug/core/routes/match_test.py
+++ b/beryllug/core/routes/match_test.py
@@ -1,4 +1,4 @@
-"""Tests of routes: host, longest prefix, service and rank."""
+"""Tests of routes: host, longest prefix, service and retries."""
 
 import unittest
 
@@ -43,7 +43,7 @@
 
 
 class MatchTest(unittest.TestCase):
-    """Which route a request takes."""
+    """The route and service of a request."""
 
     def test_route(self) -> None:
         """Each case of the table."""
@@ -53,7 +53,7 @@
                 self.assertEqual(found and found.name, expected)
 
     def test_service(self) -> None:
-        """The weights decide, to the ends of the range."""
+        """Services are chosen by weight, including at the ends of the range."""
         route = TABLE.routes['shop.example'][0]
         for share, service in (
             (0.0, 'old'),
@@ -65,7 +65,7 @@
                 self.assertEqual(match.choose_service(route, share), service)
 
     def test_repeatable(self) -> None:
-        """A stream may run twice only where it may be resumed."""
+        """A stream may run again only if it is resumable."""
         kinds = routes_data.RequestKind
         for kind, resumable, expected in (
             (kinds.SAFE, False, True),
--- a/beryllug/core/routes/routes_data.py
+++ b/beryllug/core/routes/routes_data.py
@@ -1,6 +1,6 @@
 """Records of a route table: what an operator declares for callers.
 
-A table is whole and never changes; a newer version replaces it.
+A table is immutable; a newer version replaces it as a whole.
 """
 
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 
 
 class RequestKind(StrEnum):
-    """What may be done again with a request that failed."""
+    """Whether a failed request may be repeated."""
 
     SAFE = 'safe'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -18,7 +18,7 @@
 
 
 class Target(NamedTuple):
-    """A service that a route sends to, and its weight among the others."""
+    """A service that a route sends requests to, with its relative weight."""
 
     service: str
     weight: float
@@ -30,18 +30,19 @@
     Attributes:
         name: Its name.
         host: Host that callers name, in lower case.
-        prefix: Start of the paths it takes; begins and ends with a slash.
-        kind: What may be repeated.
-        timeout_s: Longest time that a caller is kept waiting.
-        target_s: Time within which an answer earns its full value.
+        prefix: Path prefix; begins and ends with a slash.
+        kind: Whether its requests may be repeated.
+        timeout_s: Maximum time that a caller waits.
+        target_s: Time within which an answer has its full value.
         gap_s: Longest pause between two events of a stream that is on time.
-        priority: Rank of its requests, 0 the most urgent.
-        models: Models to choose from, the smallest first; empty where the
-            caller names its model.
+        priority: Priority of its requests, 0 being the most urgent.
+        models: Models to choose from, the smallest first; empty if the caller
+            names its model.
         targets: Services with their weights.
-        max_attempts: Most backend servers that one request may be sent to.
-        is_anonymous: Whether it needs no key.
-        is_resumable: Whether a stream may go on at another backend server.
+        max_attempts: Maximum number of backend servers that one request may be
+            sent to.
+        is_anonymous: Whether no key is required.
+        is_resumable: Whether a stream may be resumed at another backend server.
         regions: Regions that its requests may run in; empty for any.
     """
 
@@ -62,18 +63,18 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         if self.kind is RequestKind.STREAMING:
             return self.is_resumable
         return self.kind is RequestKind.SAFE
 
 
 class Engine(NamedTuple):
-    """What the model runners of a service can hold.
+    """The capacity of the model runners of a service.
 
     Attributes:
         slots: Requests that run at once.
-        kv_tokens: Tokens of memory shared by all of them.
+        kv_tokens: KV cache capacity in tokens, shared by all of them.
         costs: Cost of 1,000 generated tokens, by model.
     """
 
@@ -87,11 +88,11 @@
 
     Attributes:
         name: Its name.
-        max_connections: Connections that a server of it takes.
-        engine: What its model runners can hold; None where it runs no models.
+        max_connections: Connections that one of its servers accepts.
+        engine: Capacity of its model runners; None if it runs no models.
         cold_s: Seconds for which a server is cold after its start.
-        cold_per_s: Requests a second that a cold server bears, of all callers
-            together; 0 where it bears as many as a warm one.
+        cold_per_s: Requests a second that a cold server can handle, from all
+            callers together; 0 if as many as a warm one.
     """
 
     name: str
@@ -106,7 +107,7 @@
 
     Attributes:
         name: Its name.
-        priority: Rank of its requests, which goes before the route's; or None.
+        priority: Priority of its requests instead of the route's; or None.
         regions: Regions that its requests may run in; empty for any.
     """
 
@@ -116,7 +117,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take; in bytes, seconds."""
+    """Size limits of a caller's request in bytes, and timeouts in seconds."""
 
     header_bytes: int
     body_bytes: int
@@ -125,7 +126,7 @@
 
 
 class RouteTable(NamedTuple):
-    """All that an operator declares for callers.
+    """Everything that an operator declares for callers.
 
     Attributes:
         version: Grows with each change.
@@ -133,7 +134,7 @@
         services: Services by name.
         accounts: Client accounts by key.
         needs_keys: Whether requests carry keys at all.
-        limits: Bounds on callers.
+        limits: Limits on callers.
     """
 
     version: int
--- a/beryllug/kernel/__init__.py
+++ b/beryllug/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: services that find each other by name.
+"""The service kernel: a registry of named services and what they all need.
 
-It starts, stops and dumps services and knows nothing of their work.
+It starts, stops and dumps services, and has no knowledge of their work.
 """
--- a/beryllug/kernel/log_lines_test.py
+++ b/beryllug/kernel/log_lines_test.py
@@ -1,4 +1,4 @@
-"""Tests of log lines: they never hold up the process."""
+"""Tests of structured logging: it never blocks the process."""
 
 import json
 import os
@@ -8,7 +8,7 @@
 
 
 class LineWriterTest(unittest.TestCase):
-    """Lines to a pipe that is read, or is not."""
+    """Lines written to a pipe, whether it is read or not."""
 
     def setUp(self) -> None:
         ends = os.pipe()
@@ -27,15 +27,15 @@
         self.assertEqual((shown['event'], shown['id']), ('answered', 'a1'))
 
     def test_bound(self) -> None:
-        """Beyond the bound of a second lines are dropped and counted."""
-        for _ in range(log_lines.MOST_PER_S * 3):
+        """Lines beyond the rate limit are dropped and counted."""
+        for _ in range(log_lines.MAX_LINES_PER_S * 3):
             self.lines.write('answered')
-        self.assertGreater(self.lines.dropped, log_lines.MOST_PER_S / 2)
+        self.assertGreater(self.lines.dropped, log_lines.MAX_LINES_PER_S / 2)
 
     def test_nobody_reads(self) -> None:
-        """A full pipe does not block; waiting lines go out once it is read."""
+        """A full pipe does not block; queued lines are written later."""
         filler = 'x' * 2000
-        for _ in range(log_lines.MOST_PER_S):
+        for _ in range(log_lines.MAX_LINES_PER_S):
             self.lines.write('answered', filler=filler)
         written = self.lines.written
         os.set_blocking(self.reader, False)
--- a/beryllug/kernel/mailbox.py
+++ b/beryllug/kernel/mailbox.py
@@ -1,8 +1,8 @@
-"""Mailboxes: how tasks that own their state take messages.
+"""Mailboxes: message queues of tasks that own their state.
 
-A service that changes state for several callers has one task and one
-mailbox. Callers `ask` and wait for the reply; the task handles one message
-after the other, so its state needs no lock.
+A service whose state is changed on behalf of several callers has one task and
+one mailbox. Callers `ask` and wait for the reply; the task handles the messages
+one at a time, so its state needs no lock.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
     """A bounded queue of messages with one consuming task."""
 
     def __init__(self, size: int) -> None:
-        """Make a mailbox that holds at most `size` messages."""
+        """Create a mailbox that holds at most `size` messages."""
         self._queue: asyncio.Queue[Envelope[Message]] = asyncio.Queue(size)
         self._task: asyncio.Task[None] | None = None
 
@@ -42,9 +42,9 @@
         return await fut
 
     def tell(self, message: Message) -> bool:
-        """Send a message without a reply; False when the mailbox is full."""
+        """Send a message without a reply; return False if there is no room."""
         fut: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        fut.add_done_callback(_retrieve)
+        fut.add_done_callback(_consume_exception)
         try:
             self._queue.put_nowait(Envelope(message, fut))
         except asyncio.QueueFull:
@@ -52,7 +52,7 @@
         return True
 
     async def stop(self) -> None:
-        """Cancel the task; messages that wait are cancelled too."""
+        """Cancel the task and all queued messages."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -70,7 +70,7 @@
                 _resolve(envelope.fut, reply)
 
 
-def _retrieve(fut: 'asyncio.Future[Any]') -> None:
+def _consume_exception(fut: 'asyncio.Future[Any]') -> None:
     if not fut.cancelled():
         fut.exception()
 
--- a/beryllug/kernel/metrics.py
+++ b/beryllug/kernel/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of a process, by OpenTelemetry, read over HTTP by Prometheus.
+"""Metrics of a process through OpenTelemetry, exposed to Prometheus over HTTP.
 
-A service keeps plain numbers and shows them when asked, as it does for the
-dump. Nothing is exported or locked while requests are served; the cost falls
-on whoever reads.
+Services keep plain numbers and return them on request, as they do for the dump.
+Nothing is exported or locked while requests are served; the cost is incurred
+when metrics are scraped.
 """
 
 import functools
@@ -23,8 +23,8 @@
 PREFIX = 'beryllug'
 
 
-class _TimesCollector(collectors.Collector):
-    """Shows the histograms of all services, as they are when read."""
+class _HistogramCollector(collectors.Collector):
+    """Collects the current histograms of all services."""
 
     def __init__(self, services: registry.Registry) -> None:
         self._services = services
@@ -34,11 +34,11 @@
         for service in self._services.services():
             if isinstance(service, metrics_data.Timed):
                 for times in service.times():
-                    _add(families, times)
+                    _add_histogram(families, times)
         return families.values()
 
 
-def _add(
+def _add_histogram(
     families: dict[str, metrics_core.HistogramMetricFamily],
     times: metrics_data.Times,
 ) -> None:
@@ -49,22 +49,22 @@
         )
         families[times.name] = family
     bounds = [*map(str, metrics_data.BOUNDS), '+Inf']
-    up_to = itertools.accumulate(times.histogram.counts)
+    cumulative = itertools.accumulate(times.histogram.counts)
     family.add_metric(
         list(times.labels.values()),
-        list(zip(bounds, up_to)),
+        list(zip(bounds, cumulative)),
         times.histogram.total_s,
     )
 
 
 class Metrics:
-    """Collects samples of all services when it is read."""
+    """Collects samples of all services at each scrape."""
 
     def __init__(self, services: registry.Registry) -> None:
-        """Bind to the services; instruments are made at the first read."""
+        """Bind to the services; instruments are created at the first scrape."""
         self._services = services
         self._started_at = time.monotonic()
-        self._known: set[str] = set()
+        self._instrumented: set[str] = set()
         self._latest: dict[str, list[metrics_data.Sample]] = {}
         self._registry = collectors.CollectorRegistry()
         reader = prometheus.PrometheusMetricReader(
@@ -73,36 +73,36 @@
             scope_info_enabled=False,
             registry=self._registry,
         )
-        self._registry.register(_TimesCollector(services))
+        self._registry.register(_HistogramCollector(services))
         self._provider = sdk_metrics.MeterProvider(
             [reader], shutdown_on_exit=False
         )
         self._meter = self._provider.get_meter(PREFIX)
 
     def render(self) -> bytes:
-        """Return all numbers as Prometheus reads them."""
+        """Return all metrics in the Prometheus text format."""
         grouped: dict[str, list[metrics_data.Sample]] = defaultdict(list)
-        for sample in self._samples():
+        for sample in self._collect_samples():
             grouped[sample.name].append(sample)
         self._latest = grouped
         for name, samples in grouped.items():
-            if name not in self._known:
-                self._known.add(name)
-                self._instrument(samples[0])
+            if name not in self._instrumented:
+                self._instrumented.add(name)
+                self._create_instrument(samples[0])
         rendered: bytes = exposition.generate_latest(self._registry)
         return rendered
 
     def stop(self) -> None:
-        """Give the instruments back."""
+        """Release the instruments."""
         self._provider.shutdown()
 
-    def _samples(self) -> Iterable[metrics_data.Sample]:
-        yield from self._process()
+    def _collect_samples(self) -> Iterable[metrics_data.Sample]:
+        yield from self._process_samples()
         for service in self._services.services():
             if isinstance(service, metrics_data.Measured):
                 yield from service.measure()
 
-    def _process(self) -> Iterable[metrics_data.Sample]:
+    def _process_samples(self) -> Iterable[metrics_data.Sample]:
         usage = resource.getrusage(resource.RUSAGE_SELF)
         yield metrics_data.Sample(
             'process_cpu_seconds',
@@ -121,7 +121,7 @@
             'Time since the start.',
         )
 
-    def _instrument(self, sample: metrics_data.Sample) -> None:
+    def _create_instrument(self, sample: metrics_data.Sample) -> None:
         observe = functools.partial(self._observe, sample.name)
         match sample.kind:
             case metrics_data.Kind.GAUGE:
--- a/beryllug/kernel/metrics_data.py
+++ b/beryllug/kernel/metrics_data.py
@@ -1,7 +1,7 @@
-"""Numbers that services show, without the library that renders them.
+"""Metrics that services provide, independent of the rendering library.
 
-The library is loaded when somebody first reads: it would add a third to the
-memory of a process that nobody asks.
+The library is loaded at the first scrape, as it would add a third to the memory
+of a process that is not scraped.
 """
 
 import bisect
@@ -13,26 +13,26 @@
 from typing import NamedTuple, Protocol, runtime_checkable
 
 NO_LABELS: Mapping[str, str] = MappingProxyType({})
-# Seconds; from a tenth of a short call to a long answer's whole time.
+# Seconds; from a tenth of a short call to the total time of a long answer.
 BOUNDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30)
 
-UP_TO = (*BOUNDS, math.inf)
+BUCKET_LIMITS = (*BOUNDS, math.inf)
 
 
 class Kind(StrEnum):
-    """How a number moves."""
+    """The type of a metric."""
 
     GAUGE = 'gauge'
     COUNTER = 'counter'
 
 
 class Sample(NamedTuple):
-    """One number at the moment it was read.
+    """The value of a metric at one moment.
 
     Attributes:
         name: Its name without prefix, as ``config_revision``.
         number: Its value, in the unit that the name states.
-        about: What it means.
+        about: Its description.
         kind: A gauge moves both ways, a counter only up.
         labels: What tells it from others of its name; few and bounded.
     """
@@ -46,24 +46,26 @@
 
 @dataclass(slots=True)
 class Histogram:
-    """Counts of times by how long they were.
+    """A histogram of durations.
 
     Attributes:
-        counts: Times up to each of `BOUNDS`, and those beyond the last.
-        total_s: Sum of all times.
+        counts: Counts per bucket: up to each of `BOUNDS`, and beyond the last.
+        total_s: Sum of all durations.
     """
 
-    counts: list[int] = field(default_factory=lambda: [0 for _ in UP_TO])
+    counts: list[int] = field(
+        default_factory=lambda: [0 for _ in BUCKET_LIMITS]
+    )
     total_s: float = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Count a time."""
+        """Count one duration."""
         self.counts[bisect.bisect_left(BOUNDS, seconds)] += 1
         self.total_s += seconds
 
 
 class Times(NamedTuple):
-    """A histogram with its name, meaning and labels."""
+    """A histogram with its name, description and labels."""
 
     name: str
     about: str
@@ -73,15 +75,15 @@
 
 @runtime_checkable
 class Measured(Protocol):
-    """A service that has numbers to show."""
+    """A service that provides samples."""
 
     def measure(self) -> Iterable[Sample]:
-        """Return the present numbers."""
+        """Return the current samples."""
 
 
 @runtime_checkable
 class Timed(Protocol):
-    """A service that has histograms to show."""
+    """A service that provides histograms."""
 
     def times(self) -> Iterable[Times]:
         """Return the histograms."""
--- a/beryllug/kernel/ops.py
+++ b/beryllug/kernel/ops.py
@@ -1,7 +1,7 @@
-"""The operators' address: health, readiness, metrics, dump of all state.
+"""The operators' HTTP endpoint: health, readiness, metrics and state dump.
 
-Health and readiness are for the balancer and need no key; all else needs one
-of the operators' keys. A role adds routes of its own.
+Health and readiness are for load balancers and need no key; everything else
+needs one of the operators' keys. A role may add routes of its own.
 """
 
 import base64
@@ -23,9 +23,11 @@
 NOT_FOUND = 404
 UNAVAILABLE = 503
 JSON = MappingProxyType({'content-type': http_server.JSON_TYPE})
-ASK_KEY = MappingProxyType({'www-authenticate': 'Basic realm="beryllug"'})
-CONTENT_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
-PROMETHEUS = MappingProxyType({'content-type': CONTENT_TYPE})
+BASIC_CHALLENGE = MappingProxyType(
+    {'www-authenticate': 'Basic realm="beryllug"'}
+)
+PROMETHEUS_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
+PROMETHEUS = MappingProxyType({'content-type': PROMETHEUS_TYPE})
 HEALTH = '/healthz'
 READINESS = '/readyz'
 DUMP = '/dump'
@@ -33,7 +35,7 @@
 
 
 class Credentials(NamedTuple):
-    """Who sends a request: a name, where given, and a key."""
+    """The sender of a request: a user name, if given, and a key."""
 
     user: str
     key: str
@@ -47,31 +49,31 @@
 
 
 Routes = Mapping[Route, http_server.Handler]
-Ready = Callable[[], bool]
+ReadinessCheck = Callable[[], bool]
 Answer = Callable[[http_data.Request], Awaitable[Any]]
 
 
 class Operators:
-    """Service 'operators' of either role."""
+    """Service 'operators', used by either role."""
 
     def __init__(
         self,
         cfg: settings_data.Operators,
         services: registry.Registry,
-        is_ready: Ready,
+        is_ready: ReadinessCheck,
         routes: Routes,
         *,
         are_metrics_open: bool = False,
     ) -> None:
-        """Make the service; `start` opens its socket.
+        """Create the service; `start` opens its socket.
 
         Args:
             cfg: Address and keys.
             services: The services whose state is dumped.
-            is_ready: Tells whether the process should get new work.
-            routes: Further routes; each needs an operator's key.
-            are_metrics_open: Whether metrics are shown without a key, to a
-                platform that reads them by itself.
+            is_ready: Returns whether the process should get new work.
+            routes: Additional routes; each needs an operator's key.
+            are_metrics_open: Whether metrics are served without a key, for a
+                platform that scrapes them by itself.
         """
         self._cfg = cfg
         self._services = services
@@ -83,22 +85,22 @@
         self.port = 0
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening on the configured address."""
         host, _, port = self._cfg.listen.rpartition(':')
         self.port = await self._server.start(host, int(port))
 
     async def stop(self, grace_s: float) -> None:
-        """Close the address."""
+        """Close the listening socket and release the metrics."""
         await self._server.stop()
         if self._metrics is not None:
             self._metrics.stop()
 
     def replace_keys(self, keys: tuple[str, ...]) -> None:
-        """Take new operators' keys, as when settings are read anew."""
+        """Replace the operators' keys, as when settings are reloaded."""
         self._cfg = self._cfg._replace(keys=keys)
 
     def dump(self) -> dict[str, Any]:
-        """Return the address."""
+        """Return the configured address."""
         return {'listen': self._cfg.listen}
 
     async def _serve(
@@ -116,7 +118,9 @@
             await self._serve_operator(req, path, exchange)
         else:
             await exchange.respond_json(
-                UNAUTHORIZED, {'error': 'send a valid operator key'}, ASK_KEY
+                UNAUTHORIZED,
+                {'error': 'send a valid operator key'},
+                BASIC_CHALLENGE,
             )
 
     async def _serve_operator(
@@ -134,7 +138,7 @@
             await self._dispatch(req, path, exchange)
 
     def _render(self) -> bytes:
-        """Return all numbers; the first call loads the library."""
+        """Return all metrics; the first call loads the library."""
         if self._metrics is None:
             from beryllug.kernel import metrics  # noqa: WPS433
 
@@ -154,7 +158,7 @@
             await handler(req, exchange)
 
     def _is_operator(self, req: http_data.Request) -> bool:
-        """Compare with every valid key in constant time."""
+        """Compare the key with every valid one in constant time."""
         key = credentials(req).key.encode()
         matches = [
             hmac.compare_digest(key, valid.encode()) for valid in self._cfg.keys
@@ -163,7 +167,7 @@
 
 
 def credentials(req: http_data.Request) -> Credentials:
-    """Return what a request says of its sender; empty where it says nothing.
+    """Return the credentials of a request; empty if it has none.
 
     Tools send the key as a bearer token. A browser asks its user for a name
     and a password, which is the key, and sends both.
@@ -173,11 +177,11 @@
         case 'bearer':
             return Credentials('', sent.strip())
         case 'basic':
-            return _basic(sent)
+            return _parse_basic(sent)
     return Credentials('', '')
 
 
-def _basic(sent: str) -> Credentials:
+def _parse_basic(sent: str) -> Credentials:
     try:
         text = base64.b64decode(sent, validate=True).decode()
     except ValueError:
--- a/beryllug/kernel/ops_test.py
+++ b/beryllug/kernel/ops_test.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' address."""
+"""Tests of the operators' HTTP endpoint."""
 
 import base64
 import json
@@ -43,8 +43,8 @@
 )
 
 
-class _Counted:
-    """A service with two numbers."""
+class _WithSamples:
+    """A service with two metrics."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -69,7 +69,7 @@
         )
 
 
-class _Clocked(_Counted):
+class _WithHistogram(_WithSamples):
     """A service with a histogram."""
 
     def times(self) -> Iterable[metrics_data.Times]:
@@ -82,10 +82,10 @@
 
 
 class OperatorsTest(unittest.IsolatedAsyncioTestCase):
-    """Access by key, and what is shown."""
+    """Authorization and content of the endpoint."""
 
     async def asyncSetUp(self) -> None:
-        self.counted = _Counted()
+        self.counted = _WithSamples()
         services = registry.Registry()
         services.register('counted', self.counted)
         routes = {ops.Route('GET', '/own'): self._own}
@@ -98,14 +98,14 @@
         await self.operators.stop(0)
 
     async def test_access(self) -> None:
-        """Health needs no key, all else one of the valid keys."""
+        """Health and readiness need no key, everything else a valid one."""
         for path, authorization, expected in ACCESS:
             with self.subTest(path=path, authorization=authorization):
                 status, _ = await self._get(path, authorization)
                 self.assertEqual(status, expected)
 
     async def test_rotation(self) -> None:
-        """After a rotation the old key is refused, without a restart."""
+        """After a rotation the old key is rejected, without a restart."""
         self.operators.replace_keys((NEXT_KEY,))
         for key, expected in ((KEY, 401), (NEXT_KEY, 200)):
             with self.subTest(key):
@@ -113,12 +113,12 @@
                 self.assertEqual(status, expected)
 
     async def test_dump(self) -> None:
-        """The dump has the state of each service by name."""
+        """The dump contains the state of each service by name."""
         _, body = await self._get('/dump', f'Bearer {KEY}')
         self.assertEqual(json.loads(body), {'counted': {'calls': 0}})
 
     async def test_metrics(self) -> None:
-        """Each read shows the numbers of that moment."""
+        """Each scrape returns the current values."""
         for calls in (4, 6):
             self.counted.calls = calls
             _, body = await self._get('/metrics', f'Bearer {KEY}')
@@ -129,9 +129,9 @@
         self.assertIn('# HELP beryllug_level A level.', lines)
 
     async def test_open_metrics(self) -> None:
-        """A platform may read metrics without a key, and nothing else."""
+        """A platform may scrape metrics without a key, and nothing else."""
         services = registry.Registry()
-        services.register('clocked', _Clocked())
+        services.register('clocked', _WithHistogram())
         await self.operators.stop(0)
         self.operators = ops.Operators(
             CFG, services, bool, {}, are_metrics_open=True
--- a/beryllug/kernel/registry.py
+++ b/beryllug/kernel/registry.py
@@ -1,8 +1,8 @@
-"""Registry of services: they find each other by name.
+"""Registry through which services look each other up by name.
 
-The composition root registers services in the order in which they start;
-they stop in the reverse order. A service asks the registry for another by
-name and type when it needs it, so no service constructs another.
+The composition root registers services in the order in which they start; they
+stop in the reverse order. A service asks the registry for another one by name
+and type when it needs it, so no service constructs another.
 """
 
 from typing import Any, Protocol, TypeVar
@@ -13,13 +13,13 @@
 
 
 class Service(Protocol):
-    """What the kernel needs of a service."""
+    """The interface that the kernel requires of a service."""
 
     async def start(self) -> None:
         """Open sockets and start tasks; return when ready."""
 
     async def stop(self, grace_s: float) -> None:
-        """End what is in flight within the grace time, then close."""
+        """Finish work in flight within the grace period, then close."""
 
     def dump(self) -> dict[str, Any]:
         """Return the whole state as plain data, without secrets."""
@@ -29,16 +29,16 @@
     """The services of one process by name.
 
     Attributes:
-        started: Whether all of them have started and none was stopped.
+        started: Whether all services have started and none was stopped.
     """
 
     def __init__(self) -> None:
-        """Make an empty registry."""
+        """Create an empty registry."""
         self._services: dict[str, Service] = {}
         self.started = False
 
     def register(self, name: str, service: Service) -> None:
-        """Add a service; the order of calls is the order of starts.
+        """Add a service; services start in the order of these calls.
 
         Raises:
             ValueError: The name is taken.
@@ -59,11 +59,11 @@
         return service
 
     def services(self) -> list[Service]:
-        """Return all services, in the order of their starts."""
+        """Return all services in the order in which they start."""
         return list(self._services.values())
 
     async def start(self) -> None:
-        """Start all services; stop the started ones if one fails."""
+        """Start all services; if one fails, stop those already started."""
         started: list[Service] = []
         for name, service in self._services.items():
             try:
--- a/beryllug/kernel/registry_test.py
+++ b/beryllug/kernel/registry_test.py
@@ -32,10 +32,10 @@
 
 
 class RegistryTest(unittest.IsolatedAsyncioTestCase):
-    """Order of starts and stops, and lookups by name."""
+    """Order of starts and stops, and lookup by name."""
 
     async def test_order(self) -> None:
-        """Services stop in reverse, only those that started."""
+        """Services stop in reverse order, and only those that started."""
         for title, fails, expected in CASES:
             with self.subTest(title):
                 self.assertEqual(await self._run(fails), expected)
--- a/beryllug/kernel/ticks_test.py
+++ b/beryllug/kernel/ticks_test.py
@@ -1,4 +1,4 @@
-"""When the event loop ran before an event that is noticed late."""
+"""Tests that an event noticed late, after a stall, is dated correctly."""
 
 import asyncio
 import time
@@ -11,26 +11,28 @@
 
 
 class TicksTest(unittest.IsolatedAsyncioTestCase):
-    """The loop of the test itself."""
+    """Stalls of the event loop of the test itself."""
 
     async def test_ran_before(self) -> None:
-        """An event that happened while the loop stood still looks new."""
+        """An event that happened during a stall of the loop looks recent."""
         for title, stall_s in (('runs', 0.0), ('stood still', STALL_S)):
             with self.subTest(title):
-                ticking = ticks.Ticks()
-                await ticking.start()
+                service = ticks.Ticks()
+                await service.start()
                 await asyncio.sleep(4 * ticks.TICK_S)
                 began = time.monotonic()
                 time.sleep(stall_s)
                 for _ in range(3):
                     await asyncio.sleep(0)
                 noticed = time.monotonic()
-                ran_at = ticking.ran_before(noticed)
-                stood = ticking.stood_until(noticed)
-                await ticking.stop(0)
+                ran_at = service.ran_before(noticed)
+                stood = service.stood_until(noticed)
+                await service.stop(0)
                 self.assertLessEqual(ran_at, began)
                 self.assertIs(stood > began, stall_s > 0)
-                least = began - ticks.TICK_S - ticks.SETTLE_S - SLACK_S
+                least = (
+                    began - ticks.TICK_S - ticks.MAX_DISPATCH_DELAY_S - SLACK_S
+                )
                 self.assertGreaterEqual(ran_at, least)
 
 
--- a/beryllug/platform/__init__.py
+++ b/beryllug/platform/__init__.py
@@ -1,6 +1,5 @@
-"""What this deployment's platform speaks: names, formats and calls.
+"""Adapter to this deployment's platform: its names, formats and calls.
 
-Everything here turns bytes and names of the platform into records of the
-product and back. Nothing here decides, and nothing outside knows a name of
-the platform.
+Translates the platform's bytes and names into records of this package and back.
+It makes no decisions, and no other package uses a name of the platform.
 """
--- a/beryllug/platform/documents.py
+++ b/beryllug/platform/documents.py
@@ -1,6 +1,6 @@
-"""What operators and backend servers write to the store, as our records.
+"""Decoding of documents that operators and backend servers store.
 
-Unknown fields are passed over: the platform may add some.
+Unknown fields are ignored, as the platform may add some.
 """
 
 from enum import StrEnum
@@ -15,14 +15,14 @@
 from beryllug.drivers import json_decode
 
 MS = 1000
-WHOLE = 1.0
-# Longest id, name or version that is taken for one.
-MOST_TEXT = 256
-_Text = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_TEXT)]
+DEFAULT_WEIGHT = 1.0
+# Maximum length of an id, name or version.
+MAX_TEXT_LENGTH = 256
+_Text = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_TEXT_LENGTH)]
 _Address = Annotated[
     str, msgspec.Meta(pattern=r'^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$')
 ]
-_STATES = MappingProxyType(
+_STATE_BY_PHASE = MappingProxyType(
     {
         canary_data.Phase.TRIAL: 'running',
         canary_data.Phase.FULL: 'running',
@@ -30,7 +30,7 @@
         canary_data.Phase.ROLLED_BACK: 'rolled_back',
     }
 )
-_PHASES = MappingProxyType(
+_PHASE_BY_STATE = MappingProxyType(
     {
         'complete': canary_data.Phase.COMPLETE,
         'rolled_back': canary_data.Phase.ROLLED_BACK,
@@ -38,9 +38,9 @@
 )
 
 
-class _Split(msgspec.Struct):
+class _TrafficSplit(msgspec.Struct):
     service: str
-    weight: float = WHOLE
+    weight: float = DEFAULT_WEIGHT
 
 
 class _Route(msgspec.Struct):
@@ -48,14 +48,14 @@
     host: str
     path_prefix: str
     kind: str
-    # Longest time that a caller is kept waiting, not a timeout of one try.
+    # Total time that a caller waits, not the timeout of one attempt.
     timeout_ms: float
     target_latency_ms: float = 0
     target_gap_ms: float = 0
     priority: int = 0
     sizes: tuple[str, ...] = ()
     service: str = ''
-    traffic_split: tuple[_Split, ...] = ()
+    traffic_split: tuple[_TrafficSplit, ...] = ()
     max_attempts: int = 1
     allow_anonymous: bool = False
     resumable: bool = False
@@ -75,7 +75,7 @@
 
 class _Service(msgspec.Struct):
     name: str
-    # Of all callers together, not of one.
+    # Shared by all callers, not per caller.
     max_connections: int = 1
     engine: _Engine | None = None
     cold_start_s: float = 0
@@ -116,8 +116,8 @@
     version: _Text
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: _ServerState
-    # Unix millisecond of its start. Stated by servers that may start again
-    # under their id.
+    # Unix time of its start in ms. Set by servers that may restart under
+    # the same id.
     born: Annotated[int, msgspec.Meta(ge=0)] = 0
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)] = 0
 
@@ -133,8 +133,8 @@
     target: str = ''
 
 
-# Fields that are known and not read: who routes requests needs none of them.
-_PASSED_OVER = frozenset(
+# Known fields that are not read, since request routing needs none of them.
+_IGNORED_FIELDS = frozenset(
     (
         'adapters',
         'health_path',
@@ -145,7 +145,7 @@
         'tls',
     )
 )
-_FIELDS = _PASSED_OVER.union(
+_KNOWN_FIELDS = _IGNORED_FIELDS.union(
     *(
         struct.__struct_fields__
         for struct in (_Manifest, _Route, _Service, _Engine, _Limits, _Tenant)
@@ -155,43 +155,43 @@
 
 
 def unread(spec: Any) -> frozenset[str]:
-    """Return names of fields that are not known."""
-    return json_decode.field_names(spec) - _FIELDS
+    """Return the names of unknown fields."""
+    return json_decode.field_names(spec) - _KNOWN_FIELDS
 
 
 def table(spec: Any) -> routes_data.RouteTable:
     """Return the route table of a stored document.
 
     Raises:
-        ValidationError: It has another shape.
+        ValidationError: The document does not match the schema.
     """
-    found = msgspec.convert(spec, _Manifest, strict=False)
+    decoded = msgspec.convert(spec, _Manifest, strict=False)
     longest_first = sorted(
-        found.routes, key=lambda route: len(route.path_prefix), reverse=True
+        decoded.routes, key=lambda route: len(route.path_prefix), reverse=True
     )
     by_host: dict[str, list[routes_data.Route]] = {}
     for declared in longest_first:
-        listed = by_host.setdefault(declared.host.lower(), [])
-        listed.append(_route(declared))
-    routes = {host: tuple(listed) for host, listed in by_host.items()}
+        host_routes = by_host.setdefault(declared.host.lower(), [])
+        host_routes.append(_to_route(declared))
+    routes = {host: tuple(host_routes) for host, host_routes in by_host.items()}
     accounts = {
         key: routes_data.Account(
             tenant.name, tenant.priority, frozenset(tenant.allowed_regions)
         )
-        for tenant in found.tenants or ()
+        for tenant in decoded.tenants or ()
         for key in tenant.api_keys
     }
     return routes_data.RouteTable(
-        version=found.version,
+        version=decoded.version,
         routes=routes,
-        services={item.name: _service(item) for item in found.services},
+        services={item.name: _to_service(item) for item in decoded.services},
         accounts=accounts,
-        needs_keys=found.tenants is not None,
+        needs_keys=decoded.tenants is not None,
         limits=routes_data.CallerLimits(
-            header_bytes=found.limits.max_header_bytes,
-            body_bytes=found.limits.max_body_bytes,
-            read_s=found.limits.header_timeout_ms / MS,
-            idle_s=found.limits.idle_timeout_ms / MS,
+            header_bytes=decoded.limits.max_header_bytes,
+            body_bytes=decoded.limits.max_body_bytes,
+            read_s=decoded.limits.header_timeout_ms / MS,
+            idle_s=decoded.limits.idle_timeout_ms / MS,
         ),
     )
 
@@ -199,124 +199,124 @@
 def server(name: str, spec: Any) -> servers_data.Server:
     """Return a backend server's entry.
 
-    Another writer may have put something else there, so nothing is guessed:
-    what is not a server's entry in every field names no server.
+    Other writers may store something else there, so no field is guessed: a
+    document that does not match the schema in every field is rejected.
 
     Raises:
-        ValidationError: It has another shape.
+        ValidationError: The document does not match the schema.
     """
-    found = msgspec.convert(spec, _Server)
-    leaving = found.state is _ServerState.DRAINING
+    decoded = msgspec.convert(spec, _Server)
+    is_leaving = decoded.state is _ServerState.DRAINING
     return servers_data.Server(
         name=name,
-        service=found.service,
-        address=found.address,
-        zone=found.zone,
-        version=found.version,
-        slots=found.slots,
+        service=decoded.service,
+        address=decoded.address,
+        zone=decoded.zone,
+        version=decoded.version,
+        slots=decoded.slots,
         state=servers_data.State.LEAVING
-        if leaving
+        if is_leaving
         else servers_data.State.READY,
-        born=found.born,
-        cold_s=found.cold_remaining_ms / MS,
+        born=decoded.born,
+        cold_s=decoded.cold_remaining_ms / MS,
     )
 
 
-def server_spec(found: servers_data.Server) -> dict[str, Any]:
-    """Return a backend server's entry, to hand on to peers."""
+def server_spec(record: servers_data.Server) -> dict[str, Any]:
+    """Return a backend server's entry in stored form, to forward to peers."""
     state = _ServerState.READY
-    if found.state is servers_data.State.LEAVING:
+    if record.state is servers_data.State.LEAVING:
         state = _ServerState.DRAINING
     entry = _Server(
-        service=found.service,
-        address=found.address,
-        zone=found.zone,
-        version=found.version,
-        slots=found.slots,
+        service=record.service,
+        address=record.address,
+        zone=record.zone,
+        version=record.version,
+        slots=record.slots,
         state=state,
-        born=found.born,
-        cold_remaining_ms=found.cold_s * MS,
+        born=record.born,
+        cold_remaining_ms=record.cold_s * MS,
     )
     return _builtins(entry)
 
 
-def order_spec(found: canary_data.Order) -> dict[str, Any]:
-    """Return a roll-out order, to hand on to peers."""
-    return _builtins(_Order(found.service, found.target, found.duration_s))
+def order_spec(record: canary_data.Order) -> dict[str, Any]:
+    """Return a roll-out order in stored form, to forward to peers."""
+    return _builtins(_Order(record.service, record.target, record.duration_s))
 
 
 def order(
     name: str, revision: int, spec: Any, status: Any
 ) -> tuple[canary_data.Order, canary_data.Phase]:
-    """Return a roll-out order and how far it has come.
+    """Return a roll-out order and its phase.
 
     Args:
-        name: The name it stands under, which is its service's.
+        name: Name of the stored object, which is that of its service.
         revision: Revision of its last change.
-        spec: What was ordered.
-        status: What was written about it since, or None.
+        spec: The order itself.
+        status: The status written since, or None.
 
     Raises:
-        ValidationError: It has another shape.
+        ValidationError: The document does not match the schema.
     """
-    found = msgspec.convert(spec, _Order)
-    if found.service != name:
-        raise msgspec.ValidationError(f'an order for {found.service}')
-    told = msgspec.convert(status or {}, _OrderStatus)
+    decoded = msgspec.convert(spec, _Order)
+    if decoded.service != name:
+        raise msgspec.ValidationError(f'order is for {decoded.service}')
+    stored_status = msgspec.convert(status or {}, _OrderStatus)
     phase = canary_data.Phase.TRIAL
-    if told.target == found.target:
-        phase = _PHASES.get(told.state, phase)
-    made = canary_data.Order(
-        found.service, found.target, found.duration_s, revision
+    if stored_status.target == decoded.target:
+        phase = _PHASE_BY_STATE.get(stored_status.state, phase)
+    result = canary_data.Order(
+        decoded.service, decoded.target, decoded.duration_s, revision
     )
-    return made, phase
+    return result, phase
 
 
 def order_status(target: str, phase: canary_data.Phase) -> dict[str, str]:
-    """Return the status of an order as it is stored."""
-    return {'state': _STATES[phase], 'target': target}
+    """Return the status of an order in stored form."""
+    return {'state': _STATE_BY_PHASE[phase], 'target': target}
 
 
-def _builtins(found: _Server | _Order) -> dict[str, Any]:
-    plain: dict[str, Any] = msgspec.to_builtins(found)
+def _builtins(document: _Server | _Order) -> dict[str, Any]:
+    plain: dict[str, Any] = msgspec.to_builtins(document)
     return plain
 
 
-def _route(found: _Route) -> routes_data.Route:
+def _to_route(wire: _Route) -> routes_data.Route:
     targets = tuple(
         routes_data.Target(split.service, split.weight)
-        for split in found.traffic_split
+        for split in wire.traffic_split
     )
     return routes_data.Route(
-        name=found.name,
-        host=found.host.lower(),
-        prefix=found.path_prefix,
-        kind=routes_data.RequestKind(found.kind),
-        timeout_s=found.timeout_ms / MS,
-        target_s=found.target_latency_ms / MS,
-        gap_s=found.target_gap_ms / MS,
-        priority=found.priority,
-        models=found.sizes,
-        targets=targets or (routes_data.Target(found.service, WHOLE),),
-        max_attempts=max(found.max_attempts, 1),
-        is_anonymous=found.allow_anonymous,
-        is_resumable=found.resumable,
-        regions=frozenset(found.allowed_regions),
+        name=wire.name,
+        host=wire.host.lower(),
+        prefix=wire.path_prefix,
+        kind=routes_data.RequestKind(wire.kind),
+        timeout_s=wire.timeout_ms / MS,
+        target_s=wire.target_latency_ms / MS,
+        gap_s=wire.target_gap_ms / MS,
+        priority=wire.priority,
+        models=wire.sizes,
+        targets=targets or (routes_data.Target(wire.service, DEFAULT_WEIGHT),),
+        max_attempts=max(wire.max_attempts, 1),
+        is_anonymous=wire.allow_anonymous,
+        is_resumable=wire.resumable,
+        regions=frozenset(wire.allowed_regions),
     )
 
 
-def _service(found: _Service) -> routes_data.Service:
+def _to_service(wire: _Service) -> routes_data.Service:
     engine = None
-    if found.engine is not None:
+    if wire.engine is not None:
         engine = routes_data.Engine(
-            slots=found.engine.slots,
-            kv_tokens=found.engine.kv_capacity_tokens,
-            costs={model.name: model.cost for model in found.engine.models},
+            slots=wire.engine.slots,
+            kv_tokens=wire.engine.kv_capacity_tokens,
+            costs={model.name: model.cost for model in wire.engine.models},
         )
     return routes_data.Service(
-        found.name,
-        found.max_connections,
+        wire.name,
+        wire.max_connections,
         engine,
-        found.cold_start_s,
-        found.cold_per_s,
+        wire.cold_start_s,
+        wire.cold_per_s,
     )
--- a/beryllug/platform/folder_test.py
+++ b/beryllug/platform/folder_test.py
@@ -1,4 +1,4 @@
-"""Tests that the platform's words stay in their folder, and it small."""
+"""Tests that the platform's names stay in this folder, and that it is small."""
 
 import re
 import unittest
@@ -6,8 +6,8 @@
 
 PACKAGE = Path(__file__).resolve().parents[1]
 FOLDER = PACKAGE / 'platform'
-MOST_LINES = 900
-WIRE = re.compile(
+MAX_LINES = 900
+PLATFORM_NAME = re.compile(
     r'(?<!x-)beryllug-(attempt|expect|not-exec|response-seal|deadline|'
     'prompt|token|weight|tenant)|/beryllug/(objects|ready|report)',
     re.IGNORECASE,
@@ -15,27 +15,27 @@
 
 
 class FolderTest(unittest.TestCase):
-    """What stands where."""
+    """Contents and size of the folder."""
 
     def test_names(self) -> None:
-        """No module outside knows a name of the platform's wire."""
+        """No module outside contains a name of the platform's protocol."""
         leaks = [
             str(path.relative_to(PACKAGE))
             for path in PACKAGE.rglob('*.py')
             if FOLDER not in path.parents
             and not path.name.endswith('_test.py')
-            and WIRE.search(path.read_text(encoding='utf-8'))
+            and PLATFORM_NAME.search(path.read_text(encoding='utf-8'))
         ]
         self.assertEqual(leaks, [])
 
     def test_small(self) -> None:
-        """The folder translates and does no more."""
+        """The folder only translates, so its size is limited."""
         lines = sum(
             len(path.read_text(encoding='utf-8').splitlines())
             for path in FOLDER.glob('*.py')
             if not path.name.endswith('_test.py')
         )
-        self.assertLess(lines, MOST_LINES)
+        self.assertLess(lines, MAX_LINES)
 
 
 if __name__ == '__main__':
--- a/beryllug/platform/names.py
+++ b/beryllug/platform/names.py
@@ -1,4 +1,4 @@
-"""Header names and paths of the platform, in lower case as we compare them."""
+"""Header names and paths of the platform, in lower case for comparison."""
 
 from beryllug.drivers import http_headers
 
@@ -13,17 +13,17 @@
 LENGTH_HINT = 'beryllug-length-hint'
 URGENCY = 'beryllug-request-urgency'
 CONFIDENCE = 'beryllug-confidence'
-# A digest of the whole answer, by which callers tell that it is the server's.
+# Digest of the whole answer; it shows callers that the server itself answered.
 SEAL = 'beryllug-response-seal'
-# "Surely not run": the one answer that permits to send the request again.
+# The request was certainly not run; only this answer permits sending it again.
 NOT_RUN = 'beryllug-not-executed'
 INSTANCE = 'beryllug-instance-id'
 VERSIONS = 'beryllug-weight-versions'
-# How often the store has returned from an older copy.
+# How often the store has been restored from an older copy.
 ERA = 'store-era'
-# Requests a second that a server takes from all processes together.
+# Requests a second that a server accepts from all processes together.
 LIMIT = 'server-limit'
-# The server stops soon and wants no new requests.
+# The server shuts down soon and accepts no new requests.
 LEAVING = 'server-leaving'
 SESSION = 'session'
 LAST_EVENT = 'last-event-id'
@@ -36,18 +36,18 @@
 BEARER = 'bearer '
 ANY_MODEL = '*'
 
-# What a server states of itself, in the order of `statements.Texts`.
+# What a server states about itself, in the order of `statements.Texts`.
 STATED = (LIMIT, LEAVING, RETRY_AFTER)
-# Headers of answers that are read, or that only their caller has a use for.
-_READ = (ATTEMPT, CONFIDENCE, ERA, INSTANCE, NOT_RUN, SEAL, VERSIONS)
-ANSWER_HEADERS = http_headers.STANDARD.union(_READ, STATED)
+# Answer headers that are read here, or are of use only to the caller.
+_READ_HEADERS = (ATTEMPT, CONFIDENCE, ERA, INSTANCE, NOT_RUN, SEAL, VERSIONS)
+ANSWER_HEADERS = http_headers.STANDARD.union(_READ_HEADERS, STATED)
 
 READY_PATH = '/beryllug/ready'
 OBJECTS_PATH = '/beryllug/objects'
 
-# Of these only the sender of a request may speak to its next receiver: they
-# concern one connection, or they are ours to set. A caller that sets them
-# would reserve memory, or go on from another request's.
+# Headers that callers must not pass through: they are hop-by-hop, or set by
+# this process. A caller that sets them could reserve memory, or resume the
+# request of another caller.
 NOT_FORWARDED = frozenset(
     (
         'connection',
--- a/beryllug/platform/requests.py
+++ b/beryllug/platform/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests and backend servers' answers, from and to headers."""
+"""Parsing and building the headers of requests and answers."""
 
 from collections.abc import Mapping
 from http import HTTPStatus
@@ -12,23 +12,23 @@
 
 
 class Asked(NamedTuple):
-    """What a caller's headers say.
+    """A caller's request headers, parsed.
 
     Attributes:
-        attempt_id: Id of this try of the caller; each try has its own.
+        attempt_id: Id of this attempt of the caller; unique per attempt.
         key: Bearer key, or empty.
-        patience_s: Seconds that the caller will wait; None if not said.
+        patience_s: Seconds that the caller will wait; None if not stated.
         model: Model that it names, or empty.
-        is_any_model: Whether the choice of the model is left to us.
-        shared: Ids of the parts of the prompt that other requests share, in
-            order, as one text.
-        shared_tokens: Tokens in these.
-        own_tokens: Tokens of the prompt that are the request's own.
-        tokens_out: Tokens that the answer is expected to have, or 0 if not
-            said: the caller's estimate, else the most that it allows.
-        most_tokens_out: The most that it allows, or 0 if not said.
+        is_any_model: Whether the router chooses the model.
+        shared: Comma-separated ids of the prompt segments that other requests
+            share, in order.
+        shared_tokens: Number of tokens in these.
+        own_tokens: Prompt tokens that belong to this request only.
+        tokens_out: Expected tokens of the answer, or 0 if not stated: the
+            caller's estimate, else its maximum.
+        most_tokens_out: Maximum tokens of the answer, or 0 if not stated.
         session: Id of the session, or empty.
-        last_event: Id of the last event that the caller has, or empty.
+        last_event: Id of the last event received by the caller, or empty.
     """
 
     attempt_id: str
@@ -46,15 +46,15 @@
 
 
 class Sending(NamedTuple):
-    """What is set anew for each attempt at a backend server.
+    """Headers that are set anew for each attempt at a backend server.
 
     Attributes:
-        server: The server, which any other instance at its address refuses.
-        left_s: Seconds that are left for the answer.
+        server: The server; another instance at its address refuses the request.
+        left_s: Seconds left until the deadline.
         account: Name of the client account, or empty.
-        model: Model to run, or empty to leave what the caller named.
-        urgency: Rank from 0, the first, to 9; None to leave it unsaid.
-        last_event: Id of the event to go on from, or empty for the caller's.
+        model: Model to run, or empty to keep the one named by the caller.
+        urgency: Priority from 0, the most urgent, to 9; None to omit it.
+        last_event: Id of the event to resume from, or empty for the caller's.
     """
 
     server: servers_data.Server
@@ -66,17 +66,17 @@
 
 
 class Head(NamedTuple):
-    """What the head of an answer says.
+    """The head of an answer, parsed.
 
     Attributes:
         status: HTTP status.
-        is_sealed: Whether it bears the server's digest of the whole answer.
-        is_not_run: Whether the server promises that it did not run it.
-        is_encoded: Whether the body is not the server's own.
+        is_sealed: Whether it carries the server's digest of the whole answer.
+        is_not_run: Whether the server guarantees that it did not run it.
+        is_encoded: Whether a content encoding hides the server's own body.
         attempt_id: Id of the request that it answers, or empty.
         confidence: From 0 to 100, or None.
-        stated: What it states of the server.
-        unread: Names of headers that are not known here.
+        stated: What the server states about itself.
+        unread: Names of unknown headers.
     """
 
     status: int
@@ -90,23 +90,23 @@
 
 
 def read(req: http_data.Request) -> Asked:
-    """Read a caller's headers; what can't be read counts as not said."""
+    """Parse a caller's headers; malformed values count as absent."""
     headers = req.headers
     model = headers.get(names.MODEL, '')
     parts = _prompt_parts(headers.get(names.PROMPT, ''))
     tokens_in, tokens_out = _token_counts(headers.get(names.TOKENS, ''))
-    # The last part belongs to the request or to its session alone.
+    # The last segment belongs to this request or its session only.
     shared_tokens = sum(tokens for _, tokens in parts[:-1])
     return Asked(
         attempt_id=headers.get(names.ATTEMPT, ''),
-        key=_key(headers.get(names.AUTHORIZATION, '')),
-        patience_s=_seconds(headers.get(names.DEADLINE, '')),
+        key=_bearer_key(headers.get(names.AUTHORIZATION, '')),
+        patience_s=_to_seconds(headers.get(names.DEADLINE, '')),
         model=model,
         is_any_model=model == names.ANY_MODEL,
         shared=','.join(part for part, _ in parts[:-1]),
         shared_tokens=shared_tokens,
         own_tokens=max(tokens_in - shared_tokens, 0),
-        tokens_out=_whole(headers.get(names.LENGTH_HINT, '')) or tokens_out,
+        tokens_out=_to_count(headers.get(names.LENGTH_HINT, '')) or tokens_out,
         session=headers.get(names.SESSION, ''),
         last_event=headers.get(names.LAST_EVENT, ''),
         most_tokens_out=tokens_out,
@@ -116,12 +116,12 @@
 def outgoing(
     req: http_data.Request, sending: Sending, *, fresh: bool
 ) -> http_data.Outgoing:
-    """Return a caller's request as it goes to a backend server."""
-    named = _listed(req.headers.get(names.CONNECTION, ''))
+    """Return a caller's request in the form sent to a backend server."""
+    connection_headers = _split_list(req.headers.get(names.CONNECTION, ''))
     headers = {
         name: text
         for name, text in req.headers.items()
-        if name not in names.NOT_FORWARDED and name not in named
+        if name not in names.NOT_FORWARDED and name not in connection_headers
     }
     headers[names.DEADLINE] = str(max(int(sending.left_s * MS), 1))
     headers[names.EXPECT_INSTANCE] = sending.server.name
@@ -137,8 +137,8 @@
 
 
 def head_of(status: int, headers: Mapping[str, str]) -> Head:
-    """Read the head of a backend server's answer."""
-    # Another instance has the server's address now and runs nothing.
+    """Parse the head of a backend server's answer."""
+    # Another instance took over the server's address; it ran nothing.
     misdirected = status == HTTPStatus.MISDIRECTED_REQUEST
     confidence = headers.get(names.CONFIDENCE, '')
     return Head(
@@ -156,19 +156,19 @@
 
 
 def returned(headers: Mapping[str, str]) -> dict[str, str]:
-    """Return the headers of an answer that go on to the caller."""
-    named = _listed(headers.get(names.CONNECTION, ''))
+    """Return the headers of an answer that are forwarded to the caller."""
+    connection_headers = _split_list(headers.get(names.CONNECTION, ''))
     return {
         name: text
         for name, text in headers.items()
-        if name not in names.NOT_RETURNED and name not in named
+        if name not in names.NOT_RETURNED and name not in connection_headers
     }
 
 
 def refusal_headers(
     attempt_id: str, retry_after_s: float | None
 ) -> dict[str, str]:
-    """Return the headers of an answer of our own."""
+    """Return the headers of an answer generated by this process."""
     headers = {}
     if attempt_id:
         headers[names.ATTEMPT] = attempt_id
@@ -178,40 +178,40 @@
 
 
 def is_ready_path(target: str) -> bool:
-    """Tell whether a request asks for this process's readiness."""
+    """Return whether a request is for this process's readiness."""
     return target.partition('?')[0] == names.READY_PATH
 
 
-def _key(text: str) -> str:
+def _bearer_key(text: str) -> str:
     if text[: len(names.BEARER)].lower() != names.BEARER:
         return ''
     return text[len(names.BEARER) :].strip()
 
 
-def _seconds(text: str) -> float | None:
+def _to_seconds(text: str) -> float | None:
     return int(text) / MS if text.isascii() and text.isdigit() else None
 
 
 def _prompt_parts(text: str) -> list[tuple[str, int]]:
-    """Return ids and token counts of ``ID:TOKENS,ID:TOKENS``."""
+    """Return segment ids and token counts of ``ID:TOKENS,ID:TOKENS``."""
     parts = []
-    for entry in text.split(','):
-        part, _, tokens = entry.strip().partition(':')
+    for item in text.split(','):
+        part, _, tokens = item.strip().partition(':')
         if part:
-            parts.append((part, _whole(tokens)))
+            parts.append((part, _to_count(tokens)))
     return parts
 
 
 def _token_counts(text: str) -> tuple[int, int]:
-    """Return the tokens of the prompt and the most tokens of the answer."""
+    """Return the tokens of the prompt and the maximum of the answer."""
     tokens_in, _, tokens_out = text.partition(',')
-    return _whole(tokens_in), _whole(tokens_out)
+    return _to_count(tokens_in), _to_count(tokens_out)
 
 
-def _whole(text: str) -> int:
+def _to_count(text: str) -> int:
     digits = text.strip()
     return int(digits) if digits.isascii() and digits.isdigit() else 0
 
 
-def _listed(text: str) -> frozenset[str]:
+def _split_list(text: str) -> frozenset[str]:
     return frozenset(part.strip().lower() for part in text.split(','))
--- a/beryllug/platform/requests_test.py
+++ b/beryllug/platform/requests_test.py
@@ -1,4 +1,4 @@
-"""Tests of headers: what is read, what is set, what is kept back."""
+"""Tests of headers: parsed, set, forwarded and removed."""
 
 import unittest
 from types import MappingProxyType
@@ -30,10 +30,10 @@
 
 
 class RequestsTest(unittest.TestCase):
-    """Between headers and records."""
+    """Conversion between headers and records."""
 
     def test_read(self) -> None:
-        """What a caller's headers say; the last part is its own."""
+        """Parses headers; the last prompt segment is the request's own."""
         asked = requests.read(REQUEST)
         self.assertEqual((asked.attempt_id, asked.key), ('a1', 'key'))
         self.assertEqual(asked.patience_s, 1.5)
@@ -42,7 +42,7 @@
         self.assertEqual(asked.tokens_out, 80)
 
     def test_unreadable(self) -> None:
-        """What can't be read counts as not said."""
+        """Malformed values count as absent."""
         table = (
             {names.DEADLINE: 'soon'},
             {names.DEADLINE: '-5'},
@@ -57,7 +57,7 @@
                 self.assertEqual(asked.key, '')
 
     def test_outgoing(self) -> None:
-        """Ours are set, the caller's kept back, the rest as it came."""
+        """Ours are set, hop-by-hop headers removed, the others forwarded."""
         sending = requests.Sending(
             SERVER, 0.75, 'spa', model='small', urgency=3, last_event='7'
         )
@@ -81,7 +81,7 @@
         self.assertEqual((sent.target, sent.body), ('/a/b?c=d', b'body'))
 
     def test_head(self) -> None:
-        """Whether an answer promises that nothing ran."""
+        """Whether an answer guarantees that the request was not run."""
         table: tuple[tuple[int, dict[str, str], bool, bool], ...] = (
             (200, {names.SEAL: 'x'}, True, False),
             (503, {names.NOT_RUN: '1'}, False, True),
--- a/beryllug/platform/store.py
+++ b/beryllug/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's store of objects.
+"""Client of the platform's object store.
 
 All revisions are stamps, see `core.stamps`.
 
@@ -25,11 +25,11 @@
 )
 from beryllug.platform import documents, names
 
-# Seconds over its wait after which a watch is taken for lost.
-WATCH_SLACK_S = 1.5
-# Seconds for one page of a list, which an idle store answers in 4 ms. A call
-# that was lost is made again, soon after the store's return.
-LIST_S = 0.5
+# Seconds beyond its wait after which a watch is considered lost.
+WATCH_GRACE_S = 1.5
+# Timeout for one page of a list, which an idle store answers in 4 ms. A call
+# that was lost is retried, soon after the store is reachable again.
+LIST_TIMEOUT_S = 0.5
 MS = 1000
 JSON = MappingProxyType({'content-type': 'application/json'})
 TABLES = 'config'
@@ -37,7 +37,7 @@
 SERVERS = 'servers'
 ROLLOUTS = 'rollouts'
 EVACUATIONS = 'evacuations'
-DONE = (HTTPStatus.OK, HTTPStatus.CREATED, HTTPStatus.NO_CONTENT)
+SUCCESS = (HTTPStatus.OK, HTTPStatus.CREATED, HTTPStatus.NO_CONTENT)
 
 
 class _Metadata(msgspec.Struct):
@@ -54,7 +54,7 @@
 
 
 class _Page(msgspec.Struct):
-    # Read one by one: another writer may have put anything into one of them.
+    # Decoded one by one, as other writers may store malformed objects.
     items: tuple[msgspec.Raw, ...] = ()
     has_more: bool = False
     at: int = 0
@@ -71,31 +71,31 @@
 
 
 class Store:
-    """The store at one address; counts its calls by what they do.
+    """Client of the store at one address.
 
     Attributes:
-        calls: Calls by what they do.
-        eras: The era that its answers tell.
-        on_unread: Told of names in its answers that are not known here.
+        calls: Number of calls by operation.
+        eras: The era stated by its answers.
+        on_unread: Called with unknown names found in its answers.
     """
 
     def __init__(
         self, client: http_client.HttpClient, address: str, timeout_s: float
     ) -> None:
-        """Bind to the store; each call is bounded by `timeout_s` seconds."""
+        """Create a client; each call times out after `timeout_s` seconds."""
         self._client = client
         self._address = address
         self._timeout_s = timeout_s
         self.calls: dict[str, int] = {}
         self.eras = store_era.StoreEra()
-        self.on_unread: Callable[[str, Iterable[str]], None] = _pass_over
+        self.on_unread: Callable[[str, Iterable[str]], None] = _ignore_unread
 
     async def list_page(self, kind: str, after: str = '') -> store_data.Page:
-        """List objects of a kind in the order of their names.
+        """List objects of a kind, ordered by name.
 
         Args:
             kind: The kind.
-            after: Name behind which the list goes on, or empty to begin.
+            after: Name after which the page starts; empty for the first.
 
         Raises:
             ObjectApiError: The store did not answer.
@@ -103,63 +103,63 @@
         path = _path(kind)
         if after:
             path = f'{path}?after={url_parse.quote(after, safe="")}'
-        body = await self._call('list', 'GET', path, timeout_s=LIST_S)
+        body = await self._call('list', 'GET', path, timeout_s=LIST_TIMEOUT_S)
         page = json_decode.decode(body, _Page)
-        read, errors = json_decode.each(page.items, _Object)
+        decoded, errors = json_decode.each(page.items, _Object)
         era = self.eras.era
-        found = tuple(_stored(each, era) for each in read)
-        self._note_unread(kind, found)
-        is_last = not page.has_more or not found
+        listed = tuple(_to_stored(each, era) for each in decoded)
+        self._report_unread(kind, listed)
+        is_last = not page.has_more or not listed
         return store_data.Page(
             store_data.Listing(
-                found, stamps.stamp(era, page.at), tuple(errors)
+                listed, stamps.stamp(era, page.at), tuple(errors)
             ),
-            '' if is_last else found[-1].name,
+            '' if is_last else listed[-1].name,
         )
 
     async def watch(
         self, kind: str, after: int, wait_s: float
     ) -> store_data.Changes:
-        """Return the changes after a revision, waiting for the first.
+        """Return the changes after a revision, waiting for the first one.
 
         Raises:
             CompactedError: The store no longer has all of them.
             ObjectApiError: The store did not answer.
         """
-        self._refuse_earlier(after)
+        self._require_current_era(after)
         revision = stamps.revision(after)
         query = f'watch={revision}&wait_ms={int(wait_s * MS)}'
         body = await self._call(
             'watch',
             'GET',
             f'{_path(kind)}?{query}',
-            timeout_s=wait_s + WATCH_SLACK_S,
+            timeout_s=wait_s + WATCH_GRACE_S,
         )
-        self._refuse_earlier(after)
+        self._require_current_era(after)
         era = self.eras.era
         events = json_decode.decode(body, _Events)
-        read, errors = json_decode.each(events.events, _Event)
+        decoded, errors = json_decode.each(events.events, _Event)
         changes = tuple(
-            store_data.Change(_stored(event.object, era), event.tombstone)
-            for event in read
+            store_data.Change(_to_stored(event.object, era), event.tombstone)
+            for event in decoded
         )
-        self._note_unread(kind, (change.stored for change in changes))
+        self._report_unread(kind, (change.stored for change in changes))
         revision = stamps.stamp(era, events.at)
         return store_data.Changes(changes, revision, tuple(errors))
 
     async def ping(self, within_s: float) -> None:
-        """Ask for any answer, also of old data; raises as `list_page` does."""
+        """Request any answer, even stale data; raises as `list_page` does."""
         target = f'{_path(EVACUATIONS)}?allow_stale=1'
         await self._call('ping', 'GET', target, timeout_s=within_s)
 
     async def set_status(
         self, kind: str, name: str, revision: int, status: Any
     ) -> None:
-        """Replace the status of an object that has not changed since.
+        """Replace the status of an object unless it has changed since.
 
         Raises:
-            ConflictError: It has another revision, or the same one of another
-                era, which means nothing.
+            ConflictError: It has another revision. A revision of another era
+                never matches.
             UncertainError: It may have taken effect, or may do so later.
             ObjectApiError: The store refused.
         """
@@ -170,13 +170,13 @@
         path = f'{_path(kind, name)}/status'
         await self._call('status', 'PUT', path, body)
         if stamps.era(revision) < self.eras.era:
-            raise object_data.UncertainError('the store has returned')
+            raise object_data.UncertainError('the store has been restored')
 
     async def create(self, kind: str, name: str, spec: Any) -> None:
         """Create an object.
 
         Raises:
-            ConflictError: There is one of that name.
+            ConflictError: An object of that name exists.
             UncertainError: It may have taken effect, or may do so later.
             ObjectApiError: The store refused.
         """
@@ -184,7 +184,7 @@
         await self._call('create', 'POST', _path(kind), body)
 
     async def delete(self, kind: str, name: str) -> None:
-        """Delete an object, if there is one.
+        """Delete an object if it exists.
 
         Raises:
             ObjectApiError: The store refused or did not answer.
@@ -193,47 +193,47 @@
 
     async def _call(
         self,
-        what: str,
+        operation: str,
         method: str,
         target: str,
         body: bytes = b'',
         timeout_s: float | None = None,
     ) -> bytes:
-        self.calls[what] = self.calls.get(what, 0) + 1
+        self.calls[operation] = self.calls.get(operation, 0) + 1
         headers: Mapping[str, str] = JSON if body else {}
         outgoing = http_data.Outgoing(method, target, dict(headers), body)
         try:
-            incoming, answer = await self._client.call(
+            incoming, content = await self._client.call(
                 self._address, outgoing, timeout_s or self._timeout_s
             )
         except http_data.NotSentError as exc:
             raise object_data.UnavailableError(str(exc)) from exc
         except http_data.BrokenError as exc:
-            # The other connections may be as silent as this one.
+            # Other pooled connections may be just as unresponsive.
             self._client.forget(self._address)
             raise object_data.UncertainError(str(exc)) from exc
         self.eras.answered(incoming.headers.get(names.ERA, ''))
         self.on_unread('store', incoming.headers.keys() - names.ANSWER_HEADERS)
-        if incoming.status not in DONE:
-            raise _failure(incoming.status, incoming.headers)
-        return answer
+        if incoming.status not in SUCCESS:
+            raise _error_of(incoming.status, incoming.headers)
+        return content
 
-    def _note_unread(
+    def _report_unread(
         self, kind: str, found: Iterable[store_data.Stored]
     ) -> None:
         for stored in found:
             self.on_unread(kind, documents.unread(stored.spec))
 
-    def _refuse_earlier(self, stamp: int) -> None:
+    def _require_current_era(self, stamp: int) -> None:
         if stamps.era(stamp) < self.eras.era:
-            raise object_data.CompactedError('history of an earlier era')
+            raise object_data.CompactedError('history is of an earlier era')
 
 
-def _pass_over(source: str, unread: Iterable[str]) -> None:
-    """Tell nobody of names that are not known."""
+def _ignore_unread(source: str, unread: Iterable[str]) -> None:
+    """Ignore unknown names."""
 
 
-def _failure(
+def _error_of(
     status: int, headers: Mapping[str, str]
 ) -> object_data.ObjectApiError:
     match status:
@@ -254,7 +254,7 @@
     return f'{path}/{url_parse.quote(name, safe="")}' if name else path
 
 
-def _stored(found: _Object, era: int) -> store_data.Stored:
+def _to_stored(found: _Object, era: int) -> store_data.Stored:
     metadata = found.metadata
     return store_data.Stored(
         metadata.name,
