--- a/beryllug/router/attempts.py
+++ b/beryllug/router/attempts.py
@@ -12,7 +12,7 @@
 from beryllug.core.routes import match
 from beryllug.router import call as call_data, dispatch, pool, trials
 
-# Maximum number of unreachable servers that are tried for a request; they don't
+# A request is retried after at most this many unreachable servers, which don't
 # count as attempts.
 MAX_UNREACHABLE_SERVERS = 6
 # Maximum number of servers that terminate during a request without counting as
@@ -37,7 +37,7 @@
         is_late: Whether the last attempt failed by a timeout.
         terminated: Servers that terminated while they ran the request.
         was_discarded: Whether an answer of a smaller model was discarded; the
-        request has then run, and may still be retried.
+            request has then run, and may still be retried.
     """
 
     version_choice: trials.VersionChoice
--- a/beryllug/router/attempts_test.py
+++ b/beryllug/router/attempts_test.py
@@ -66,16 +66,22 @@
         table: tuple[tuple[str, dict[str, Any], bool, bool, int], ...] = (
             ('refused by a server', {}, False, True, 503),
             (
-                'dropped, then refused',
+                'discarded, then refused',
                 {'was_discarded': True},
                 False,
                 True,
                 502,
             ),
-            ('broken off', {'may_have_run': True}, False, False, 502),
-            ('broken off, repeatable', {'may_have_run': True}, True, True, 502),
+            ('connection broke', {'may_have_run': True}, False, False, 502),
             (
-                'in vain until its time',
+                'connection broke, repeatable',
+                {'may_have_run': True},
+                True,
+                True,
+                502,
+            ),
+            (
+                'timed out',
                 {'may_have_run': True, 'is_late': True},
                 True,
                 True,
@@ -103,11 +109,11 @@
         connection, or if the request must not run twice.
         """
         table: tuple[tuple[str, bool, bool, int, int], ...] = (
-            ('ended', True, True, 0, 2),
-            ('still there', False, True, 0, 3),
-            ('may not run twice', True, False, 0, 3),
+            ('terminated', True, True, 0, 2),
+            ('still reachable', False, True, 0, 3),
+            ('must not run twice', True, False, 0, 3),
             (
-                'too many have ended',
+                'too many terminated',
                 True,
                 True,
                 attempts.MAX_TERMINATED_SERVERS,
--- a/beryllug/router/claims.py
+++ b/beryllug/router/claims.py
@@ -59,11 +59,11 @@
 
     def take(self, note: peering_data.Note, now: float) -> None:
         """Process the limits, claims and permits of a received note."""
-        self._limits.take(note.limits, note.name, now)
+        self._limits.merge_observations(note.limits, note.name, now)
         if note.claim is not None:
             self._answer_claim(note, note.claim, now)
         if note.permit is not None:
-            self._limits.take_observation(note.permit.limit, note.name, now)
+            self._limits.merge_observation(note.permit.limit, note.name, now)
             pending = self._pending.pop(note.permit.number, None)
             if pending is not None and not pending.done():
                 pending.set_result(note.permit)
@@ -73,7 +73,9 @@
         now = time.monotonic()
         self._last_number += 1
         number = self._last_number
-        claim = peering_data.Claim(number, self._limits.news(instance, now))
+        claim = peering_data.Claim(
+            number, self._limits.observation(instance, now)
+        )
         pending: asyncio.Future[peering_data.Permit] = asyncio.Future()
         self._pending[number] = pending
         self._send((known.notes,), self._note()._replace(claim=claim))
@@ -90,12 +92,12 @@
         self, note: peering_data.Note, claim: peering_data.Claim, now: float
     ) -> None:
         instance = claim.limit.instance
-        self._limits.take_observation(claim.limit, note.name, now)
+        self._limits.merge_observation(claim.limit, note.name, now)
         coordinator = members.ranked(self._peers.members, instance)[0]
         wait_s = permits.AGAIN_S
         if coordinator == self._peers.members.name:
             wait_s = self._grant(instance, now)
-        known_limit = self._limits.news(instance, now)
+        known_limit = self._limits.observation(instance, now)
         permit = peering_data.Permit(claim.number, wait_s, known_limit)
         self._send((note.notes,), self._note()._replace(permit=permit))
 
--- a/beryllug/router/dispatch.py
+++ b/beryllug/router/dispatch.py
@@ -47,7 +47,7 @@
     Attributes:
         reason: The reason.
         is_gone: Whether the server could not be reached, or another instance
-        has its address.
+            has its address.
     """
 
     reason: str
@@ -179,5 +179,5 @@
         return Unknown(f'the server answered {head.status}')
     is_success = OK <= head.status < REDIRECT
     if is_success and (not head.is_sealed or head.is_encoded):
-        return Unknown("the answer is not the server's own")
+        return Unknown('the answer lacks a seal, or its body is encoded')
     return None
--- a/beryllug/router/eligible.py
+++ b/beryllug/router/eligible.py
@@ -1,9 +1,9 @@
-"""Service 'eligible': which backend servers a request may be sent to at all.
+"""Service 'eligible': the backend servers that a request may be sent to.
 
-Of those that are listed, none in an availability zone that is evacuated, none
-outside the regions that the request is bound to, a cold one only where the
-fleet's bound on it leaves this process a part, and one that names a limit not
-while it is known to take no more.
+Excludes servers in an evacuated availability zone and servers outside the
+regions that the request is bound to. A cold server is included only if this
+process has a part of the fleet's bound on its requests, and a server that
+states a rate limit only while it is not known to refuse.
 """
 
 import time
@@ -26,7 +26,7 @@
 
 
 class Place(NamedTuple):
-    """Where a process stands.
+    """The location of a process.
 
     Attributes:
         name: Its name.
@@ -40,11 +40,11 @@
 
 
 class Eligible:
-    """Knows which listed servers take requests of this process now.
+    """Knows which listed servers accept requests of this process now.
 
     Attributes:
-        limits: The limits that servers name.
-        backoffs: Servers that want no request of this process for a while.
+        limits: The rate limits that servers state.
+        backoffs: Servers that have asked this process to back off.
         size: The size of the fleet, by which bounds are divided.
     """
 
@@ -68,13 +68,13 @@
         zones.on_reopened = self._on_reopened
 
     async def start(self) -> None:
-        """Do nothing: it is driven by requests and by what is listed."""
+        """Do nothing: the service is driven by requests and the list."""
 
     async def stop(self, grace_s: float) -> None:
-        """Do nothing: it holds no socket and no task."""
+        """Do nothing: the service holds no socket and no task."""
 
     def take_table(self, table: routes_data.RouteTable) -> None:
-        """Take the services of the route table in force."""
+        """Use the services of the route table in force."""
         self._services = table.services
 
     def versions(self, service: str, now: float) -> frozenset[str]:
@@ -87,7 +87,11 @@
     def candidates(
         self, criteria: servers_data.Wish, now: float
     ) -> tuple[Servers, Servers]:
-        """Return the listed servers for an attempt, and the doubted ones."""
+        """Return the listed servers for an attempt, and the doubted ones.
+
+        The entry of a doubted server was dropped from the store's list a moment
+        ago.
+        """
         listed, doubted = self._known.usable(now)
         found = (
             self._accepting(listed, criteria, now),
@@ -103,7 +107,7 @@
         criteria: servers_data.Wish,
         now: float,
     ) -> bool:
-        """Tell whether a server is listed and takes requests as before."""
+        """Return whether a server is still listed and accepts requests."""
         listed, doubted = self._known.usable(now)
         is_listed = server in listed or server in doubted
         is_backing_off = (
@@ -176,7 +180,7 @@
         }
 
     def measure(self) -> Iterable[metrics_data.Sample]:
-        """Return how many zones are evacuated and how many servers cold."""
+        """Return the numbers of evacuated zones and of cold servers."""
         now = time.monotonic()
         yield metrics_data.Sample(
             'zones_evacuated',
@@ -186,16 +190,17 @@
         yield metrics_data.Sample(
             'servers_cold',
             sum(until > now for until in self._cold.until.values()),
-            'Backend servers that bear few requests after their start.',
+            'Backend servers that accept few requests after their start.',
         )
 
     def _accepting(
         self, servers: Servers, criteria: servers_data.Wish, now: float
     ) -> Servers:
-        """Return the servers that take a request of this process now.
+        """Return the servers that accept a request of this process now.
 
-        Where those of the versions that it may run on take no more, others do
-        not take their place: a session would leave its version.
+        If all servers of the versions that the request may run on are at a
+        limit, servers of other versions don't replace them: a session would
+        leave its version.
         """
         accepting = [
             each for each in servers if self._accepts(each, criteria, now)
@@ -215,9 +220,9 @@
     def _probe_candidates(
         self, servers: Servers, criteria: servers_data.Wish, now: float
     ) -> Servers:
-        """Return those that are left alone and may be sent one request.
+        """Return servers in backoff that may be sent one probe request.
 
-        None where an answer of a smaller model would be dropped for it.
+        None if an answer of a smaller model would be discarded for it.
         """
         if criteria.without_limit:
             return []
@@ -237,7 +242,7 @@
         criteria: servers_data.Wish,
         now: float,
     ) -> bool:
-        """Tell whether a server takes a request of this process now."""
+        """Return whether a server accepts a request of this process now."""
         return (
             server.service == criteria.service
             and server.zone not in self._zones.evacuated
@@ -254,11 +259,11 @@
         cold.becomes_cold(self._cold, server.instance, server.cold_s, now)
 
     def _on_reopened(self, zone: str, now: float) -> None:
-        """Take the servers of a zone for cold as it takes requests again.
+        """Treat the servers of a zone as cold when its evacuation ends.
 
-        They may have become cold while it was evacuated, and their own word of
-        it comes with their next heartbeat: until then the whole fleet would
-        send its requests to those that have nothing to do.
+        They may have become cold while the zone was evacuated, but report that
+        only with their next heartbeat. Until then the whole fleet would send
+        its requests to them, as the least loaded servers.
         """
         for servers in self._known.usable(now):
             for server in servers:
@@ -280,7 +285,7 @@
 def _is_overloaded(
     servers: Eligible, instance: str, criteria: servers_data.Wish, now: float
 ) -> bool:
-    """Tell whether a server has stated that it takes no more now."""
+    """Return whether a server has stated that it accepts no more now."""
     if backoffs.left_s(servers.backoffs, instance, now) > 0:
         return True
     is_limited = servers.limits.per_s(instance) is not None
@@ -294,9 +299,9 @@
     server: servers_data.Server,
     criteria: servers_data.Wish,
 ) -> bool:
-    """Tell whether a server is in a region that the request may run in.
+    """Return whether a server is in a region that the request may run in.
 
-    One whose zone belongs to no known region is in none.
+    A server whose zone belongs to no known region is in none.
     """
     if criteria.regions is None:
         return True
--- a/beryllug/router/eligible_test.py
+++ b/beryllug/router/eligible_test.py
@@ -1,4 +1,4 @@
-"""Tests of which backend servers a request may be sent to at all."""
+"""Tests of which backend servers a request may be sent to."""
 
 import unittest
 from collections.abc import Mapping
@@ -53,7 +53,7 @@
 
 
 def _table(**parts: object) -> dict[str, object]:
-    """Return a stored route table."""
+    """Return a route table as the store holds it."""
     return {'version': 1, 'limits': {}, **parts}
 
 
@@ -68,7 +68,7 @@
 
 
 class EligibleTest(unittest.TestCase):
-    """A server in each of three zones and one in a zone of no region."""
+    """A server in each of three zones, and one in a zone without a region."""
 
     def setUp(self) -> None:
         lines = log_lines.LineWriter(1)
@@ -84,10 +84,10 @@
         self._list(dict.fromkeys('abcd', 0))
 
     def test_regions(self) -> None:
-        """A request bound to regions goes to none outside of them.
+        """A request that is bound to regions is sent to no other region.
 
-        One whose route and client account leave none is refused, and so is
-        one whose regions have no server: its data must not leave them.
+        It is refused if its route and client account have no region in common,
+        or if its regions have no server: its data must not leave them.
         """
         table: tuple[tuple[Names, str], ...] = (
             ((), 'abcd'),
@@ -102,7 +102,7 @@
         self.assertIs(unavailability.cause, returning.Cause.NO_REGION)
 
     def test_lack(self) -> None:
-        """Why there is no server decides when the caller comes back."""
+        """The reason for having no server decides when the caller retries."""
         table: tuple[tuple[str, Names, int, returning.Cause], ...] = (
             ('abcd', (), 0, returning.Cause.EVACUATED),
             ('abc', (), 1000, returning.Cause.COLD),
@@ -119,13 +119,13 @@
                 )
 
     def test_cold(self) -> None:
-        """A process that knows no fleet yet sends cold servers nothing."""
+        """A process that doesn't know the fleet sends nothing to cold servers."""
         self._list({'a': 0, 'b': 1000})
         self.assertEqual(self._found(_criteria()), 'a')
         self.assertEqual(self._found(_criteria(), now=1), 'ab')
 
     def test_limited(self) -> None:
-        """A session leaves its version as its servers are at their limit."""
+        """A session must not change version because its servers are limited."""
         self._list(dict.fromkeys('abcd', 0), {'c': 'v2'})
         self._limit('c', 1)
         criteria = _criteria()._replace(versions=frozenset(('v2',)))
@@ -142,7 +142,7 @@
                 self.assertEqual(self._found(asked), names)
 
     def test_due(self) -> None:
-        """A caller is told to come back when no server takes a request."""
+        """A caller must not be told to retry before a server accepts requests."""
         self._limit('a', 1)
         self._limit('b', 1)
         for instance, wait_s in (('a', 0.7), ('b', 0.4)):
@@ -153,7 +153,7 @@
         self.assertEqual(unavailability.due_s, 0.4)
 
     def test_backing_off(self) -> None:
-        """A server that wants nothing for some seconds is sent requests."""
+        """A server must be sent no requests while its backoff lasts."""
         self._list(dict.fromkeys('abcd', 0), {'c': 'v2'})
         backoffs.back_off(self.eligible.backoffs, 'c', 3, 0)
         of_v2 = _criteria()._replace(versions=frozenset(('v2',)))
@@ -161,7 +161,7 @@
             (_criteria(), 0, 'abd'),
             (_criteria()._replace(without_limit=True), 2.9, 'abd'),
             (_criteria(), 3, 'abcd'),
-            # A session does not leave its version for that.
+            # A session does not leave its version because of a backoff.
             (of_v2._replace(without_limit=True), 1, ''),
             (of_v2, 1, 'c'),
             (of_v2, 3, 'abcd'),
@@ -177,7 +177,7 @@
             )
 
     def test_all_backing_off(self) -> None:
-        """Callers are not told when the first server wants requests again."""
+        """Callers must be told when the first server's backoff ends."""
         for instance, seconds in zip('abcd', (3, 2, 4, 5), strict=True):
             backoffs.back_off(self.eligible.backoffs, instance, seconds, 0)
         for now, excluded, cause, due_s in (
@@ -194,7 +194,7 @@
                 )
 
     def test_stale_zones(self) -> None:
-        """A peer's older set of evacuated zones changes nothing."""
+        """An older set of evacuated zones from a peer changes nothing."""
         for names, revision, evacuated in (
             ('a', 5, 'a'),
             ('', 4, 'a'),
@@ -206,7 +206,7 @@
 
     def _limit(self, instance: str, per_s: float) -> None:
         news = peering_data.LimitNews(instance, per_s, 0)
-        self.limits.take((news,), 'peer', 0)
+        self.limits.merge_observations((news,), 'peer', 0)
 
     def _list(
         self, cold_ms: dict[str, int], versions: Mapping[str, str] = NO_VERSIONS
@@ -231,10 +231,10 @@
 
 
 class RegionsTest(unittest.TestCase):
-    """What route and client account bind together."""
+    """The regions allowed by a route and a client account together."""
 
     def test_both(self) -> None:
-        """Where both name regions both bind, and nothing may be left."""
+        """If both name regions, the intersection applies; it may be empty."""
         table: tuple[tuple[Names, Names, frozenset[str] | None], ...] = (
             ((), (), None),
             (('west',), (), frozenset(('west',))),
--- a/beryllug/router/flow_parts.py
+++ b/beryllug/router/flow_parts.py
@@ -1,4 +1,4 @@
-"""What both flows work with, wired by the composition root."""
+"""The services that both flows use, wired by the composition root."""
 
 from typing import NamedTuple
 
@@ -11,9 +11,9 @@
     Attributes:
         pool: Chooses backend servers.
         sender: Sends requests to them.
-        trials: Draws versions and counts their answers.
-        log: Takes what became of requests.
-        crashes: Takes connections that broke, and good answers.
+        trials: Chooses versions and counts their answers.
+        log: Logs the results of requests.
+        crashes: Records broken connections and successful answers.
     """
 
     pool: pool.Pool
--- a/beryllug/router/front.py
+++ b/beryllug/router/front.py
@@ -1,7 +1,8 @@
-"""Service 'front': callers' requests, readiness, and a stop that cuts nothing.
+"""Service 'front': callers' requests, readiness and graceful shutdown.
 
-On a stop readiness fails first; requests are still taken until the balancer
-has surely noticed, then refused as "not run", and those in flight end.
+On shutdown the readiness check fails first. Requests are still accepted until
+the balancer has surely noticed, then refused as "not run", while those in
+flight run to their end.
 """
 
 import asyncio
@@ -24,15 +25,15 @@
 from beryllug.router import call as call_data
 
 OK = 200
-# Seconds between two questions of the balancer, which takes a process out
-# after two that were not answered well.
+# Seconds between two health checks of the balancer, which removes a process
+# after two failures.
 HEALTH_CHECK_INTERVAL_S = 1.0
-# Seconds for which requests are still taken after a stop was asked for: two
-# questions, and one more for a connection that was made just before.
+# Seconds for which requests are still accepted after a stop was requested: two
+# health checks, and one more for a connection that was made just before.
 DRAIN_ACCEPT_S = 3 * HEALTH_CHECK_INTERVAL_S
-# Seconds before the platform kills the process by which it has ended itself.
+# Seconds by which shutdown ends before the platform kills the process.
 KILL_MARGIN_S = 0.5
-# A caller that does not say how long it waits is taken to wait this long.
+# Assumed timeout of a caller that states none.
 DEFAULT_CALLER_TIMEOUT_S = 60.0
 DRAIN_POLL_S = 0.05
 STOPPING = returning.Lack(returning.Cause.STOPPING)
@@ -42,7 +43,7 @@
 
 
 class Flows(NamedTuple):
-    """What serves a request, by its kind, and what it must pass first."""
+    """The flows that serve requests, and the crash check before them."""
 
     plain: plain_flow.PlainFlow
     streams: stream_flow.StreamFlow
@@ -50,7 +51,7 @@
 
 
 class Front:
-    """Takes callers' requests and gives them to the flow of their kind."""
+    """Accepts callers' requests and passes them to the matching flow."""
 
     def __init__(
         self,
@@ -60,14 +61,14 @@
         request_log: attempt_log.AttemptLog,
         listener: socket.socket | None = None,
     ) -> None:
-        """Make the service; `start` opens its sockets.
+        """Create the service; `start` opens its sockets.
 
         Args:
             cfg: Settings of the role.
-            known: What is known from the store.
+            known: The knowledge from the store.
             flows: What serves a request.
-            told: Takes log lines of requests.
-            listener: Listens for callers already, or None.
+            request_log: Writes the log lines of requests.
+            listener: A socket that already listens for callers, or None.
         """
         self._listener = listener
         self._cfg = cfg
@@ -82,13 +83,13 @@
         known.on_table(self._take_table)
 
     async def start(self) -> None:
-        """Listen for callers and for the balancer's questions."""
+        """Listen for callers and for the balancer's health checks."""
         await self._readiness.start(*_parse_address(self._cfg.ready))
         callers = _parse_address(self._cfg.listen)
         await self._server.start(*callers, self._listener)
 
     async def stop(self, grace_s: float) -> None:
-        """Stop without cutting a request off."""
+        """Stop without cutting off a request."""
         stop_started = time.monotonic()
         self._stopping_at = stop_started
         self._server.drain()
@@ -100,14 +101,14 @@
         await self._readiness.stop()
 
     def dump(self) -> dict[str, Any]:
-        """Return requests in flight and counts by what they got."""
+        """Return the number of requests in flight and the stopping flag."""
         return {
             'in_flight': self._server.in_flight,
             'stopping': self._stopping_at is not None,
         }
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send requests here."""
+        """Return whether the balancer should send requests here."""
         return self._stopping_at is None and self._known.is_ready()
 
     def _take_table(self, table: routes_data.RouteTable) -> None:
@@ -189,7 +190,7 @@
     def _current_table(
         self, now: float, caller_timeout_s: float
     ) -> routes_data.RouteTable:
-        """Return the table in force, if new work is taken at all."""
+        """Return the table in force, or refuse if no new work is accepted."""
         if self._is_refusing_new(now):
             raise call_data.RefusedError(
                 call_data.UNAVAILABLE,
--- a/beryllug/router/judge.py
+++ b/beryllug/router/judge.py
@@ -1,9 +1,10 @@
-"""Service 'judge': brings roll-outs to their end.
+"""Service 'judge': decides and stores the results of rollouts.
 
-Every process judges what it has been told; the judges of a roll-out, chosen
-by a hash over the living processes, are told everything and write the
-verdict to the store. The write holds only if the order has not changed since,
-so of two that write the second is refused and takes what stands there.
+Every process evaluates the evidence it has received. The judges of a rollout,
+chosen by a hash over the live processes, receive all evidence and write the
+verdict to the store. The write succeeds only if the order has not changed
+since, so the second of two writes is refused and that process adopts the stored
+verdict.
 """
 
 import asyncio
@@ -16,18 +17,19 @@
 from beryllug.platform import documents, store
 from beryllug.router import peering, rollout_state, sharing, trials
 
-# Seconds between two looks at each open roll-out. A verdict is due in all
+# Seconds between two evaluations of each open rollout. A verdict is due in all
 # processes seconds after the evidence for it.
 PERIOD_S = 0.25
-# Seconds that the second judge waits for the first one's word, and any other
-# process for the second one's. Where the store turned both away, a process that
-# waited for twice 0.4 s wrote a fifth of a second before the order's time was
-# over, which came too late. Of two that write the second is refused.
+# Seconds that the second judge waits for the first one's verdict, and any other
+# process for the second one's. When the store refused both judges, a process
+# that waited for twice 0.4 s wrote a fifth of a second before the order's time
+# was over, which was too late. If two processes write, the second write is
+# refused.
 TAKEOVER_DELAY_S = 0.2
 
 
 class Judge:
-    """Writes how roll-outs end."""
+    """Writes the results of rollouts to the store."""
 
     def __init__(
         self,
@@ -37,7 +39,7 @@
         api: store.Store,
         lines: log_lines.LineWriter,
     ) -> None:
-        """Bind to the evidence and the store."""
+        """Bind to the evidence, the peers and the store."""
         self._trials = canaries
         self._peers = peers
         self._notes = notes
@@ -47,22 +49,22 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start to judge."""
+        """Start to evaluate rollouts."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self, grace_s: float) -> None:
-        """Stop to judge; a peer stands in."""
+        """Stop evaluating; a peer takes over."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def dump(self) -> dict[str, Any]:
-        """Return since when verdicts are due that are not yet stored."""
+        """Return since when each verdict that is not yet stored is due."""
         return dict(self._due_since)
 
     async def _run(self) -> None:
         while True:
-            # Without a roll-out there is nothing to look at, and each look
+            # Without a rollout there is nothing to evaluate, and each iteration
             # wakes the process.
             await self._trials.ordered.wait()
             await asyncio.sleep(PERIOD_S)
@@ -102,7 +104,7 @@
         if self._peers.is_judge(service, 0):
             rank = 0
         elif not self._peers.is_judge(service, rank):
-            # Neither judge may be left; any process then stands in.
+            # Both judges may be gone; any process then takes over.
             rank = peering.JUDGES
         if now - due_since < rank * TAKEOVER_DELAY_S:
             return
@@ -121,7 +123,8 @@
                 documents.order_status(order.target, phase),
             )
         except object_data.ObjectApiError as exc:
-            # A conflict is settled by the watch, which brings what stands.
+            # After a conflict, the watch on the store delivers the stored
+            # verdict.
             self._lines.write(
                 'verdict_not_stored', service=order.service, error=str(exc)
             )
@@ -149,7 +152,7 @@
 
 
 def _counts_by_route(routes: dict[str, canary_data.Seen]) -> dict[str, Any]:
-    """Return good and bad answers by route, as the log has them."""
+    """Return good and bad answers by route, in the form of the log."""
     return {
         route: {
             'new': {
--- a/beryllug/router/larger.py
+++ b/beryllug/router/larger.py
@@ -1,7 +1,7 @@
-"""Whether the larger model is asked after an unsure answer of the smallest.
+"""The decision to ask the larger model after an answer of low confidence.
 
-What is expected of its answer is put together here from what the pool knows;
-the decision itself is `core.placement.sizes`.
+This module derives the forecast for the larger model's answer from the state of
+the pool; the decision itself is `core.placement.sizes`.
 """
 
 import time
@@ -12,16 +12,17 @@
 from beryllug.router import attempts, dispatch, pool, stream_state
 from beryllug.router import call as call_data
 
-# Times the expected length for which there must be time, up to the most that
-# the caller allows: its estimate is right at the median and far off for some.
+# Factor on the expected length for which there must be time, up to the maximum
+# that the caller allows: the estimate is right at the median and far off for
+# some answers.
 LENGTH_MARGIN = 3.0
 
 
 class LargerModel:
-    """Decides for streams, and learns how late larger models begin."""
+    """Decides for streams, and records how late larger models begin."""
 
     def __init__(self, servers: pool.Pool) -> None:
-        """Bind to the pool, which knows what runners have to do."""
+        """Bind to the pool, which knows the backlog of model runners."""
         self._pool = servers
 
     def decide(
@@ -30,7 +31,7 @@
         stream: stream_state.Stream,
         head: requests.Head,
     ) -> sizes.Why:
-        """Tell whether the largest model is asked, where there is room."""
+        """Decide whether to ask the largest model, if capacity permits."""
         route = call.route
         why = sizes.judge(
             route.models,
@@ -66,7 +67,7 @@
         choice: pool.Choice,
         outcome: dispatch.Outcome,
     ) -> None:
-        """Count how late a larger model's answer began, or was given up."""
+        """Record how late a larger model's answer began or timed out."""
         if not stream.size or not isinstance(
             outcome, dispatch.Answered | dispatch.TimedOut
         ):
@@ -83,7 +84,7 @@
     def _forecast(
         self, call: call_data.Call, stream: stream_state.Stream
     ) -> sizes.Outlook:
-        """Return what is expected of the largest model's answer."""
+        """Return the forecast for the largest model's answer."""
         largest = len(call.route.models) - 1
         criteria = attempts.criteria(
             call, stream.progress, stream_state.prompt(call, largest)
@@ -108,7 +109,7 @@
 
 
 def _max_answer_tokens(asked: requests.Asked) -> int:
-    """Return the tokens that an answer hardly has more of."""
+    """Return a number of tokens that an answer rarely exceeds."""
     longest = round(LENGTH_MARGIN * asked.tokens_out)
     if not asked.most_tokens_out:
         return longest
--- a/beryllug/router/pins.py
+++ b/beryllug/router/pins.py
@@ -1,4 +1,4 @@
-"""Which version each session runs on, here and at peers."""
+"""Session pins: the version that each session runs on, here and at peers."""
 
 import time
 from collections.abc import Iterable
@@ -7,19 +7,19 @@
 
 
 class Pins:
-    """Keeps the versions that sessions run on, and tells peers of some.
+    """Keeps the versions that sessions run on, and queues some for peers.
 
     Attributes:
-        sessions: They, and what peers are still to be told of.
+        sessions: The pinned sessions, and those that peers must be told of.
     """
 
     def __init__(self, bounds: canary_data.Bounds) -> None:
-        """Begin without sessions."""
+        """Start without sessions."""
         self.sessions = sessions.Sessions()
         self._bounds = bounds
 
     def dump(self) -> dict[str, int]:
-        """Return counts."""
+        """Return the numbers of pinned and of queued sessions."""
         return {
             'sessions': len(self.sessions.pins),
             'untold': len(self.sessions.untold),
@@ -32,11 +32,12 @@
         return sessions.pinned(self.sessions, service, session, session_s, now)
 
     def record_run(self, told: sessions.Told, *, is_rollout_open: bool) -> None:
-        """Note the version on which a request of a session runs.
+        """Record the version on which a request of a session runs.
 
         Args:
             told: The session and the version.
-            is_rollout_open: Whether a roll-out draws sessions of the service now.
+            is_rollout_open: Whether a rollout selects sessions of the service
+                now.
         """
         now = time.monotonic()
         sessions.ran(self.sessions, *told, now)
@@ -44,23 +45,24 @@
             self._queue(told)
 
     def take(self, told: Iterable[sessions.Told]) -> None:
-        """Take the versions that sessions run on at peers."""
+        """Record the versions that sessions run on at peers."""
         now = time.monotonic()
         for each in told:
             sessions.ran(self.sessions, *each, now)
 
     def queue_sessions(self, service: str) -> None:
-        """Tell peers of the sessions of a service, as a roll-out begins."""
+        """Queue a service's sessions for peers when a rollout begins."""
         now = time.monotonic()
         session_s = self._bounds.session_s
         for told in sessions.of_service(self.sessions, service, session_s, now):
             self._queue(told)
 
     def _queue(self, told: sessions.Told) -> None:
-        """Tell peers of a session that each of them might draw.
+        """Queue a session for peers, if the rollout might select it there.
 
-        One that comes by another process would else be drawn anew there and
-        leave its version. The others are drawn nowhere.
+        A process that receives such a session without knowing its pin would
+        select it anew and change its version. No process selects the other
+        sessions.
         """
         if plan.is_drawn(told.session, self._bounds):
             self.sessions.untold[told] = None
--- a/beryllug/router/plain_flow.py
+++ b/beryllug/router/plain_flow.py
@@ -1,7 +1,7 @@
-"""Requests with a short answer: it is read whole before any of it goes out.
+"""Requests with a short answer, which is read whole before it is sent on.
 
-So an answer that breaks off is never taken for a whole one, and a request
-that may run twice is tried again without its caller noticing.
+An answer that is cut off is thus never delivered as complete, and a request
+that may run twice is retried without its caller noticing.
 """
 
 import asyncio
@@ -20,9 +20,8 @@
 )
 from beryllug.router import call as call_data
 
-# A server that has not answered a request, which may run twice, after so many
-# times the time that its answer is due in is given up for another one. The
-# slowest sound answers of a short call take five times the mean.
+# Timeout of an attempt that may be retried, in multiples of the route's target
+# time. The slowest valid answers of a short call take five times the mean.
 ANSWER_TIMEOUT_TARGETS = 3.0
 
 
@@ -39,7 +38,7 @@
     """Serves requests whose answer is not a stream."""
 
     def __init__(self, parts: flow_parts.FlowParts) -> None:
-        """Bind to the services it uses."""
+        """Bind to the services of the flow."""
         self._pool = parts.pool
         self._sender = parts.sender
         self._trials = parts.trials
@@ -52,7 +51,7 @@
         """Serve a request to its end.
 
         Raises:
-            RefusedError: It gets an answer of our own.
+            RefusedError: The router itself answers it with an error.
         """
         self._pool.repeats.count_request(call.service)
         progress = attempts.Progress(self._trials.choose_versions(call))
@@ -81,7 +80,8 @@
             if not attempts.may_retry(call, progress, self._pool, now):
                 break
         if failure is not None:
-            # The server's own failure tells its caller more than ours.
+            # The server's own failure tells its caller more than the router's
+            # error.
             await self._deliver(call, failure, exchange)
             return
         raise attempts.final_error(call, progress, time.monotonic())
@@ -149,11 +149,11 @@
                     self._pool.succeeded(choice)
                     self._crashes.answered(call)
                 elif status != call_data.GATEWAY_TIMEOUT:
-                    # At the time limit the request was long, not the server
-                    # at fault.
+                    # At the deadline the request took too long; the server is
+                    # not at fault.
                     self._pool.failed(choice, points=suspicion.STATED)
                 took = rollout_state.Timing('whole', took_s)
-                self._trials.judged(
+                self._trials.count_answer(
                     call,
                     choice,
                     is_good=is_good,
@@ -192,7 +192,7 @@
     try:
         body = await incoming.read()
     except http_data.BrokenError as exc:
-        return dispatch.Unknown(f'the answer broke off: {exc}')
+        return dispatch.Unknown(f'the answer ended early: {exc}')
     finally:
         incoming.close()
     headers = requests.returned(incoming.headers)
--- a/beryllug/router/pool.py
+++ b/beryllug/router/pool.py
@@ -1,6 +1,6 @@
 """Service 'pool': the choice of a backend server for each attempt.
 
-It owns what this process saw of the servers: its own requests on each, and
+Keeps what this process observes of the servers: its own requests on each, and
 their failures.
 """
 
@@ -20,25 +20,26 @@
 from beryllug.router import eligible, repeats
 
 
-# Servers with a limit that are asked for one attempt, each a round trip.
+# Maximum number of servers with a limit that are asked for a permit in one
+# attempt; each costs a round trip.
 MAX_CLAIMS = 3
 
 
 class _Selection(NamedTuple):
-    """The best server for an attempt, and those that it was chosen from."""
+    """The best server for an attempt, and the servers it was chosen from."""
 
     server: servers_data.Server
     servers: list[servers_data.Server]
 
 
 class Choice(NamedTuple):
-    """A server that was chosen.
+    """A server that was chosen for an attempt.
 
     Attributes:
         server: The server.
-        begun_at: Monotonic second at which the request was counted on it.
+        started_at: Monotonic second at which the request was counted on it.
         number: Number of the prompt in the backlog, or 0.
-        first_s: Seconds until it is expected to begin to answer.
+        first_s: Expected seconds until it begins to answer.
     """
 
     server: servers_data.Server
@@ -48,7 +49,7 @@
 
 
 class Pool:
-    """Chooses servers and keeps count of what was sent to them."""
+    """Chooses servers and counts the requests sent to them."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
         zone: str,
         bound: retry_window.Bound,
     ) -> None:
-        """Bind to the servers that take requests."""
+        """Bind to the servers that accept requests."""
         self.eligible = servers
         self._zone = zone
         self._state = balance_data.BalanceState()
@@ -69,13 +70,13 @@
         self.repeats = repeats.Repeats(bound, self.others)
 
     async def start(self) -> None:
-        """Do nothing: it is driven by requests."""
+        """Do nothing: the service is driven by requests."""
 
     async def stop(self, grace_s: float) -> None:
-        """Do nothing: it holds no socket and no task."""
+        """Do nothing: the service holds no socket and no task."""
 
     def dump(self) -> dict[str, Any]:
-        """Return what was seen of each server."""
+        """Return the observations of each server."""
         return {
             instance: {
                 'in_flight': seen.in_flight,
@@ -86,7 +87,7 @@
         }
 
     def subjects(self, now: float) -> dict[str, load_sums.Load]:
-        """Return what this process counts beside servers, to tell others."""
+        """Return counts other than server loads, to send to peers."""
         return self.repeats.shared_counts(now) | lateness.told(
             self.lateness, now
         )
@@ -96,9 +97,10 @@
         return self.eligible.versions(service, time.monotonic())
 
     async def choose(self, criteria: servers_data.Wish) -> Choice | None:
-        """Choose a server and count the request on it; None without one.
+        """Choose a server and count the request on it; None if there is none.
 
-        A server with a limit must permit it first; others are asked in turn.
+        A server with a rate limit must first grant a permit; if it does not,
+        other servers are asked in turn.
         """
         limits = self.eligible.limits
         for _ in range(MAX_CLAIMS):
@@ -109,7 +111,7 @@
             if limits.per_s(instance) is None:
                 return self._assign(selection, criteria)
             is_permitted = await limits.claim(instance)
-            # Things may have changed meanwhile.
+            # The server's state may have changed during the claim.
             now = time.monotonic()
             if is_permitted and self.eligible.still_accepts(
                 selection.server, criteria, now
@@ -119,10 +121,10 @@
         return selection and self._assign(selection, criteria)
 
     def expected(self, criteria: servers_data.Wish) -> backlog.Expected:
-        """Return when a prompt's answer would begin, where that is soonest."""
+        """Return the earliest time at which a prompt's answer would begin."""
         prompt = criteria.prompt
         now = time.monotonic()
-        # One with a limit may permit no more when it is asked.
+        # Servers with a limit are left out: they may refuse the permit.
         unlimited, _ = self.eligible.candidates(
             criteria._replace(without_limit=True), now
         )
@@ -144,12 +146,12 @@
         )
 
     def answer_started(self, choice: Choice) -> None:
-        """Take that a server has begun to answer a prompt."""
+        """Record that a server has begun to answer a prompt."""
         instance = choice.server.instance
         backlog.answers(self.reading, instance, choice.number, time.monotonic())
 
     def request_ended(self, choice: Choice) -> None:
-        """Count the end of a request on a server, however it ended."""
+        """Count the end of a request on a server, whatever its outcome."""
         now = time.monotonic()
         instance = choice.server.instance
         server_load.finished(self._state, instance, now)
@@ -164,15 +166,15 @@
         is_gone: bool = False,
         points: float = suspicion.BROKEN,
     ) -> None:
-        """Take a failure that the server is to blame for.
+        """Record a failure that the server is responsible for.
 
-        A server that can't be reached is out at once: each further try would
-        cost a request one of its few attempts.
+        An unreachable server is ejected at once: each further try would cost a
+        request one of its few attempts.
 
         Args:
             choice: The server.
             is_gone: Whether it could not be reached.
-            points: How much it is to be avoided for it.
+            points: Weight of the failure in the server's suspicion score.
         """
         now = time.monotonic()
         instance = choice.server.instance
@@ -184,12 +186,12 @@
             ejection.eject(seen, now, ejection.MOST_FAILING_S)
 
     def succeeded(self, choice: Choice) -> None:
-        """Take a sound answer."""
+        """Record a successful answer."""
         seen = server_load.track(self._state, choice.server.instance)
         ejection.succeeded(seen, 1)
 
     def _best(self, criteria: servers_data.Wish) -> _Selection | None:
-        """Return the best server for an attempt; None without one."""
+        """Return the best server for an attempt; None if there is none."""
         now = time.monotonic()
         for servers in self.eligible.candidates(criteria, now):
             server = choose.choose(
--- a/beryllug/router/pool_test.py
+++ b/beryllug/router/pool_test.py
@@ -1,4 +1,4 @@
-"""Tests of what a process keeps count of at its servers."""
+"""Tests of the counts that a process keeps of its servers."""
 
 import asyncio
 import unittest
@@ -49,7 +49,7 @@
 
 
 class PoolTest(unittest.TestCase):
-    """One process before two servers."""
+    """One process with two servers."""
 
     def setUp(self) -> None:
         listed = server_list.ServerList(1, log_lines.LineWriter(1))
@@ -62,10 +62,10 @@
         )
 
     def test_counts(self) -> None:
-        """Each prompt counts at its server until it ends, however it does.
+        """A prompt counts at its server until it ends, whatever its outcome.
 
-        One that is not counted down makes its server look full for ever: it
-        gets less, and nobody sees why.
+        If one is not counted down, its server looks full for ever and receives
+        fewer requests, with no visible cause.
         """
         for prompt, expected in ((PROMPT, 1), (None, 0)):
             with self.subTest(prompt):
@@ -80,7 +80,7 @@
                 self.assertEqual(self.pool.reading.items, {})
 
     def test_full(self) -> None:
-        """A prompt passes by the server whose places peers say are taken."""
+        """A prompt avoids a server whose slots are full according to peers."""
         home = self._choose(_criteria(PROMPT))
         self.pool.request_ended(home)
         key = load_sums.key_of(home.server.instance)
@@ -90,7 +90,7 @@
         self.assertNotEqual(other.server.instance, home.server.instance)
 
     def test_failed(self) -> None:
-        """A server that can't be reached is out at once, for all requests."""
+        """An unreachable server is ejected at once, for all requests."""
         choice = self._choose(_criteria(None))
         self.pool.request_ended(choice)
         self.pool.failed(choice, is_gone=True)
@@ -99,7 +99,7 @@
             self.assertNotEqual(other.server, choice.server)
 
     def test_repeats(self) -> None:
-        """Larger models leave a part of the bound to what failed."""
+        """Larger models leave a part of the repeat bound to failed requests."""
         may: dict[retry_window.Use, int] = {}
         for use in (retry_window.Use.LARGER, retry_window.Use.FAILED):
             self.setUp()
--- a/beryllug/router/refusals.py
+++ b/beryllug/router/refusals.py
@@ -1,26 +1,27 @@
-"""Entries of the store that can't be read, logged once each.
+"""Logs invalid entries of the store, each one once.
 
-Another writer may put anything into the kinds that this system follows, and a
-list that holds such an entry is read again and again.
+Other writers may store anything in the kinds that this system watches, and a
+list that contains an invalid entry is read again and again.
 """
 
 from beryllug.kernel import log_lines
 
-# Entries whose last error is remembered; of more, some are logged again.
+# Maximum number of entries whose last error is remembered; beyond it, some are
+# logged again.
 MAX_REMEMBERED = 1000
 
 
 class Refusals:
-    """Logs each refused entry once, until it is accepted or differs."""
+    """Logs each invalid entry once, until it is valid or has changed."""
 
     def __init__(self, event: str, lines: log_lines.LineWriter) -> None:
-        """Bind to the log; `event` names its lines."""
+        """Bind to the log; `event` is the event name of its lines."""
         self._event = event
         self._lines = lines
         self._errors: dict[str, str] = {}
 
     def refused(self, name: str, error: str) -> None:
-        """Log that an entry names nothing that can be used."""
+        """Log that an entry cannot be used, unless this error was logged."""
         if self._errors.get(name) == error:
             return
         self._errors[name] = error
@@ -29,5 +30,5 @@
         self._lines.write(self._event, name=name, error=error)
 
     def accepted(self, name: str) -> None:
-        """Take that an entry is sound, or is gone."""
+        """Record that an entry is valid or was removed."""
         self._errors.pop(name, None)
--- a/beryllug/router/repeats.py
+++ b/beryllug/router/repeats.py
@@ -1,6 +1,6 @@
 """Repeats: requests that are sent to one more server of their service.
 
-What is counted here is told to the other processes with the loads of servers.
+The counts are sent to the other processes together with the server loads.
 """
 
 import time
@@ -10,16 +10,16 @@
 
 
 class Repeats:
-    """Keeps this process to the fleet's bound on repeats.
+    """Keeps this process within the fleet's bound on repeats.
 
     Attributes:
-        processes: Processes of the fleet, this one too.
+        processes: Number of processes in the fleet, including this one.
     """
 
     def __init__(
         self, bound: retry_window.Bound, others: load_sums.Others
     ) -> None:
-        """Bind to the bound, and to what the other processes have sent."""
+        """Bind to the bound, and to the counts of the other processes."""
         self.processes = 1
         self._bound = bound
         self._others = others
@@ -34,11 +34,11 @@
         service: str,
         use: retry_window.Use = retry_window.Use.FAILED,
     ) -> bool:
-        """Tell whether a request may be sent to one more server.
+        """Return whether a request may be sent to one more server.
 
         Args:
             service: Its service.
-            use: What the further server is for.
+            use: The purpose of the further server.
         """
         now = time.monotonic()
         told = load_sums.on_subject(self._others, _subject(service), now)
@@ -55,7 +55,7 @@
         retry_window.repeated(self._window(service), time.monotonic())
 
     def shared_counts(self, now: float) -> dict[str, load_sums.Load]:
-        """Return the requests and repeats of each service, to tell others."""
+        """Return the requests and repeats of each service, to send to peers."""
         sent = {
             service: retry_window.sent(window, self._bound, now)
             for service, window in self._windows.items()
--- a/beryllug/router/rollout_state.py
+++ b/beryllug/router/rollout_state.py
@@ -33,8 +33,8 @@
         is_stored: Whether its result is in the store.
         tally: The counts of this process.
         others: The counts reported by other processes, by their names.
-        has_news: Whether the new version has answered since the last report
-        to the judges.
+        has_news: Whether the new version has answered since the last report to
+            the judges.
         told_at: Monotonic second of that report.
         lowest: The lowest scores of the version's failures so far.
         dither: Random fraction of a request that this process may send on trial
--- a/beryllug/router/server_limits.py
+++ b/beryllug/router/server_limits.py
@@ -30,7 +30,7 @@
         permits: The permits that this process has granted or was refused.
         claim: Requests a permit to send a request to a server.
         on_changed: Called when this process observes that a limit begins or
-        ends.
+            ends.
     """
 
     def __init__(self, name: str, lines: log_lines.LineWriter) -> None:
@@ -70,7 +70,7 @@
         yield metrics_data.Sample(
             'servers_limited',
             len(server_limits.limited(self.known)),
-            'Backend servers that name a limit on requests a second.',
+            'Backend servers that state a limit on requests per second.',
         )
 
     def per_s(self, instance: str) -> float | None:
@@ -91,15 +91,15 @@
             self._changed.add(instance)
             self.on_changed()
 
-    def take(
+    def merge_observations(
         self, told: Iterable[peering_data.LimitNews], source: str, now: float
     ) -> None:
         """Merge recent observations of another process."""
         for news in told:
             if news.ago_s < server_limits.ENDED_S:
-                self.take_observation(news, source, now)
+                self.merge_observation(news, source, now)
 
-    def take_observation(
+    def merge_observation(
         self, news: peering_data.LimitNews, source: str, now: float
     ) -> None:
         """Merge an observation of another process, whatever its age."""
@@ -108,7 +108,7 @@
         if server_limits.take_remote(self.known, news.instance, seen):
             self._log(news.instance, before, source)
 
-    def news(self, instance: str, now: float) -> peering_data.LimitNews:
+    def observation(self, instance: str, now: float) -> peering_data.LimitNews:
         """Return the observation of a server, to send to another process.
 
         If there is none, the age is infinite.
@@ -121,7 +121,7 @@
         """Return limits that began or ended since the last call."""
         told = sorted(self._changed)[:MAX_CHANGED]
         self._changed.difference_update(told)
-        return tuple(self.news(each, now) for each in told)
+        return tuple(self.observation(each, now) for each in told)
 
     def recent(self, now: float) -> tuple[peering_data.LimitNews, ...]:
         """Return some recently observed limits, to send to a peer."""
@@ -131,7 +131,7 @@
             if now - self.known.observed[instance].at < server_limits.ENDED_S
         ]
         chosen = self._rng.sample(known, min(MAX_RECENT, len(known)))
-        return tuple(self.news(each, now) for each in chosen)
+        return tuple(self.observation(each, now) for each in chosen)
 
     def forget(self, listed: Iterable[servers_data.Server], now: float) -> None:
         """Forget limits that have ended and servers that are gone."""
--- a/beryllug/router/stream_flow.py
+++ b/beryllug/router/stream_flow.py
@@ -197,7 +197,7 @@
         except TimeoutError:
             return dispatch.TimedOut('the stream did not end in time')
         except http_data.BrokenError as exc:
-            return dispatch.Unknown(f'the stream broke off: {exc}')
+            return dispatch.Unknown(f'the stream ended early: {exc}')
         finally:
             outcome.incoming.close()
 
@@ -269,12 +269,12 @@
                 self._crashes.answered(call)
                 self._record_length(call, stream)
                 took = stream_state.answer_timings(call, stream, choice)
-                self._trials.judged(call, choice, is_good=True, took=took)
+                self._trials.count_answer(call, choice, is_good=True, took=took)
             case stream_state.Failure(status):
                 is_good = status < dispatch.SERVER_ERROR
                 if not is_good and status != call_data.GATEWAY_TIMEOUT:
                     self._pool.failed(choice, points=suspicion.STATED)
-                self._trials.judged(call, choice, is_good=is_good)
+                self._trials.count_answer(call, choice, is_good=is_good)
             case dispatch.NotRun(_, is_gone):
                 if is_gone:
                     self._pool.failed(choice, is_gone=True)
--- a/beryllug/router/stream_state.py
+++ b/beryllug/router/stream_state.py
@@ -188,7 +188,7 @@
     """Return the form of an outcome for the log."""
     match outcome:
         case Larger(size):
-            return f'unsure, size {size} is asked instead'
+            return f'low confidence, size {size} is asked instead'
         case Failure(status):
             return status
         case Done():
--- a/beryllug/router/trials.py
+++ b/beryllug/router/trials.py
@@ -197,7 +197,7 @@
             is_rollout_open=rollout is not None and rollout.is_open,
         )
 
-    def judged(
+    def count_answer(
         self,
         call: call_data.Call,
         choice: pool.Choice,
@@ -258,7 +258,7 @@
     def _is_selected(
         self, call: call_data.Call, rollout: rollout_state.Rollout
     ) -> bool:
-        """Return whether a request without a pinned version tries the new one."""
+        """Return whether a request without a pin tries the new version."""
         age_s = time.monotonic() - rollout.started_at
         if age_s < SESSION_SYNC_S:
             return False
@@ -279,7 +279,7 @@
     order: canary_data.Order,
     now: float,
 ) -> rollout_state.Rollout:
-    """Return a new rollout, or one that the store lost and restored."""
+    """Return a new rollout, or one known from before a store restore."""
     while len(replaced) > MAX_REPLACED:
         replaced.pop(next(iter(replaced)))
     known = replaced.pop((order.service, order.target), None)
--- a/beryllug/router/trials_test.py
+++ b/beryllug/router/trials_test.py
@@ -98,7 +98,7 @@
                 self.assertEqual(found.new_times, {'i-2': times})
 
     def test_phases(self) -> None:
-        """The phase decides the versions of all requests, and those of retries."""
+        """The phase decides the versions of all requests and of retries."""
         table: tuple[
             tuple[Phase, frozenset[str], frozenset[str] | None], ...
         ] = (
@@ -152,7 +152,7 @@
         self.assertEqual(self._trial_sessions(range(SESSIONS)), [])
 
     def test_bad(self) -> None:
-        """A version that fails here gets no more requests before any verdict."""
+        """A version that fails here gets no more requests at once."""
         for instance in ('n1', 'n2'):
             seen = canary_data.evidence(self.rollout.tally, 'chat')
             seen.answers[instance] = canary_data.Answers(0, 2)
