--- a/beryllug/router/attempts_test.py
+++ b/beryllug/router/attempts_test.py
@@ -72,9 +72,9 @@
                 True,
                 502,
             ),
-            ('connection broke', {'may_have_run': True}, False, False, 502),
+            ('broken midway', {'may_have_run': True}, False, False, 502),
             (
-                'connection broke, repeatable',
+                'broken midway, repeatable',
                 {'may_have_run': True},
                 True,
                 True,
--- a/beryllug/router/dispatch.py
+++ b/beryllug/router/dispatch.py
@@ -179,5 +179,5 @@
         return Unknown(f'the server answered {head.status}')
     is_success = OK <= head.status < REDIRECT
     if is_success and (not head.is_sealed or head.is_encoded):
-        return Unknown('the answer lacks a seal, or its body is encoded')
+        return Unknown("the answer is not the server's own")
     return None
--- a/beryllug/router/eligible_test.py
+++ b/beryllug/router/eligible_test.py
@@ -119,7 +119,7 @@
                 )
 
     def test_cold(self) -> None:
-        """A process that doesn't know the fleet sends nothing to cold servers."""
+        """A process that doesn't know the fleet skips cold servers."""
         self._list({'a': 0, 'b': 1000})
         self.assertEqual(self._found(_criteria()), 'a')
         self.assertEqual(self._found(_criteria(), now=1), 'ab')
@@ -142,7 +142,7 @@
                 self.assertEqual(self._found(asked), names)
 
     def test_due(self) -> None:
-        """A caller must not be told to retry before a server accepts requests."""
+        """A caller must not be told to retry before a server has room."""
         self._limit('a', 1)
         self._limit('b', 1)
         for instance, wait_s in (('a', 0.7), ('b', 0.4)):
