--- a/beryllug/router/eligible_test.py
+++ b/beryllug/router/eligible_test.py
@@ -1,4 +1,4 @@
-"""Tests of which backend servers a request may be sent to at all."""
+"""Tests of which backend servers a request may be sent to."""
 
 import unittest
 from collections.abc import Mapping
@@ -53,11 +53,11 @@
 
 
 def _table(**parts: object) -> dict[str, object]:
-    """Return a stored route table."""
+    """Return a route table as the store holds it."""
     return {'version': 1, 'limits': {}, **parts}
 
 
-def _wish(*regions: str, excluded: Names = ()) -> servers_data.Wish:
+def _criteria(*regions: str, excluded: Names = ()) -> servers_data.Wish:
     return servers_data.Wish(
         DESK,
         None,
@@ -68,7 +68,7 @@
 
 
 class EligibleTest(unittest.TestCase):
-    """A server in each of three zones and one in a zone of no region."""
+    """A server in each of three zones, and one in a zone without a region."""
 
     def setUp(self) -> None:
         lines = log_lines.LineWriter(1)
@@ -84,10 +84,10 @@
         self._list(dict.fromkeys('abcd', 0))
 
     def test_regions(self) -> None:
-        """A request bound to regions goes to none outside of them.
+        """A request that is bound to regions is sent to no other region.
 
-        One whose route and client account leave none is refused, and so is
-        one whose regions have no server: its data must not leave them.
+        It is refused if its route and client account have no region in common,
+        or if its regions have no server: its data must not leave them.
         """
         table: tuple[tuple[Names, str], ...] = (
             ((), 'abcd'),
@@ -97,12 +97,12 @@
         )
         for regions, names in table:
             with self.subTest(regions):
-                self.assertEqual(self._found(_wish(*regions)), names)
-        lack = self.eligible.lack(_wish('north'), 0)
-        self.assertIs(lack.cause, returning.Cause.NO_REGION)
+                self.assertEqual(self._found(_criteria(*regions)), names)
+        unavailability = self.eligible.unavailability(_criteria('north'), 0)
+        self.assertIs(unavailability.cause, returning.Cause.NO_REGION)
 
     def test_lack(self) -> None:
-        """Why there is no server decides when the caller comes back."""
+        """The reason for having no server decides when the caller retries."""
         table: tuple[tuple[str, Names, int, returning.Cause], ...] = (
             ('abcd', (), 0, returning.Cause.EVACUATED),
             ('abc', (), 1000, returning.Cause.COLD),
@@ -113,26 +113,28 @@
                 self.setUp()
                 self._list(dict.fromkeys('abcd', cold_ms))
                 self.zones.take(evacuated, 5, 'peer', 0)
-                wish = _wish(excluded=excluded)
-                self.assertIs(self.eligible.lack(wish, 0).cause, cause)
+                criteria = _criteria(excluded=excluded)
+                self.assertIs(
+                    self.eligible.unavailability(criteria, 0).cause, cause
+                )
 
     def test_cold(self) -> None:
-        """A process that knows no fleet yet sends cold servers nothing."""
+        """A process that doesn't know the fleet skips cold servers."""
         self._list({'a': 0, 'b': 1000})
-        self.assertEqual(self._found(_wish()), 'a')
-        self.assertEqual(self._found(_wish(), now=1), 'ab')
+        self.assertEqual(self._found(_criteria()), 'a')
+        self.assertEqual(self._found(_criteria(), now=1), 'ab')
 
     def test_limited(self) -> None:
-        """A session leaves its version as its servers are at their limit."""
+        """A session must not change version because its servers are limited."""
         self._list(dict.fromkeys('abcd', 0), {'c': 'v2'})
         self._limit('c', 1)
-        wish = _wish()._replace(versions=frozenset(('v2',)))
+        criteria = _criteria()._replace(versions=frozenset(('v2',)))
         table: tuple[tuple[servers_data.Wish, float, str], ...] = (
-            (wish, 0, 'abcd'),
-            (wish, 1, ''),
-            (wish._replace(without_limit=True), 0, ''),
-            (_wish(), 1, 'abd'),
-            (_wish()._replace(without_limit=True), 0, 'abd'),
+            (criteria, 0, 'abcd'),
+            (criteria, 1, ''),
+            (criteria._replace(without_limit=True), 0, ''),
+            (_criteria(), 1, 'abd'),
+            (_criteria()._replace(without_limit=True), 0, 'abd'),
         )
         for asked, refused_s, names in table:
             with self.subTest(asked=asked, refused_s=refused_s):
@@ -140,42 +142,42 @@
                 self.assertEqual(self._found(asked), names)
 
     def test_due(self) -> None:
-        """A caller is told to come back when no server takes a request."""
+        """A caller must not be told to retry before a server has room."""
         self._limit('a', 1)
         self._limit('b', 1)
         for instance, wait_s in (('a', 0.7), ('b', 0.4)):
             permits.refuse(self.limits.permits, instance, wait_s, 0)
         self.zones.take('cd', 5, 'peer', 0)
-        lack = self.eligible.lack(_wish(), 0)
-        self.assertIs(lack.cause, returning.Cause.LIMITED)
-        self.assertEqual(lack.due_s, 0.4)
+        unavailability = self.eligible.unavailability(_criteria(), 0)
+        self.assertIs(unavailability.cause, returning.Cause.LIMITED)
+        self.assertEqual(unavailability.due_s, 0.4)
 
     def test_backing_off(self) -> None:
-        """A server that wants nothing for some seconds is sent requests."""
+        """A server must be sent no requests while its backoff lasts."""
         self._list(dict.fromkeys('abcd', 0), {'c': 'v2'})
         backoffs.back_off(self.eligible.backoffs, 'c', 3, 0)
-        of_v2 = _wish()._replace(versions=frozenset(('v2',)))
+        of_v2 = _criteria()._replace(versions=frozenset(('v2',)))
         table: tuple[tuple[servers_data.Wish, float, str], ...] = (
-            (_wish(), 0, 'abd'),
-            (_wish()._replace(without_limit=True), 2.9, 'abd'),
-            (_wish(), 3, 'abcd'),
-            # A session does not leave its version for that.
+            (_criteria(), 0, 'abd'),
+            (_criteria()._replace(without_limit=True), 2.9, 'abd'),
+            (_criteria(), 3, 'abcd'),
+            # A session does not leave its version because of a backoff.
             (of_v2._replace(without_limit=True), 1, ''),
             (of_v2, 1, 'c'),
             (of_v2, 3, 'abcd'),
         )
-        for wish, now, names in table:
-            with self.subTest(wish=wish, now=now):
-                self.assertEqual(self._found(wish, now=now), names)
+        for criteria, now, names in table:
+            with self.subTest(criteria=criteria, now=now):
+                self.assertEqual(self._found(criteria, now=now), names)
         listed, _ = self.listed.usable(0)
         server = next(each for each in listed if each.name == 'c')
         for now, takes in ((2.9, False), (3, True)):
             self.assertIs(
-                self.eligible.still_takes(server, _wish(), now), takes
+                self.eligible.still_accepts(server, _criteria(), now), takes
             )
 
     def test_all_backing_off(self) -> None:
-        """Callers are not told when the first server wants requests again."""
+        """Callers must be told when the first server's backoff ends."""
         for instance, seconds in zip('abcd', (3, 2, 4, 5), strict=True):
             backoffs.back_off(self.eligible.backoffs, instance, seconds, 0)
         for now, excluded, cause, due_s in (
@@ -184,11 +186,15 @@
             (2, ('b',), returning.Cause.NO_SERVER, None),
         ):
             with self.subTest(now):
-                lack = self.eligible.lack(_wish(excluded=excluded), now)
-                self.assertEqual((lack.cause, lack.due_s), (cause, due_s))
+                unavailability = self.eligible.unavailability(
+                    _criteria(excluded=excluded), now
+                )
+                self.assertEqual(
+                    (unavailability.cause, unavailability.due_s), (cause, due_s)
+                )
 
-    def test_old_word(self) -> None:
-        """A peer's older set of evacuated zones changes nothing."""
+    def test_stale_zones(self) -> None:
+        """An older set of evacuated zones from a peer changes nothing."""
         for names, revision, evacuated in (
             ('a', 5, 'a'),
             ('', 4, 'a'),
@@ -200,7 +206,7 @@
 
     def _limit(self, instance: str, per_s: float) -> None:
         news = peering_data.LimitNews(instance, per_s, 0)
-        self.limits.take((news,), 'peer', 0)
+        self.limits.merge_observations((news,), 'peer', 0)
 
     def _list(
         self, cold_ms: dict[str, int], versions: Mapping[str, str] = NO_VERSIONS
@@ -219,16 +225,16 @@
             store_data.Listing(found, self.listed.revision + 1), 0
         )
 
-    def _found(self, wish: servers_data.Wish, now: float = 0) -> str:
-        found, _ = self.eligible.of(wish, now)
+    def _found(self, criteria: servers_data.Wish, now: float = 0) -> str:
+        found, _ = self.eligible.candidates(criteria, now)
         return ''.join(sorted(server.name for server in found))
 
 
 class RegionsTest(unittest.TestCase):
-    """What route and client account bind together."""
+    """The regions allowed by a route and a client account together."""
 
     def test_both(self) -> None:
-        """Where both name regions both bind, and nothing may be left."""
+        """If both name regions, the intersection applies; it may be empty."""
         table: tuple[tuple[Names, Names, frozenset[str] | None], ...] = (
             ((), (), None),
             (('west',), (), frozenset(('west',))),
--- a/beryllug/router/judge.py
+++ b/beryllug/router/judge.py
@@ -1,9 +1,10 @@
-"""Service 'judge': brings roll-outs to their end.
+"""Service 'judge': decides and stores the results of rollouts.
 
-Every process judges what it has been told; the judges of a roll-out, chosen
-by a hash over the living processes, are told everything and write the
-verdict to the store. The write holds only if the order has not changed since,
-so of two that write the second is refused and takes what stands there.
+Every process evaluates the evidence it has received. The judges of a rollout,
+chosen by a hash over the live processes, receive all evidence and write the
+verdict to the store. The write succeeds only if the order has not changed
+since, so the second of two writes is refused and that process adopts the stored
+verdict.
 """
 
 import asyncio
@@ -16,61 +17,62 @@
 from beryllug.platform import documents, store
 from beryllug.router import peering, rollout_state, sharing, trials
 
-# Seconds between two looks at each open roll-out. A verdict is due in all
+# Seconds between two evaluations of each open rollout. A verdict is due in all
 # processes seconds after the evidence for it.
 PERIOD_S = 0.25
-# Seconds that the second judge waits for the first one's word, and any other
-# process for the second one's. Where the store turned both away, a process that
-# waited for twice 0.4 s wrote a fifth of a second before the order's time was
-# over, which came too late. Of two that write the second is refused.
-STAND_IN_S = 0.2
+# Seconds that the second judge waits for the first one's verdict, and any other
+# process for the second one's. When the store refused both judges, a process
+# that waited for twice 0.4 s wrote a fifth of a second before the order's time
+# was over, which was too late. If two processes write, the second write is
+# refused.
+TAKEOVER_DELAY_S = 0.2
 
 
 class Judge:
-    """Writes how roll-outs end."""
+    """Writes the results of rollouts to the store."""
 
     def __init__(
         self,
         canaries: trials.Trials,
         peers: peering.Peering,
-        spread: sharing.Sharing,
+        notes: sharing.Sharing,
         api: store.Store,
         lines: log_lines.LineWriter,
     ) -> None:
-        """Bind to the evidence and the store."""
+        """Bind to the evidence, the peers and the store."""
         self._trials = canaries
         self._peers = peers
-        self._spread = spread
+        self._notes = notes
         self._api = api
         self._lines = lines
-        self._due: dict[str, float] = {}
+        self._due_since: dict[str, float] = {}
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start to judge."""
+        """Start to evaluate rollouts."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self, grace_s: float) -> None:
-        """Stop to judge; a peer stands in."""
+        """Stop evaluating; a peer takes over."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def dump(self) -> dict[str, Any]:
-        """Return since when verdicts are due that are not yet stored."""
-        return dict(self._due)
+        """Return since when each verdict that is not yet stored is due."""
+        return dict(self._due_since)
 
     async def _run(self) -> None:
         while True:
-            # Without a roll-out there is nothing to look at, and each look
+            # Without a rollout there is nothing to evaluate, and each iteration
             # wakes the process.
             await self._trials.ordered.wait()
             await asyncio.sleep(PERIOD_S)
             for rollout in list(self._trials.rollouts()):
                 if not rollout.is_stored:
-                    await self._look(rollout)
+                    await self._evaluate(rollout)
 
-    async def _look(self, rollout: rollout_state.Rollout) -> None:
+    async def _evaluate(self, rollout: rollout_state.Rollout) -> None:
         now = time.monotonic()
         seen = rollout.seen()
         rollout.lowest = verdict.lowest_scores(seen, rollout.lowest)
@@ -78,15 +80,15 @@
             rollout.order,
             rollout.phase,
             seen,
-            plan.Ages(now - rollout.begun_at, now - rollout.phase_at),
+            plan.Ages(now - rollout.started_at, now - rollout.phase_started_at),
             self._trials.bounds,
             rollout.lowest,
         )
         if phase is not rollout.phase:
             self._log(rollout, phase, seen)
-        if phase in trials.FROM_PEERS and phase is not rollout.phase:
+        if phase in trials.PEER_PHASES and phase is not rollout.phase:
             self._trials.set_phase(rollout, phase, 'judged', now)
-            self._spread.tell_phase(rollout, now)
+            self._notes.tell_phase(rollout, now)
         if plan.is_over(phase):
             await self._write_when_due(rollout, phase, now)
 
@@ -97,17 +99,17 @@
         now: float,
     ) -> None:
         service = rollout.order.service
-        due = self._due.setdefault(service, now)
+        due_since = self._due_since.setdefault(service, now)
         rank = peering.JUDGES - 1
         if self._peers.is_judge(service, 0):
             rank = 0
         elif not self._peers.is_judge(service, rank):
-            # Neither judge may be left; any process then stands in.
+            # Both judges may be gone; any process then takes over.
             rank = peering.JUDGES
-        if now - due < rank * STAND_IN_S:
+        if now - due_since < rank * TAKEOVER_DELAY_S:
             return
         if await self._write(rollout, phase):
-            self._due.pop(service, None)
+            self._due_since.pop(service, None)
 
     async def _write(
         self, rollout: rollout_state.Rollout, phase: canary_data.Phase
@@ -121,7 +123,8 @@
                 documents.order_status(order.target, phase),
             )
         except object_data.ObjectApiError as exc:
-            # A conflict is settled by the watch, which brings what stands.
+            # After a conflict, the watch on the store delivers the stored
+            # verdict.
             self._lines.write(
                 'verdict_not_stored', service=order.service, error=str(exc)
             )
@@ -140,16 +143,16 @@
             service=rollout.order.service,
             target=rollout.order.target,
             phase=phase.value,
-            age_s=round(time.monotonic() - rollout.begun_at, 2),
+            age_s=round(time.monotonic() - rollout.started_at, 2),
             judged=verdict.judged(seen),
             requests=seen.requests,
-            failures=_told(verdict.failures(seen)),
-            slowness=_told(verdict.slowness(seen)),
+            failures=_counts_by_route(verdict.failures(seen)),
+            slowness=_counts_by_route(verdict.slowness(seen)),
         )
 
 
-def _told(routes: dict[str, canary_data.Seen]) -> dict[str, Any]:
-    """Return good and bad answers by route, as the log has them."""
+def _counts_by_route(routes: dict[str, canary_data.Seen]) -> dict[str, Any]:
+    """Return good and bad answers by route, in the form of the log."""
     return {
         route: {
             'new': {
--- a/beryllug/router/larger.py
+++ b/beryllug/router/larger.py
@@ -1,7 +1,7 @@
-"""Whether the larger model is asked after an unsure answer of the smallest.
+"""The decision to ask the larger model after an answer of low confidence.
 
-What is expected of its answer is put together here from what the pool knows;
-the decision itself is `core.placement.sizes`.
+This module derives the forecast for the larger model's answer from the state of
+the pool; the decision itself is `core.placement.sizes`.
 """
 
 import time
@@ -12,36 +12,37 @@
 from beryllug.router import attempts, dispatch, pool, stream_state
 from beryllug.router import call as call_data
 
-# Times the expected length for which there must be time, up to the most that
-# the caller allows: its estimate is right at the median and far off for some.
-LONGER = 3.0
+# Factor on the expected length for which there must be time, up to the maximum
+# that the caller allows: the estimate is right at the median and far off for
+# some answers.
+LENGTH_MARGIN = 3.0
 
 
 class LargerModel:
-    """Decides for streams, and learns how late larger models begin."""
+    """Decides for streams, and records how late larger models begin."""
 
     def __init__(self, servers: pool.Pool) -> None:
-        """Bind to the pool, which knows what runners have to do."""
+        """Bind to the pool, which knows the backlog of model runners."""
         self._pool = servers
 
-    def judge(
+    def decide(
         self,
         call: call_data.Call,
         stream: stream_state.Stream,
         head: requests.Head,
     ) -> sizes.Why:
-        """Tell whether the largest model is asked, where there is room."""
+        """Decide whether to ask the largest model, if capacity permits."""
         route = call.route
         why = sizes.judge(
             route.models,
             stream.size,
             route.priority,
             head.confidence,
-            self._outlook(call, stream),
+            self._forecast(call, stream),
         )
         if why is not sizes.Why.LARGER:
             return why
-        if stream.progress.arrivals + 1 >= route.max_attempts:
+        if stream.progress.counted_attempts + 1 >= route.max_attempts:
             return sizes.Why.NO_ATTEMPT
         use = retry_window.Use.LARGER
         if not self._pool.repeats.may_repeat(call.service, use):
@@ -59,16 +60,16 @@
             time.monotonic(),
         )
 
-    def learn(
+    def record_lateness(
         self,
         call: call_data.Call,
         stream: stream_state.Stream,
         choice: pool.Choice,
-        came: dispatch.Outcome,
+        outcome: dispatch.Outcome,
     ) -> None:
-        """Count how late a larger model's answer began, or was given up."""
+        """Record how late a larger model's answer began or timed out."""
         if not stream.size or not isinstance(
-            came, dispatch.Answered | dispatch.TimedOut
+            outcome, dispatch.Answered | dispatch.TimedOut
         ):
             return
         now = time.monotonic()
@@ -76,19 +77,19 @@
             self._pool.lateness,
             stream_state.model_of(call, stream.size),
             stream_state.rank(call, stream.size),
-            now - choice.begun_at - choice.first_s,
+            now - choice.started_at - choice.first_s,
             now,
         )
 
-    def _outlook(
+    def _forecast(
         self, call: call_data.Call, stream: stream_state.Stream
     ) -> sizes.Outlook:
-        """Return what is expected of the largest model's answer."""
+        """Return the forecast for the largest model's answer."""
         largest = len(call.route.models) - 1
-        wish = attempts.wish(
+        criteria = attempts.criteria(
             call, stream.progress, stream_state.prompt(call, largest)
         )
-        expected = self._pool.expected(wish)
+        expected = self._pool.expected(criteria)
         late_s = self.late_s(call, largest)
         now = time.monotonic()
         begins_at = now + expected.first_s + late_s
@@ -96,7 +97,7 @@
         write_s = backlog.write_s(
             self._pool.reading,
             call.route.models[largest],
-            _most_tokens(call.asked),
+            _max_answer_tokens(call.asked),
         )
         return sizes.Outlook(
             expected.wait_s + late_s,
@@ -107,9 +108,9 @@
         )
 
 
-def _most_tokens(asked: requests.Asked) -> int:
-    """Return the tokens that an answer hardly has more of."""
-    longest = round(LONGER * asked.tokens_out)
+def _max_answer_tokens(asked: requests.Asked) -> int:
+    """Return a number of tokens that an answer rarely exceeds."""
+    longest = round(LENGTH_MARGIN * asked.tokens_out)
     if not asked.most_tokens_out:
         return longest
     return min(longest, asked.most_tokens_out)
--- a/beryllug/router/pool.py
+++ b/beryllug/router/pool.py
@@ -1,6 +1,6 @@
 """Service 'pool': the choice of a backend server for each attempt.
 
-It owns what this process saw of the servers: its own requests on each, and
+Keeps what this process observes of the servers: its own requests on each, and
 their failures.
 """
 
@@ -20,35 +20,36 @@
 from beryllug.router import eligible, repeats
 
 
-# Servers with a limit that are asked for one attempt, each a round trip.
-MOST_CLAIMS = 3
+# Maximum number of servers with a limit that are asked for a permit in one
+# attempt; each costs a round trip.
+MAX_CLAIMS = 3
 
 
-class _Found(NamedTuple):
-    """The best server for an attempt, and those that it was chosen from."""
+class _Selection(NamedTuple):
+    """The best server for an attempt, and the servers it was chosen from."""
 
     server: servers_data.Server
     servers: list[servers_data.Server]
 
 
 class Choice(NamedTuple):
-    """A server that was chosen.
+    """A server that was chosen for an attempt.
 
     Attributes:
         server: The server.
-        begun_at: Monotonic second at which the request was counted on it.
+        started_at: Monotonic second at which the request was counted on it.
         number: Number of the prompt in the backlog, or 0.
-        first_s: Seconds until it is expected to begin to answer.
+        first_s: Expected seconds until it begins to answer.
     """
 
     server: servers_data.Server
-    begun_at: float
+    started_at: float
     number: int = 0
     first_s: float = 0.0
 
 
 class Pool:
-    """Chooses servers and keeps count of what was sent to them."""
+    """Chooses servers and counts the requests sent to them."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
         zone: str,
         bound: retry_window.Bound,
     ) -> None:
-        """Bind to the servers that take requests."""
+        """Bind to the servers that accept requests."""
         self.eligible = servers
         self._zone = zone
         self._state = balance_data.BalanceState()
@@ -69,13 +70,13 @@
         self.repeats = repeats.Repeats(bound, self.others)
 
     async def start(self) -> None:
-        """Do nothing: it is driven by requests."""
+        """Do nothing: the service is driven by requests."""
 
     async def stop(self, grace_s: float) -> None:
-        """Do nothing: it holds no socket and no task."""
+        """Do nothing: the service holds no socket and no task."""
 
     def dump(self) -> dict[str, Any]:
-        """Return what was seen of each server."""
+        """Return the observations of each server."""
         return {
             instance: {
                 'in_flight': seen.in_flight,
@@ -86,45 +87,50 @@
         }
 
     def subjects(self, now: float) -> dict[str, load_sums.Load]:
-        """Return what this process counts beside servers, to tell others."""
-        return self.repeats.told(now) | lateness.told(self.lateness, now)
+        """Return counts other than server loads, to send to peers."""
+        return self.repeats.shared_counts(now) | lateness.told(
+            self.lateness, now
+        )
 
     def versions(self, service: str) -> frozenset[str]:
         """Return the versions that a service's servers run."""
         return self.eligible.versions(service, time.monotonic())
 
-    async def choose(self, wish: servers_data.Wish) -> Choice | None:
-        """Choose a server and count the request on it; None without one.
+    async def choose(self, criteria: servers_data.Wish) -> Choice | None:
+        """Choose a server and count the request on it; None if there is none.
 
-        A server with a limit must permit it first; others are asked in turn.
+        A server with a rate limit must first grant a permit; if it does not,
+        other servers are asked in turn.
         """
         limits = self.eligible.limits
-        for _ in range(MOST_CLAIMS):
-            found = self._best(wish)
-            if found is None:
+        for _ in range(MAX_CLAIMS):
+            selection = self._best(criteria)
+            if selection is None:
                 return None
-            instance = found.server.instance
+            instance = selection.server.instance
             if limits.per_s(instance) is None:
-                return self._counted(found, wish)
+                return self._assign(selection, criteria)
             is_permitted = await limits.claim(instance)
-            # Things may have changed meanwhile.
+            # The server's state may have changed during the claim.
             now = time.monotonic()
-            if is_permitted and self.eligible.still_takes(
-                found.server, wish, now
+            if is_permitted and self.eligible.still_accepts(
+                selection.server, criteria, now
             ):
-                return self._counted(found, wish)
-        found = self._best(wish._replace(without_limit=True))
-        return found and self._counted(found, wish)
+                return self._assign(selection, criteria)
+        selection = self._best(criteria._replace(without_limit=True))
+        return selection and self._assign(selection, criteria)
 
-    def expected(self, wish: servers_data.Wish) -> backlog.Expected:
-        """Return when a prompt's answer would begin, where that is soonest."""
-        prompt = wish.prompt
+    def expected(self, criteria: servers_data.Wish) -> backlog.Expected:
+        """Return the earliest time at which a prompt's answer would begin."""
+        prompt = criteria.prompt
         now = time.monotonic()
-        # One with a limit may permit no more when it is asked.
-        same, _ = self.eligible.of(wish._replace(without_limit=True), now)
-        if prompt is None or not same:
+        # Servers with a limit are left out: they may refuse the permit.
+        unlimited, _ = self.eligible.candidates(
+            criteria._replace(without_limit=True), now
+        )
+        if prompt is None or not unlimited:
             return backlog.NEVER
-        preferred = choose.home(same, prompt.key)
+        preferred = choose.home(unlimited, prompt.key)
         return min(
             (
                 backlog.expected(
@@ -134,18 +140,18 @@
                     now,
                     is_home=server.instance == preferred,
                 )
-                for server in same
+                for server in unlimited
             ),
             key=lambda each: each.first_s,
         )
 
-    def answers(self, choice: Choice) -> None:
-        """Take that a server has begun to answer a prompt."""
+    def answer_started(self, choice: Choice) -> None:
+        """Record that a server has begun to answer a prompt."""
         instance = choice.server.instance
         backlog.answers(self.reading, instance, choice.number, time.monotonic())
 
-    def ended(self, choice: Choice) -> None:
-        """Count the end of a request on a server, however it ended."""
+    def request_ended(self, choice: Choice) -> None:
+        """Count the end of a request on a server, whatever its outcome."""
         now = time.monotonic()
         instance = choice.server.instance
         server_load.finished(self._state, instance, now)
@@ -160,15 +166,15 @@
         is_gone: bool = False,
         points: float = suspicion.BROKEN,
     ) -> None:
-        """Take a failure that the server is to blame for.
+        """Record a failure that the server is responsible for.
 
-        A server that can't be reached is out at once: each further try would
-        cost a request one of its few attempts.
+        An unreachable server is ejected at once: each further try would cost a
+        request one of its few attempts.
 
         Args:
             choice: The server.
             is_gone: Whether it could not be reached.
-            points: How much it is to be avoided for it.
+            points: Weight of the failure in the server's suspicion score.
         """
         now = time.monotonic()
         instance = choice.server.instance
@@ -180,33 +186,35 @@
             ejection.eject(seen, now, ejection.MOST_FAILING_S)
 
     def succeeded(self, choice: Choice) -> None:
-        """Take a sound answer."""
+        """Record a successful answer."""
         seen = server_load.track(self._state, choice.server.instance)
         ejection.succeeded(seen, 1)
 
-    def _best(self, wish: servers_data.Wish) -> _Found | None:
-        """Return the best server for an attempt; None without one."""
+    def _best(self, criteria: servers_data.Wish) -> _Selection | None:
+        """Return the best server for an attempt; None if there is none."""
         now = time.monotonic()
-        for servers in self.eligible.of(wish, now):
+        for servers in self.eligible.candidates(criteria, now):
             server = choose.choose(
                 self._state,
                 self.known,
                 servers,
-                wish,
+                criteria,
                 self._zone,
                 now,
             )
             if server is not None:
-                return _Found(server, servers)
+                return _Selection(server, servers)
         return None
 
-    def _counted(self, found: _Found, wish: servers_data.Wish) -> Choice:
+    def _assign(
+        self, selection: _Selection, criteria: servers_data.Wish
+    ) -> Choice:
         now = time.monotonic()
-        server, servers = found
+        server, servers = selection
         instance = server.instance
-        self.eligible.sent(instance, now)
+        self.eligible.count_request(instance, now)
         server_load.dispatched(self._state, instance, now)
-        prompt = wish.prompt
+        prompt = criteria.prompt
         if prompt is None:
             return Choice(server, now)
         is_home = choose.home(servers, prompt.key) == instance
--- a/beryllug/router/rollout_state.py
+++ b/beryllug/router/rollout_state.py
@@ -1,4 +1,4 @@
-"""A roll-out as one process knows it: its own count and what it was told."""
+"""The state of a rollout in one process: its own counts and its peers'."""
 
 import math
 import random
@@ -10,11 +10,11 @@
 from beryllug.core.peering import peering_data
 from beryllug.core.placement import servers_data
 
-# Seconds below which two times are not told apart.
-LEAST_S = 0.0001
+# Seconds below which two durations are not distinguished.
+MIN_TIME_S = 0.0001
 
 
-class Took(NamedTuple):
+class Timing(NamedTuple):
     """What was asked on a route, and how many seconds it took."""
 
     work: str
@@ -23,28 +23,29 @@
 
 @dataclass(slots=True)
 class Rollout:
-    """A roll-out as this process knows it.
+    """A rollout as this process knows it.
 
     Attributes:
-        order: What was ordered.
-        phase: How far it has come.
-        begun_at: Monotonic second of its order, as far as is known.
-        phase_at: Monotonic second at which the phase began here.
-        is_stored: Whether its end stands in the store.
-        tally: What this process has seen.
-        others: What other processes have told, by their names.
-        has_news: Whether the new version has answered since the judges were
-            told last.
-        told_at: Monotonic second at which they were.
+        order: The operator's order.
+        phase: The current phase.
+        started_at: Monotonic second of the order, as far as is known.
+        phase_started_at: Monotonic second at which the phase began here.
+        is_stored: Whether its result is in the store.
+        tally: The counts of this process.
+        others: The counts reported by other processes, by their names.
+        has_news: Whether the new version has answered since the last report to
+            the judges.
+        told_at: Monotonic second of that report.
         lowest: The lowest scores of the version's failures so far.
-        dither: This process's part of a request that it may send on trial.
-        told: What the others have told, together; None until it is added up.
+        dither: Random fraction of a request that this process may send on trial
+            in addition, so that fractions round up in some processes.
+        others_total: The sum of the others' counts; None until it is computed.
     """
 
     order: canary_data.Order
     phase: canary_data.Phase
-    begun_at: float
-    phase_at: float
+    started_at: float
+    phase_started_at: float
     is_stored: bool = False
     tally: canary_data.Tally = field(default_factory=canary_data.Tally)
     others: dict[str, canary_data.Tally] = field(default_factory=dict)
@@ -52,25 +53,25 @@
     told_at: float = float('-inf')
     lowest: dict[str, float] = field(default_factory=dict)
     dither: float = field(default_factory=random.random)
-    told: canary_data.Tally | None = None
+    others_total: canary_data.Tally | None = None
 
     @property
     def is_open(self) -> bool:
-        """Tell whether it still goes on."""
+        """Return whether it is still in progress."""
         return not plan.is_over(self.phase)
 
     def seen(self) -> canary_data.Tally:
-        """Return what this process saw and was told, together.
+        """Return the counts of this process and of all others together.
 
-        Asked four times a second and for each new session: what all others
-        told is added up once each time that one of them tells something.
+        This is called four times a second and for each new session, so the sum
+        over the other processes is cached until one of them reports new counts.
         """
-        if self.told is None:
-            self.told = verdict.merge(self.others.values())
-        return verdict.merge((self.told, self.tally))
+        if self.others_total is None:
+            self.others_total = verdict.merge(self.others.values())
+        return verdict.merge((self.others_total, self.tally))
 
-    def looks_bad(self) -> bool:
-        """Tell whether the version is to be taken back by what is known."""
+    def is_version_bad(self) -> bool:
+        """Return whether the known answers require a rollback."""
         seen = self.seen()
         self.lowest = verdict.lowest_scores(seen, self.lowest)
         return verdict.is_bad(seen, self.lowest)
@@ -82,7 +83,7 @@
     route: str,
     *,
     is_good: bool,
-    took: Sequence[Took],
+    took: Sequence[Timing],
 ) -> None:
     """Count an answer of a server of the service that is rolled out."""
     seen = canary_data.evidence(rollout.tally, route)
@@ -90,11 +91,11 @@
     if server.version == rollout.order.target:
         instance = server.instance
         known = seen.answers.get(instance, canary_data.Answers())
-        seen.answers[instance] = _plus(known, is_good)
+        seen.answers[instance] = _add_answer(known, is_good)
         works = seen.new_times.setdefault(instance, {})
         rollout.has_news = True
     else:
-        old = _plus(seen.old, is_good)
+        old = _add_answer(seen.old, is_good)
         rollout.tally.by_route[route] = seen._replace(old=old)
     for each in took:
         _add_time(works, each)
@@ -103,13 +104,13 @@
 def news(
     rollouts: Iterable[Rollout], now: float
 ) -> tuple[peering_data.RolloutNews, ...]:
-    """Return how far each roll-out has come, to tell peers."""
+    """Return the phase of each rollout, to send to peers."""
     return tuple(
         peering_data.RolloutNews(
             each.order.service,
             each.order.target,
             each.phase,
-            round(now - each.begun_at, 2),
+            round(now - each.started_at, 2),
         )
         for each in rollouts
     )
@@ -118,11 +119,11 @@
 def tallies(
     rollouts: Iterable[Rollout],
 ) -> tuple[peering_data.TallyNews, ...]:
-    """Return what this process has seen of open roll-outs, to tell peers."""
-    return tuple(_told(each) for each in rollouts if each.is_open)
+    """Return this process's counts of open rollouts, to send to peers."""
+    return tuple(_tally_news(each) for each in rollouts if each.is_open)
 
 
-def _told(rollout: Rollout) -> peering_data.TallyNews:
+def _tally_news(rollout: Rollout) -> peering_data.TallyNews:
     tally = rollout.tally
     return peering_data.TallyNews(
         rollout.order.service,
@@ -133,21 +134,25 @@
     )
 
 
-def take(rollout: Rollout, peer: str, news: peering_data.TallyNews) -> None:
-    """Take what a peer has seen."""
+def merge_tally(
+    rollout: Rollout, peer: str, news: peering_data.TallyNews
+) -> None:
+    """Replace the counts of a peer by its latest report."""
     rollout.others[peer] = canary_data.Tally(
         news.requests, news.tried, news.by_route
     )
-    rollout.told = None
+    rollout.others_total = None
 
 
-def _plus(known: canary_data.Answers, is_good: bool) -> canary_data.Answers:
+def _add_answer(
+    known: canary_data.Answers, is_good: bool
+) -> canary_data.Answers:
     return canary_data.Answers(
         known.good + int(is_good), known.bad + int(not is_good)
     )
 
 
-def _add_time(works: dict[str, canary_data.Times], took: Took) -> None:
+def _add_time(works: dict[str, canary_data.Times], took: Timing) -> None:
     times = works.setdefault(took.work, {})
-    step = round(2 * math.log2(max(took.seconds, LEAST_S)))
+    step = round(2 * math.log2(max(took.seconds, MIN_TIME_S)))
     times[step] = times.get(step, 0) + 1
--- a/beryllug/router/statements.py
+++ b/beryllug/router/statements.py
@@ -1,8 +1,8 @@
-"""Service 'statements': what backend servers state of themselves in answers.
+"""Service 'statements': what servers state of themselves in their answers.
 
-All that the head of an answer says of its server passes here to who acts on it:
-the limits, the list of servers, or the choice of one. Other processes are told
-where it concerns them.
+Each statement in the head of an answer is passed to the component that acts on
+it: the limits, the list of servers or the choice of a server. Other processes
+are notified of those that concern them.
 """
 
 import random
@@ -16,18 +16,18 @@
 from beryllug.kernel import log_lines, metrics_data
 from beryllug.router import dispatch, eligible, refusals, server_list
 
-# Instances in a message of nothing else, and in one with other things, of some
-# 30 bytes each.
-MOST_CHANGED = 20
-MOST_SOME = 6
+# Maximum numbers of instances in a message that holds nothing else, and in one
+# with other content, at some 30 bytes each.
+MAX_CHANGED = 20
+MAX_RECENT = 6
 ANSWER = 'answer'
 
 
 class Statements:
-    """Takes statements of servers, and tells them to other processes.
+    """Applies statements of servers, and reports them to other processes.
 
     Attributes:
-        on_changed: Told that there is something to tell other processes.
+        on_changed: Called when there is something to report.
     """
 
     def __init__(
@@ -37,15 +37,15 @@
         servers: eligible.Eligible,
         lines: log_lines.LineWriter,
     ) -> None:
-        """Bind to those who act on statements.
+        """Bind to the components that act on statements.
 
         Args:
             name: Name of the process.
             listed: The list of servers.
-            servers: Which of them take requests.
-            lines: Takes log lines.
+            servers: Which of them accept requests.
+            lines: Writes log lines.
         """
-        self.on_changed: Callable[[], None] = _pass_over
+        self.on_changed: Callable[[], None] = _ignore
         self._limits = servers.limits
         self._backoffs = servers.backoffs
         self._lines = lines
@@ -55,13 +55,13 @@
         self._rng = random.Random(name)
 
     async def start(self) -> None:
-        """Do nothing: it is driven by answers and by notes."""
+        """Do nothing: the service is driven by answers and by notes."""
 
     async def stop(self, grace_s: float) -> None:
-        """Do nothing: it holds no socket and no task."""
+        """Do nothing: the service holds no socket and no task."""
 
     def dump(self) -> dict[str, Any]:
-        """Return servers that leave, and for how long some want nothing."""
+        """Return leaving servers, and the remaining backoff of others."""
         now = time.monotonic()
         return {
             'leaving': self._leaving.listed(now),
@@ -72,63 +72,65 @@
         }
 
     def measure(self) -> Iterable[metrics_data.Sample]:
-        """Return how many servers leave, and how many want nothing now."""
+        """Return the numbers of leaving servers and of those in backoff."""
         now = time.monotonic()
         yield metrics_data.Sample(
             'servers_leaving',
             len(self._leaving.listed(now)),
-            'Listed backend servers that have stated that they leave.',
+            'Listed backend servers that have stated that they are leaving.',
         )
         yield metrics_data.Sample(
             'servers_backing_off',
             len(self._backing_off_s(now)),
-            'Backend servers that this process sends nothing for a while.',
+            'Backend servers that have asked this process to back off.',
         )
 
-    def heard(self, said: dispatch.AnswerHead) -> None:
-        """Take what the head of an answer states of its server."""
+    def heard(self, answer_head: dispatch.AnswerHead) -> None:
+        """Apply what the head of an answer states of its server."""
         found = statements.read(
-            said.head.stated, said.head.status, is_sealed=said.head.is_sealed
+            answer_head.head.stated,
+            answer_head.head.status,
+            is_sealed=answer_head.head.is_sealed,
         )
         for statement in found:
-            self._take(statement, said)
+            self._apply(statement, answer_head)
 
     def take(self, note: peering_data.Note, now: float) -> None:
-        """Take what another process has heard of servers."""
+        """Apply what another process has observed of servers."""
         for instance in note.leaving:
             self._leaving.heard(instance, note.name, now)
 
     def forget(self, now: float) -> None:
-        """Forget what is over."""
+        """Forget backoffs that have ended."""
         if self._backoffs.asked:
             backoffs.forget(self._backoffs, now)
 
     def changed(self) -> tuple[str, ...]:
-        """Return servers that began to leave since this was last asked."""
-        told = sorted(self._changed)[:MOST_CHANGED]
+        """Return servers that began to leave since the last call."""
+        told = sorted(self._changed)[:MAX_CHANGED]
         self._changed.difference_update(told)
         return tuple(told)
 
     def recent(self, now: float) -> tuple[str, ...]:
-        """Return some servers that leave, to tell a peer."""
+        """Return some leaving servers, to send to a peer."""
         known = self._leaving.listed(now)
-        return tuple(self._rng.sample(known, min(MOST_SOME, len(known))))
+        return tuple(self._rng.sample(known, min(MAX_RECENT, len(known))))
 
-    def _take(
-        self, statement: statements.Statement, said: dispatch.AnswerHead
+    def _apply(
+        self, statement: statements.Statement, answer_head: dispatch.AnswerHead
     ) -> None:
-        server = said.server
+        server = answer_head.server
         match statement:
             case statements.RateLimit(None):
-                seen = limits_data.Observation(None, said.sent_at)
-                self._limits.hear(server.instance, seen)
+                seen = limits_data.Observation(None, answer_head.sent_at)
+                self._limits.observe(server.instance, seen)
             case statements.RateLimit(per_s):
-                seen = limits_data.Observation(per_s, said.heard_at)
-                self._limits.hear(server.instance, seen)
+                seen = limits_data.Observation(per_s, answer_head.heard_at)
+                self._limits.observe(server.instance, seen)
             case statements.Leaving():
-                self._leave(server, said.heard_at)
+                self._record_leaving(server, answer_head.heard_at)
             case statements.BackOff(seconds):
-                self._back_off(server, seconds, said.heard_at)
+                self._back_off(server, seconds, answer_head.heard_at)
             case statements.Unreadable(what, text):
                 self._refusals.refused(f'{server.instance} {what}', text)
 
@@ -143,11 +145,11 @@
     def _backing_off_s(self, now: float) -> dict[str, float]:
         return backoffs.backing_off_s(self._backoffs, now)
 
-    def _leave(self, server: servers_data.Server, now: float) -> None:
+    def _record_leaving(self, server: servers_data.Server, now: float) -> None:
         if self._leaving.heard(server.instance, ANSWER, now):
             self._changed.add(server.instance)
             self.on_changed()
 
 
-def _pass_over() -> None:
-    """Tell nobody."""
+def _ignore() -> None:
+    """Notify nobody."""
--- a/beryllug/router/trials.py
+++ b/beryllug/router/trials.py
@@ -1,8 +1,8 @@
-"""Service 'trials': which version each request runs on during a roll-out.
+"""Service 'trials': the version that each request runs on in a rollout.
 
-It draws the requests that try a new version, keeps sessions on theirs, counts
-what the answers say, and holds the new version back at once when this process
-sees it fail. The verdict for the fleet is the judge's.
+Selects the requests that try a new version, keeps sessions on their version,
+counts the answers, and withholds requests from the new version as soon as this
+process sees it fail. The fleet-wide verdict is made by the judge.
 """
 
 import asyncio
@@ -18,26 +18,26 @@
 from beryllug.router import pins, pool, rollout_state
 
 
-# Phases that a peer's word is enough for. That a roll-out is complete is
-# taken from the store alone: its old servers are stopped then.
-FROM_PEERS = (canary_data.Phase.FULL, canary_data.Phase.ROLLED_BACK)
+# Phases that are accepted from a peer. That a rollout is complete is accepted
+# only from the store, since its old servers are stopped then.
+PEER_PHASES = (canary_data.Phase.FULL, canary_data.Phase.ROLLED_BACK)
 
-# Seconds after an order before a session is drawn: by then the processes have
-# told one another which sessions already run.
-TOLD_WITHIN_S = 1.0
+# Seconds after an order before a session is selected: by then the processes
+# have notified one another of the sessions that already run.
+SESSION_SYNC_S = 1.0
 
 
-# Roll-outs that others took the place of and that are remembered.
-MOST_REPLACED = 50
+# Maximum number of replaced rollouts that are remembered.
+MAX_REPLACED = 50
 
 
-class Drawn(NamedTuple):
+class VersionChoice(NamedTuple):
     """The versions that a request may run on.
 
     Attributes:
         versions: The versions; None for any.
-        others: Those to try after a failure on one of them; None for any.
-        is_trial: Whether it tries a version that is not yet proved.
+        others: The versions to try after a failure on these; None for any.
+        is_trial: Whether the request tries a version that is not yet proven.
     """
 
     versions: frozenset[str] | None = None
@@ -46,12 +46,12 @@
 
 
 class Trials:
-    """Draws versions for requests and counts their answers.
+    """Chooses versions for requests and counts their answers.
 
     Attributes:
-        bounds: What a roll-out must keep to.
-        pins: Which version each session runs on.
-        ordered: Set while some roll-out is not known to be over in the store.
+        bounds: The bounds of a rollout.
+        pins: The version that each session runs on.
+        ordered: Set while a rollout has no final result in the store.
     """
 
     def __init__(
@@ -70,18 +70,18 @@
         self.ordered = asyncio.Event()
 
     async def start(self) -> None:
-        """Do nothing: it is driven by orders and requests."""
+        """Do nothing: the service is driven by orders and requests."""
 
     async def stop(self, grace_s: float) -> None:
-        """Do nothing: it holds no socket and no task."""
+        """Do nothing: the service holds no socket and no task."""
 
     def dump(self) -> dict[str, Any]:
-        """Return each roll-out with what was seen of it, and the sessions."""
+        """Return each rollout with its counts, and the session counts."""
         rollouts = {
             service: {
                 'target': each.order.target,
                 'phase': each.phase.value,
-                'age_s': time.monotonic() - each.begun_at,
+                'age_s': time.monotonic() - each.started_at,
                 'tried': each.tally.tried,
                 'requests': each.tally.requests,
             }
@@ -90,7 +90,7 @@
         return {'rollouts': rollouts, 'pins': self.pins.dump()}
 
     def rollouts(self) -> Iterable[rollout_state.Rollout]:
-        """Return the known roll-outs."""
+        """Return the known rollouts."""
         return self._rollouts.values()
 
     def take_order(
@@ -99,21 +99,21 @@
         phase: canary_data.Phase,
         now: float,
     ) -> None:
-        """Take an order, or a change of its status, from the store."""
+        """Apply an order, or a change of its status, from the store."""
         known = self._rollouts.get(order.service)
         if known is None or known.order.target != order.target:
             if known is not None:
                 self._replaced[(order.service, known.order.target)] = known
-            known = _begun(self._replaced, order, now)
+            known = _new_rollout(self._replaced, order, now)
             self._rollouts[order.service] = known
-            self.pins.tell_of(order.service)
+            self.pins.queue_sessions(order.service)
             _log(self._lines, order, phase, 'ordered')
         known.order = order
         if plan.is_over(phase):
             self.settle(known, phase, 'store')
-        # Returned from a copy, the store may have lost how it ended.
+        # A store that was restored from a copy may have lost the result.
         known.is_stored = plan.is_over(phase)
-        self._note_open()
+        self._update_ordered()
 
     def set_phase(
         self,
@@ -122,11 +122,11 @@
         source: str,
         now: float,
     ) -> None:
-        """Take how far a roll-out has come; one that is over stays so."""
+        """Set the phase of a rollout, unless it has ended."""
         if rollout.phase is phase or not rollout.is_open:
             return
         rollout.phase = phase
-        rollout.phase_at = now
+        rollout.phase_started_at = now
         _log(self._lines, rollout.order, phase, source)
 
     def settle(
@@ -135,20 +135,20 @@
         phase: canary_data.Phase,
         source: str,
     ) -> None:
-        """Take how a roll-out has ended by the store, whatever was thought."""
+        """Set the final phase of a rollout to the one in the store."""
         if rollout.phase is not phase:
             _log(self._lines, rollout.order, phase, source)
         rollout.phase = phase
         rollout.is_stored = True
-        self._note_open()
+        self._update_ordered()
 
     def take_news(self, digest: peering_data.Digest, now: float) -> None:
-        """Take what a peer knows and has seen of roll-outs."""
+        """Apply the phases and the counts that a peer reports."""
         self.take_phases(digest.rollouts, digest.name, now)
         for told in digest.tallies:
             known = _find(self._rollouts, told.service, told.target)
             if known is not None:
-                rollout_state.take(known, digest.name, told)
+                rollout_state.merge_tally(known, digest.name, told)
 
     def take_phases(
         self,
@@ -156,54 +156,54 @@
         peer: str,
         now: float,
     ) -> None:
-        """Take how far roll-outs have come at a peer."""
+        """Apply the phases of rollouts that a peer reports."""
         for news in told:
             known = _find(self._rollouts, news.service, news.target)
             if known is None:
                 continue
-            known.begun_at = min(known.begun_at, now - news.age_s)
-            if news.phase in FROM_PEERS:
+            known.started_at = min(known.started_at, now - news.age_s)
+            if news.phase in PEER_PHASES:
                 self.set_phase(known, news.phase, peer, now)
 
-    def draw(self, call: call_data.Call) -> Drawn:
+    def choose_versions(self, call: call_data.Call) -> VersionChoice:
         """Return the versions that a request may run on."""
         rollout = self._rollouts.get(call.service)
         if rollout is None:
-            return Drawn()
+            return VersionChoice()
         target = frozenset((rollout.order.target,))
         old = self._pool.versions(call.service) - target
         if not old:
-            return Drawn(target)
+            return VersionChoice(target)
         if rollout.is_open:
             rollout.tally.requests += 1
         match rollout.phase:
             case canary_data.Phase.ROLLED_BACK:
-                return Drawn(old, old)
+                return VersionChoice(old, old)
             case canary_data.Phase.COMPLETE:
-                return Drawn(target)
+                return VersionChoice(target)
             case canary_data.Phase.FULL:
                 rollout.tally.tried += 1
-                return Drawn(target, old, is_trial=True)
-        return self._draw_trial(call, rollout, target, old)
+                return VersionChoice(target, old, is_trial=True)
+        return self._choose_trial_versions(call, rollout, target, old)
 
-    def ran(self, call: call_data.Call, version: str) -> None:
-        """Note the version on which a request of a session runs."""
+    def record_run(self, call: call_data.Call, version: str) -> None:
+        """Record the version on which a request of a session runs."""
         session = call.asked.session
         if not session:
             return
         rollout = self._rollouts.get(call.service)
-        self.pins.ran(
+        self.pins.record_run(
             sessions.Told(call.service, session, version),
-            is_drawn=rollout is not None and rollout.is_open,
+            is_rollout_open=rollout is not None and rollout.is_open,
         )
 
-    def judged(
+    def count_answer(
         self,
         call: call_data.Call,
         choice: pool.Choice,
         *,
         is_good: bool,
-        took: Sequence[rollout_state.Took] = (),
+        took: Sequence[rollout_state.Timing] = (),
     ) -> None:
         """Count an answer.
 
@@ -211,7 +211,7 @@
             call: The request.
             choice: The server that answered.
             is_good: Whether the answer was a success.
-            took: What was asked and how long it took, where that tells.
+            took: What was asked and how long it took, if that is comparable.
         """
         rollout = self._rollouts.get(call.service)
         if rollout is None or not rollout.is_open:
@@ -224,41 +224,43 @@
             took=took,
         )
 
-    def _note_open(self) -> None:
+    def _update_ordered(self) -> None:
         if all(each.is_stored for each in self._rollouts.values()):
             self.ordered.clear()
         else:
             self.ordered.set()
 
-    def _draw_trial(
+    def _choose_trial_versions(
         self,
         call: call_data.Call,
         rollout: rollout_state.Rollout,
         target: frozenset[str],
         old: frozenset[str],
-    ) -> Drawn:
+    ) -> VersionChoice:
         now = time.monotonic()
         session = call.asked.session
         pin = session and self.pins.pinned(call.service, session)
         if pin and pin in target:
-            # It stays, also beyond the share: that is kept by how many new
-            # sessions try the version.
+            # The session stays on the version, even beyond the share: the share
+            # is enforced by how many new sessions try the version.
             is_trial = True
-        elif pin and plan.binds_sessions(rollout.order, now - rollout.begun_at):
+        elif pin and plan.binds_sessions(
+            rollout.order, now - rollout.started_at
+        ):
             is_trial = False
         else:
-            is_trial = self._is_drawn(call, rollout)
-        if not is_trial or rollout.looks_bad():
-            return Drawn(old, old)
+            is_trial = self._is_selected(call, rollout)
+        if not is_trial or rollout.is_version_bad():
+            return VersionChoice(old, old)
         rollout.tally.tried += 1
-        return Drawn(target, old, is_trial=True)
+        return VersionChoice(target, old, is_trial=True)
 
-    def _is_drawn(
+    def _is_selected(
         self, call: call_data.Call, rollout: rollout_state.Rollout
     ) -> bool:
-        """Tell whether a request that is bound to no version tries the new."""
-        age_s = time.monotonic() - rollout.begun_at
-        if age_s < TOLD_WITHIN_S:
+        """Return whether a request without a pin tries the new version."""
+        age_s = time.monotonic() - rollout.started_at
+        if age_s < SESSION_SYNC_S:
             return False
         subject = call.asked.session or call.asked.attempt_id
         if not plan.is_drawn(subject, self.bounds):
@@ -272,13 +274,13 @@
         )
 
 
-def _begun(
+def _new_rollout(
     replaced: dict[tuple[str, str], rollout_state.Rollout],
     order: canary_data.Order,
     now: float,
 ) -> rollout_state.Rollout:
-    """Return a new roll-out, or one that the store had lost in a return."""
-    while len(replaced) > MOST_REPLACED:
+    """Return a new rollout, or one known from before a store restore."""
+    while len(replaced) > MAX_REPLACED:
         replaced.pop(next(iter(replaced)))
     known = replaced.pop((order.service, order.target), None)
     if known and stamps.is_return(order.revision, known.order.revision):
