--- a/beryllug/core/crash_causes.py
+++ b/beryllug/core/crash_causes.py
@@ -8,7 +8,7 @@
 def crashes_of(
     table: suspects_data.Table,
 ) -> tuple[suspects_data.Crash, ...]:
-    """Return the lost servers, each with the requests not cleared since."""
+    """Return the lost servers with the requests that are not cleared."""
     found: list[suspects_data.Crash] = []
     pairs: list[tuple[suspects_data.Loss, str]] = []
     for note in table.notes.values():
@@ -22,27 +22,28 @@
 def classify(
     crashes: Iterable[suspects_data.Crash],
 ) -> suspects_data.Cause:
-    """Tell what lost servers have in common.
+    """Classify the cause of the losses of backend servers.
 
-    A request that crashes servers is the one thing common to losses of
-    different servers, and it stays so whatever the version; hence it is
-    looked for first. A request that ran on a dying host is answered
-    elsewhere and is no longer among the crash's requests. A dying host is
-    lost again under other requests while its fellows live; so it needs one
-    server only, and no request common to its losses. A bad version is lost
-    on several servers under requests that have nothing in common but the
-    version. One loss alone tells nothing.
+    A poison request is common to losses of different servers, whatever the
+    version, so it is looked for first. A request that ran on a dying host is
+    answered elsewhere and is then cleared from the crash. A dying host is
+    one server that is lost again under other requests while other servers
+    stay up, so its losses have no request in common. A bad version is lost
+    on several servers, and its losses have only the version in common. One
+    loss alone is not enough to classify.
     """
-    seen = tuple(crashes)
-    servers = {crash.server_id for crash in seen}
-    versions = {crash.version for crash in seen}
-    if len(seen) < 2:
+    all_crashes = tuple(crashes)
+    servers = {crash.server_id for crash in all_crashes}
+    versions = {crash.version for crash in all_crashes}
+    if len(all_crashes) < 2:
         return suspects_data.Cause.UNCLEAR
-    if _is_poison(seen):
+    if _is_poison(all_crashes):
         return suspects_data.Cause.POISON
     if len(servers) == 1:
-        common = frozenset.intersection(*(one.fingerprints for one in seen))
-        # The same request and the same server each time: either may be it.
+        common = frozenset.intersection(
+            *(one.fingerprints for one in all_crashes)
+        )
+        # The same request and server each time: either can be the cause.
         if common:
             return suspects_data.Cause.UNCLEAR
         return suspects_data.Cause.DYING_HOST
@@ -60,7 +61,7 @@
     for crash in crashes:
         for fingerprint in crash.fingerprints:
             servers.setdefault(fingerprint, set()).add(crash.server_id)
-    return any(len(lost) > 1 for lost in servers.values())
+    return any(len(lost_servers) > 1 for lost_servers in servers.values())
 
 
 def _add_crash(
@@ -82,5 +83,5 @@
 
 
 def _is_loss_of(crash: suspects_data.Crash, loss: suspects_data.Loss) -> bool:
-    near = loss.at - crash.at < suspects.WINDOW_S
-    return crash.server_id == loss.server_id and near
+    in_window = loss.at - crash.at < suspects.WINDOW_S
+    return crash.server_id == loss.server_id and in_window
--- a/beryllug/core/crash_causes_test.py
+++ b/beryllug/core/crash_causes_test.py
@@ -1,4 +1,4 @@
-"""What lost servers are put down to, in a table."""
+"""Table tests of the classification of crashes."""
 
 import unittest
 from typing import NamedTuple
@@ -15,53 +15,53 @@
 AT = suspects_test.AT
 
 
-class Cell(NamedTuple):
-    """Crashes and what they are put down to."""
+class Case(NamedTuple):
+    """Crashes and their cause."""
 
     title: str
     crashes: tuple[tuple[str, str, str], ...]
     cause: Cause
 
 
-CELLS = (
-    Cell('none', (), Cause.UNCLEAR),
-    Cell('one', (('s1', 'v1', 'ab'),), Cause.UNCLEAR),
-    Cell(
+CASES = (
+    Case('none', (), Cause.UNCLEAR),
+    Case('one', (('s1', 'v1', 'ab'),), Cause.UNCLEAR),
+    Case(
         'one request, two servers',
         (('s1', 'v1', 'ab'), ('s2', 'v1', 'a')),
         Cause.POISON,
     ),
-    Cell(
+    Case(
         'one request, two versions',
         (('s1', 'v1', 'ab'), ('s2', 'v2', 'ac')),
         Cause.POISON,
     ),
-    Cell(
+    Case(
         'many requests, one version',
         (('s1', 'v1', 'ab'), ('s2', 'v1', 'cd')),
         Cause.BAD_VERSION,
     ),
-    Cell(
+    Case(
         'a version whose requests are all cleared',
         (('s1', 'v1', ''), ('s2', 'v1', '')),
         Cause.BAD_VERSION,
     ),
-    Cell(
+    Case(
         'one server, many requests',
         (('s1', 'v1', 'ab'), ('s1', 'v2', 'cd')),
         Cause.DYING_HOST,
     ),
-    Cell(
+    Case(
         'one server, one request',
         (('s1', 'v1', 'ab'), ('s1', 'v1', 'a')),
         Cause.UNCLEAR,
     ),
-    Cell(
+    Case(
         'nothing in common',
         (('s1', 'v1', 'ab'), ('s2', 'v2', 'cd')),
         Cause.UNCLEAR,
     ),
-    Cell(
+    Case(
         'plain services have no version',
         (('s1', '', 'ab'), ('s2', '', 'cd')),
         Cause.UNCLEAR,
@@ -70,20 +70,20 @@
 
 
 class ClassifyTest(unittest.TestCase):
-    """A poison request, a bad version and a dying host are told apart."""
+    """Tells a poison request, a bad version and a dying host apart."""
 
     def test_table(self) -> None:
-        """Each cell by hand."""
-        for cell in CELLS:
-            with self.subTest(cell.title):
+        """Each case of the table has the expected cause."""
+        for case in CASES:
+            with self.subTest(case.title):
                 crashes = [
                     Crash(server, version, AT, frozenset(names))
-                    for server, version, names in cell.crashes
+                    for server, version, names in case.crashes
                 ]
-                self.assertEqual(crash_causes.classify(crashes), cell.cause)
+                self.assertEqual(crash_causes.classify(crashes), case.cause)
 
     def test_of_reports(self) -> None:
-        """Reports of two entries are one crash; what is cleared is not in."""
+        """Reports of two entries are one crash, without cleared requests."""
         table = suspects_data.Table()
         suspects.reported(table, suspects_test.report('s1', ('a', 'b')), AT)
         suspects.reported(
--- a/beryllug/core/digest_index.py
+++ b/beryllug/core/digest_index.py
@@ -1,11 +1,11 @@
-"""A lean index from 64-bit digests to segment numbers.
+"""A compact index from 64-bit digests to segment numbers.
 
 A dict of ints takes about a hundred bytes an entry; a control process has a
-few megabytes for millions of remembered requests. Here an entry takes 24
-bytes: open addressing in two arrays, at most half full. Tables are filled
-one after the other and forgotten whole, oldest first.
+few megabytes for millions of requests. Here an entry takes 24 bytes: open
+addressing in two arrays, at most half full. Tables are filled one after the
+other and dropped whole, oldest first.
 
-A digest may collide; whoever finds one reads the row it points at.
+Digests may collide, so a caller must check the row that an entry points at.
 """
 
 import hashlib
@@ -46,7 +46,7 @@
 
     Attributes:
         tables: The tables.
-        forgotten_at: Newest row that has been forgotten, wall-clock seconds.
+        forgotten_at: Time of the newest dropped row, wall-clock seconds.
     """
 
     tables: list[Table] = field(default_factory=list)
@@ -54,14 +54,14 @@
 
 
 def digest(*parts: str) -> int:
-    """Return the digest of some text parts; never 0."""
+    """Return the digest of several strings; never 0."""
     joined = '\0'.join(parts).encode()
     hashed = hashlib.blake2b(joined, digest_size=8).digest()
     return int.from_bytes(hashed, 'little') or 1
 
 
 def put(index: Index, key: int, seq: int, at: float) -> None:
-    """Remember the segment of a digest's latest row.
+    """Store the segment of a digest's latest row.
 
     Args:
         index: The index.
@@ -71,7 +71,7 @@
     """
     if not index.tables or is_full(index.tables[-1]):
         index.tables.append(Table())
-        _drop_beyond(index, MAX_TABLES)
+        _drop_oldest(index, MAX_TABLES)
     table = index.tables[-1]
     slot = _slot(table, key)
     if not table.digests[slot]:
@@ -91,13 +91,13 @@
 
 
 def forget(index: Index, before: float) -> None:
-    """Forget tables whose newest row is older than a wall-clock second."""
+    """Drop tables whose newest row is older than a wall-clock second."""
     while index.tables and index.tables[0].newest_at < before:
-        _drop_beyond(index, len(index.tables) - 1)
+        _drop_oldest(index, len(index.tables) - 1)
 
 
 def is_full(table: Table) -> bool:
-    """Tell whether a table takes no more digests."""
+    """Tell whether a table is full."""
     return table.used >= MAX_USED
 
 
@@ -114,7 +114,7 @@
 
 
 def unpack(digests: bytes, seqs: bytes, newest_at: float, name: str) -> Table:
-    """Make a table of what `pack` returned."""
+    """Return the table that `pack` encoded."""
     table = Table(newest_at=newest_at, name=name)
     keys = array('Q', digests)
     for key, seq in zip(keys, array('I', seqs), strict=True):
@@ -126,7 +126,7 @@
 
 
 def size(index: Index) -> int:
-    """Return the number of remembered digests."""
+    """Return the number of stored digests."""
     return sum(table.used for table in index.tables)
 
 
@@ -138,7 +138,7 @@
     return slot
 
 
-def _drop_beyond(index: Index, count: int) -> None:
+def _drop_oldest(index: Index, count: int) -> None:
     while len(index.tables) > count:
         dropped = index.tables.pop(0)
         index.forgotten_at = max(index.forgotten_at, dropped.newest_at)
--- a/beryllug/core/image_data.py
+++ b/beryllug/core/image_data.py
@@ -1,4 +1,4 @@
-"""Records of a shard's image: what a new owner reads instead of old rows."""
+"""Records of a shard's snapshot, which a new owner reads first."""
 
 from typing import NamedTuple
 
@@ -14,7 +14,7 @@
 
 
 class TableRef(NamedTuple):
-    """A full table that stands in an object of its own."""
+    """A full table that is stored in a separate object."""
 
     name: str
     newest_at: float
@@ -24,11 +24,11 @@
     """The state of a shard after all rows of its segments up to one.
 
     Attributes:
-        upto: The last segment whose rows are all in it.
+        upto: The last segment of which all rows are included.
         fencing: Fencing token of the owner that wrote it.
         tables: Full tables of the index, oldest first.
         partial: The table that is being filled.
-        forgotten_at: Newest row that the index has forgotten.
+        forgotten_at: Time of the newest row removed from the index.
         tries: Intents without outcome.
         first: The oldest segment that has not been deleted.
     """
--- a/beryllug/core/journal.py
+++ b/beryllug/core/journal.py
@@ -1,18 +1,19 @@
-r"""What the owner of a shard of the request journal decides.
+r"""Decisions of the owner of a shard of the request journal.
 
-A request that may not repeat goes through these states::
+A non-idempotent request goes through these states::
 
     begin -> WAITING -> (durable, lease still held) -> OPEN -> outcome
-                 \-> denied: the wait ended first; never granted
+                 \-> denied: the wait timed out first; never granted
     takeover: a durable intent without outcome -> INHERITED -> outcome
 
 Its key is free again after an outcome NOT_RUN, and never after any other.
-The intent of a denied try may still turn up in the log, when its write took
-effect and the answer was lost. It was never granted, so it then gets an
-outcome NOT_RUN, and its key refuses nobody.
+The intent of a denied attempt may still appear in the log, if its write took
+effect and the reply was lost. It was never granted, so it then gets an
+outcome NOT_RUN, and its key is free again.
 
-All functions work on an explicit `ShardState` and never wait. Where a row
-must be read back from the log they say so, and are called again with it.
+All functions work on an explicit `ShardState` and never block. Where a row
+must be read back from the log they return `ReadBack`, and the caller calls
+them again with the row.
 """
 
 from collections.abc import Sequence
@@ -32,12 +33,12 @@
 
 
 class Found(NamedTuple):
-    """What the segment that the index named holds about a request.
+    """Result of a read-back of the segment that the index named.
 
     Attributes:
         seq: The segment.
         row: The row that decides, or None when there is none: two digests
-            were equal, or the segment has expired.
+            collided, or the segment has expired.
     """
 
     seq: int
@@ -56,7 +57,7 @@
     seq: int
 
 
-Begun = journal_data.Grant | Waiting | ReadBack
+BeginResult = journal_data.Grant | Waiting | ReadBack
 
 
 def begin(
@@ -64,25 +65,25 @@
     row: journal_data.Row,
     now: float,
     found: Found | None = None,
-) -> Begun:
-    """Decide about an intent.
+) -> BeginResult:
+    """Decide whether a request may run.
 
     Args:
         state: The shard; a new intent is added to its pending rows.
         row: The intent.
         now: Second of the monotonic clock.
-        found: What was read back after this function asked for it.
+        found: The read-back that an earlier call asked for.
 
     Returns:
-        The answer, or that it waits, or what must be read first.
+        The grant, or that the row waits, or which segment to read first.
     """
-    shard_state.hear(state, row.entry)
+    shard_state.record_boot(state, row.entry)
     if shard_state.has_outcome(state, row.request_id):
-        # Its entry gave this try up before the intent came here.
+        # The entry abandoned this attempt before the intent arrived here.
         return unavailable(row)
-    tries = shard_state.open_tries(state, shard_state.key_of(row))
-    if tries:
-        return _begin_again(state, row, tries, now)
+    attempts = shard_state.open_attempts(state, shard_state.key_of(row))
+    if attempts:
+        return _begin_resend(state, row, attempts, now)
     seq = digest_index.find(state.index, shard_state.key_digest(row))
     if seq is None:
         return _add_intent(state, row, now)
@@ -90,7 +91,7 @@
         return ReadBack(seq)
     if found.row is None or shard_state.is_not_run(found.row):
         return _add_intent(state, row, now)
-    return _answer(row, found.row)
+    return _answer_resend(row, found.row)
 
 
 def grant(
@@ -109,8 +110,8 @@
         return unavailable(row)
     if valid_s <= 0:
         # The entry is told that the request did not run. Without this row
-        # the caller's resend would find its key taken by a try that nobody
-        # runs.
+        # the key would stay taken by an attempt that never runs, and the
+        # caller's resend would be refused.
         shard_state.add_outcome(
             state, attempt.row, journal_data.OutcomeState.NOT_RUN
         )
@@ -127,12 +128,12 @@
 ) -> journal_data.Grant:
     """Answer an intent of which another process keeps a copy.
 
-    It stays pending and is written when the platform is back.
+    It stays pending and is written when the platform is reachable again.
 
     Args:
         state: The shard.
         row: The intent.
-        valid_s: Seconds for which surely nobody takes the lease.
+        valid_s: Seconds for which no other process can take the lease.
     """
     attempt = state.tries.get(row.request_id)
     if attempt is None or valid_s <= 0:
@@ -145,26 +146,26 @@
 
 
 def is_final(row: journal_data.Row) -> bool:
-    """Tell whether a row ends its key: its request ran, or may have."""
+    """Tell whether a row is a final outcome: its request ran, or may have."""
     return row.state is not None and not shard_state.is_not_run(row)
 
 
 def ends_soon(
     state: shard_state.ShardState, row: journal_data.Row
 ) -> journal_data.Row | None:
-    """Return the outcome that waits to end a row's key for good, if any."""
-    for attempt in shard_state.open_tries(state, shard_state.key_of(row)):
+    """Return the pending final outcome of a row's key, if any."""
+    for attempt in shard_state.open_attempts(state, shard_state.key_of(row)):
         outcome = (journal_data.RowKind.OUTCOME, attempt.row.request_id)
-        ending = state.pending.get(outcome)
-        if ending is not None and is_final(ending):
-            return ending
+        final_outcome = state.pending.get(outcome)
+        if final_outcome is not None and is_final(final_outcome):
+            return final_outcome
     return None
 
 
 def recall(
     state: shard_state.ShardState, row: journal_data.Row, now: float
 ) -> None:
-    """Add the intent of an outcome whose try is not known, before it."""
+    """Add a missing intent ahead of a final outcome that has none."""
     known = row.request_id in state.tries
     if known or shard_state.has_outcome(state, row.request_id):
         return
@@ -173,22 +174,22 @@
     intent = row._replace(
         kind=journal_data.RowKind.INTENT, state=None, stages=(), answer=None
     )
-    shard_state.add_try(state, intent, shard_state.Phase.INHERITED, now)
+    shard_state.add_attempt(state, intent, shard_state.Phase.INHERITED, now)
     state.pending[shard_state.row_id(intent)] = intent
 
 
 def is_new(state: shard_state.ShardState, row: journal_data.Row) -> bool:
-    """Tell whether an intent is of a key of which nothing is known."""
+    """Tell whether no granted or inherited attempt has this request id."""
     attempt = state.tries.get(row.request_id)
     return attempt is None or attempt.phase is shard_state.Phase.WAITING
 
 
 def deny(state: shard_state.ShardState, row: journal_data.Row) -> None:
-    """Give up a try whose intent did not become durable in time."""
+    """Remove an attempt whose intent did not become durable in time."""
     attempt = state.tries.get(row.request_id)
     if attempt is not None and attempt.phase is shard_state.Phase.WAITING:
         state.pending.pop(shard_state.row_id(row), None)
-        shard_state.close(state, row)
+        shard_state.remove_attempt(state, row)
 
 
 def finish(
@@ -199,10 +200,10 @@
     """Decide about a row that is not an intent.
 
     Returns:
-        True when it is durable already, or that it waits, or what must be
-        read first.
+        True when it is durable already, or that it waits, or which segment
+        to read first.
     """
-    shard_state.hear(state, row.entry)
+    shard_state.record_boot(state, row.entry)
     row_id = shard_state.row_id(row)
     waiting = state.pending.get(row_id)
     if waiting is not None:
@@ -220,11 +221,13 @@
 
 
 def open_intent(
-    state: shard_state.ShardState, ask: rpc_data.LookupAsk
+    state: shard_state.ShardState, request: rpc_data.LookupAsk
 ) -> journal_data.Row | None:
-    """Return the intent of a key's latest try that has no outcome."""
-    tries = shard_state.open_tries(state, (ask.account_id, ask.shard_key))
-    return tries[-1].row if tries else None
+    """Return the intent of a key's latest attempt without outcome."""
+    attempts = shard_state.open_attempts(
+        state, (request.account_id, request.shard_key)
+    )
+    return attempts[-1].row if attempts else None
 
 
 def find_latest(
@@ -239,7 +242,7 @@
 
 
 def unavailable(row: journal_data.Row) -> journal_data.Grant:
-    """Answer that a try was not granted and never will be."""
+    """Answer that an attempt was not granted and never will be."""
     return journal_data.Grant(
         journal_data.GrantKind.UNAVAILABLE,
         row.request_id,
@@ -254,45 +257,49 @@
 
 
 def _supersedes(row: journal_data.Row, known: journal_data.Row) -> bool:
-    """Tell whether a row takes the place of one that is known.
+    """Tell whether a row replaces one that is known.
 
-    A bill is written once. Of the pins of a session the latest holds: an
-    entry that could not reach its owner for a while sends an older one
-    again, which must not put the session back on a withdrawn version.
+    An outcome, the billing record, is written once. Of the pins of a session
+    the latest wins: an entry that could not reach its owner for a while
+    sends an older pin again, which must not return the session to a
+    withdrawn version.
     """
     is_outcome = row.kind is journal_data.RowKind.OUTCOME
     return not is_outcome and row.at > known.at
 
 
-def _begin_again(
+def _begin_resend(
     state: shard_state.ShardState,
     row: journal_data.Row,
-    tries: Sequence[shard_state.Try],
+    attempts: Sequence[shard_state.Attempt],
     now: float,
-) -> Begun:
+) -> BeginResult:
     same = state.tries.get(row.request_id)
     if same is not None:
-        return _begin_same(row, same)
-    latest = tries[-1]
+        return _answer_same_attempt(row, same)
+    latest = attempts[-1]
     if latest.row.body_hash != row.body_hash:
         return _reply(journal_data.GrantKind.MISMATCH, latest.row)
-    ending = ends_soon(state, row)
-    if ending is not None:
-        return _answer(row, ending)
+    final_outcome = ends_soon(state, row)
+    if final_outcome is not None:
+        return _answer_resend(row, final_outcome)
     name = shard_state.entry_name(latest.row.entry)
-    longest_s = latest.row.longest_s or journal_log.LONGEST_RUN_S
-    young = now - latest.since < longest_s
-    if young and state.boots.get(name) == latest.row.entry:
+    longest_s = latest.row.longest_s or journal_log.MAX_RUN_S
+    is_recent = now - latest.since < longest_s
+    if is_recent and state.boots.get(name) == latest.row.entry:
         return _reply(journal_data.GrantKind.RUNNING, latest.row)
     return _reply(journal_data.GrantKind.UNKNOWN, latest.row)
 
 
-def _begin_same(row: journal_data.Row, first: shard_state.Try) -> Begun:
-    """Answer an entry that asks again about its own try.
+def _answer_same_attempt(
+    row: journal_data.Row, first: shard_state.Attempt
+) -> BeginResult:
+    """Answer an entry that repeats the intent of its own attempt.
 
-    It asks because the grant was lost on its way. An entry asks only for
-    what it has not sent to a backend server, and sends each try once, so a
-    second grant of one try to the same process start runs nothing twice.
+    It repeats it because the grant was lost in transit. An entry asks only
+    for attempts that it has not sent to a backend server, and sends each
+    attempt once, so a second grant to the same process start runs nothing
+    twice.
     """
     if first.row.entry != row.entry:
         return _reply(journal_data.GrantKind.UNKNOWN, first.row)
@@ -301,16 +308,16 @@
 
 def _add_intent(
     state: shard_state.ShardState, row: journal_data.Row, now: float
-) -> Begun:
-    shard_state.add_try(state, row, shard_state.Phase.WAITING, now)
+) -> BeginResult:
+    shard_state.add_attempt(state, row, shard_state.Phase.WAITING, now)
     state.pending[shard_state.row_id(row)] = row
     return Waiting()
 
 
-def _answer(
+def _answer_resend(
     row: journal_data.Row, first: journal_data.Row
 ) -> journal_data.Grant:
-    """Answer a resend by the row that decides about its key."""
+    """Answer a resend from the row that decides about its key."""
     if first.body_hash != row.body_hash:
         return _reply(journal_data.GrantKind.MISMATCH, first)
     if first.state in {None, journal_data.OutcomeState.UNKNOWN}:
--- a/beryllug/core/journal_data.py
+++ b/beryllug/core/journal_data.py
@@ -1,8 +1,9 @@
 """Rows of the request journal and the messages about them.
 
-A shard of the journal belongs to one control process at a time. The rows of
-a request that may not repeat are an intent, durable before dispatch, and an
-outcome; every other request has an outcome only, which is its bill.
+A shard of the journal belongs to one control process at a time. A
+non-idempotent request has two rows: an intent, durable before dispatch, and
+an outcome. Every other request has an outcome only. The outcome is also the
+billing record.
 """
 
 from enum import StrEnum
@@ -29,7 +30,7 @@
 
 
 class StageUse(NamedTuple):
-    """What one stage of a request used: the detail of a bill."""
+    """Usage of one stage of a request: a line item of its billing record."""
 
     model: str
     version: str
@@ -45,7 +46,7 @@
     Attributes:
         status: HTTP status.
         content_type: Media type of the body.
-        body: The body, or empty when it stands in an object of its own.
+        body: The body, or empty when it is stored in a separate object.
         object_key: Key of the object that holds the body, or empty.
     """
 
@@ -60,20 +61,20 @@
 
     Attributes:
         kind: What it records.
-        request_id: Unique id of the request; the key of its bill.
+        request_id: Unique id of the request and of its billing record.
         account_id: The client account.
-        shard_key: What decides the shard: idempotency key or request id,
-            with the account.
+        shard_key: Idempotency key or request id; with the account it
+            selects the shard.
         body_hash: Hex digest of the request, to refuse a key used twice for
             different requests.
         at: Seconds of the wall clock.
         entry: Name of the entry process that took the request.
         state: How it ended; None for an intent.
-        stages: What it used, one item a stage.
+        stages: Usage, one item per stage.
         answer: The kept answer, if any.
-        note: Free detail, as the pinned version of a session row.
-        longest_s: Seconds after which an intent's run has surely ended; 0
-            where it does not say.
+        note: Other details, such as the pinned version of a session row.
+        longest_s: Seconds after which the run of an intent must have ended;
+            0 when not stated.
     """
 
     kind: RowKind
@@ -102,22 +103,22 @@
 
 
 class Grant(NamedTuple):
-    """What the owner says of one intent.
+    """The owner's answer to one intent.
 
     Attributes:
         kind: GRANTED allows one dispatch; RUNNING, FINISHED and UNKNOWN tell
-            of an earlier try under the same key; MISMATCH that the key was
+            of an earlier attempt under the same key; MISMATCH that the key was
             used for another request; UNAVAILABLE that nothing was written.
-        request_id: Id of the first try, which the caller is told.
-        first: The outcome row of the first try when it has finished.
+        request_id: Id of the first attempt, which the caller is told.
+        first: The outcome row of the first attempt when it has finished.
         valid_s: Seconds for which GRANTED may be used, counted from when
             the intent was sent.
-        retry_after_s: When asking again can help, for UNAVAILABLE.
-        doubtful: With UNAVAILABLE, that the owner's answer was lost and the
-            intent may be durable. The entry then takes it back by an outcome
-            NOT_RUN, or every resend would be told UNKNOWN.
-        is_owner: False where a process that was passed the intent does not
-            own its shard; the one that passed it on then asks the owner.
+        retry_after_s: Seconds after which a retry may succeed, for UNAVAILABLE.
+        doubtful: With UNAVAILABLE, that the owner's reply was lost and the
+            intent may be durable. The entry then cancels it by an outcome
+            NOT_RUN; otherwise every resend would get UNKNOWN.
+        is_owner: False where a process that received a forwarded intent does
+            not own its shard; the forwarding process then asks the owner.
     """
 
     kind: GrantKind
--- a/beryllug/core/lease.py
+++ b/beryllug/core/lease.py
@@ -1,19 +1,20 @@
-"""When to read, renew, take and give back a lease.
-
-No wall clock decides. The holder counts from before its renewal was sent:
-the renewal cannot have taken effect earlier. A taker counts from after its
-read returned: the holder's last renewal cannot have been sent later. Both
-allow a margin, and the taker writes on the condition that the object has not
-changed since, so the holder's time is over before the taker's begins.
+"""Decide when to read, renew, acquire and release a lease.
+
+Only monotonic clocks are used. The holder counts from before its renewal was
+sent: the renewal cannot have taken effect earlier. A process that waits for
+the lease counts from after its read returned: the holder's last renewal
+cannot have been sent later. Both allow a margin, and the lease is acquired
+by a conditional write that fails if the object has changed since the read,
+so the holder's validity ends before the next holder's begins.
 """
 
 from dataclasses import dataclass, field
 
 from beryllug.core import lease_data
 
-# Waiting processes beyond these ranks do not even read the lease: it bounds
+# Processes of this rank or a higher one do not read the lease. This bounds
 # the reads of a lease whatever the size of the fleet.
-OBSERVERS = 3
+MAX_OBSERVERS = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Write the lease on the condition of the object's version."""
+    """Write the lease if the object still has the expected version."""
 
     lease: lease_data.Lease
     expected_version: int
@@ -41,26 +42,27 @@
 
 @dataclass(slots=True)
 class LeaseState:
-    """What a process knows of one lease.
+    """What a process knows about one lease.
 
     Attributes:
         name: Name of the lease.
-        version: Version of the object that was last seen; 0 is absent.
+        version: Last seen version of the object; 0 if it does not exist.
         lease: Its content.
         seen_since: When this version was first seen, or seen again after a
-            time in which the platform could not be read.
+            period in which the platform could not be read.
         read_at: When the object was last read or written.
-        known: False until it was read, and after a write went wrong.
-        unsure_since: When the first write was sent whose effect is not
-            known; None when there is none.
+        known: False until it was read, and after a conflict or an unknown
+            result of a write.
+        unsure_since: When the first write with unknown result was sent; None
+            when there is none.
         fencing: Fencing token while this process holds it, or 0.
-        valid_until: Second until which it holds.
+        valid_until: Second until which this process holds it.
         renewed_at: When the last write that took effect was sent.
-        releasing: Whether it is being given back.
-        taking: Whether a write that takes it is under way, or its effect is
-            not known.
-        before: The lease as it was when this process took it.
-        listed: Candidates in writes of which the effect is not known.
+        releasing: Whether it is being released.
+        taking: Whether a write that acquires it is in flight, or has an
+            unknown result.
+        before: The lease as it was before this process acquired it.
+        listed: Candidates in writes with unknown result.
     """
 
     name: str
@@ -82,7 +84,7 @@
 def token(
     state: LeaseState, owner: lease_data.Owner, now: float
 ) -> lease_data.Token | None:
-    """Return the proof of the lease, or None when it is not held now."""
+    """Return the token of the lease, or None when it is not held now."""
     if not state.fencing or now >= state.valid_until:
         return None
     return lease_data.Token(
@@ -94,29 +96,29 @@
     state: LeaseState,
     owner: lease_data.Owner,
     terms: lease_data.Terms,
-    standing: lease_data.Standing,
+    claim: lease_data.Standing,
     now: float,
 ) -> Action:
     """Choose what to do next about a lease.
 
     Args:
-        state: What is known of it.
+        state: What is known about it.
         owner: This process.
         terms: Durations.
-        standing: How this process stands to it.
+        claim: Rank and candidates of this process for it.
         now: Second of the monotonic clock.
     """
     if not state.known:
         return Read()
     if state.fencing:
-        return _decide_holder(state, terms, standing, now)
-    if standing.rank >= OBSERVERS or state.releasing:
+        return _decide_holder(state, terms, claim, now)
+    if claim.rank >= MAX_OBSERVERS or state.releasing:
         return Wait(now + terms.lease_s)
-    return _decide_waiter(state, owner, terms, standing, now)
+    return _decide_waiter(state, owner, terms, claim, now)
 
 
 def sending(state: LeaseState, write: Write) -> None:
-    """Take in that a write is about to be sent."""
+    """Record that a write is about to be sent."""
     state.listed.update(write.lease.candidates)
     if not state.fencing:
         state.taking = True
@@ -124,16 +126,16 @@
 
 
 def candidates(state: LeaseState) -> tuple[lease_data.Candidate, ...]:
-    """Return who may take a held lease from this process.
+    """Return the processes that may acquire a held lease from this process.
 
-    Renewals of which the effect is not known may have listed others.
+    Renewals with unknown result may have listed others.
     """
     known = state.lease.candidates if state.lease else ()
     return tuple(dict.fromkeys((*known, *state.listed)))
 
 
 def outage_limit(state: LeaseState, terms: lease_data.Terms) -> float:
-    """Return until when no process that is no candidate takes the lease."""
+    """Return until when only candidates can acquire the lease."""
     return state.renewed_at + terms.fallback_s - terms.margin_s
 
 
@@ -145,10 +147,10 @@
     lease: lease_data.Lease | None,
     now: float,
 ) -> None:
-    """Take in the object as it was read; `now` is after the read."""
+    """Record the object as it was read; `now` is after the read."""
     if version < state.version:
-        # A replica that lags: acting on it would give up a held lease, or
-        # begin to count from a renewal that is long past.
+        # A lagging replica: acting on it would give up a held lease, or
+        # start to count from an old renewal.
         return
     changed = version != state.version
     if changed or now - state.read_at > terms.lease_s / 2:
@@ -160,9 +162,9 @@
     if state.unsure_since is None:
         state.taking = False
     if lease is None or not _is_own(lease, owner):
-        _lose(state)
+        _set_not_held(state)
     elif changed and state.unsure_since is not None:
-        _hold(state, terms, lease, state.unsure_since)
+        _set_held(state, terms, lease, state.unsure_since)
 
 
 def written(
@@ -173,7 +175,7 @@
     sent_at: float,
     now: float,
 ) -> None:
-    """Take in that a write took effect; `sent_at` is before it was sent."""
+    """Record that a write took effect; `sent_at` is before it was sent."""
     state.version = version
     state.lease = write.lease
     state.seen_since = now
@@ -182,22 +184,22 @@
     state.taking = False
     state.listed.clear()
     if write.lease.holder:
-        _hold(state, terms, write.lease, sent_at)
+        _set_held(state, terms, write.lease, sent_at)
     else:
-        _lose(state)
+        _set_not_held(state)
 
 
 def conflicted(state: LeaseState) -> None:
-    """Take in that a write met another version: read before all else."""
+    """Record that a write found another version; a read must come next."""
     state.known = False
 
 
 def unsure(state: LeaseState, sent_at: float) -> None:
-    """Take in that a write may have taken effect.
+    """Record that a write may have taken effect.
 
-    The first such write stays the one that counts: if a later one then meets
-    a changed object, the change may be the first write's, from whose sending
-    others may have begun to count.
+    The sending time of the first such write is kept: if a later one finds a
+    changed object, the change may be the first write's, and other processes
+    may already count from it.
     """
     state.known = False
     if state.unsure_since is None:
@@ -207,41 +209,43 @@
 def _decide_holder(
     state: LeaseState,
     terms: lease_data.Terms,
-    standing: lease_data.Standing,
+    claim: lease_data.Standing,
     now: float,
 ) -> Action:
     lease = state.lease
     assert lease is not None
     if state.releasing:
-        given = lease_data.Lease('', lease.fencing)
-        return Write(given, state.version)
+        released = lease_data.Lease('', lease.fencing)
+        return Write(released, state.version)
     due = state.renewed_at + terms.renew_s
     if now < due:
         return Wait(due)
     renewed = lease._replace(
         renewals=lease.renewals + 1,
-        candidates=_candidates(standing, lease),
-        unflushed=standing.unflushed,
+        candidates=_next_candidates(claim, lease),
+        unflushed=claim.unflushed,
     )
     return Write(renewed, state.version)
 
 
-def _candidates(
-    standing: lease_data.Standing, lease: lease_data.Lease | None
+def _next_candidates(
+    claim: lease_data.Standing, lease: lease_data.Lease | None
 ) -> tuple[lease_data.Candidate, ...]:
-    """Return who may take a lease from now on.
+    """Return the processes that may acquire a lease from now on.
 
-    While rows may stand in a candidate's memory only, the earlier
+    While rows may exist in a candidate's memory only, the previous
     candidates stay listed: the next holder must ask them too.
     """
     earlier: tuple[lease_data.Candidate, ...] = ()
-    if standing.unflushed and lease is not None:
+    if claim.unflushed and lease is not None:
         earlier = lease.candidates
-    return tuple(dict.fromkeys((*standing.candidates, *earlier)))
+    return tuple(dict.fromkeys((*claim.candidates, *earlier)))
 
 
-def _may_take(lease: lease_data.Lease | None, owner: lease_data.Owner) -> bool:
-    """Tell whether a process needs to wait no longer than a lease holds."""
+def _is_candidate(
+    lease: lease_data.Lease | None, owner: lease_data.Owner
+) -> bool:
+    """Tell whether a process may acquire a lease as soon as it expires."""
     if lease is None or not lease.holder or not lease.candidates:
         return True
     names = {candidate.name for candidate in lease.candidates}
@@ -252,50 +256,51 @@
     state: LeaseState,
     owner: lease_data.Owner,
     terms: lease_data.Terms,
-    standing: lease_data.Standing,
+    claim: lease_data.Standing,
     now: float,
 ) -> Action:
     read_due = state.read_at + terms.poll_s
     if now >= read_due:
-        # A lease is taken only right after it was seen unchanged: a process
-        # that was paused must not act on what it saw before the pause.
+        # A lease is acquired only right after it was read unchanged: a
+        # process that was paused must not act on a read before the pause.
         return Read()
-    due = _take_due(state, owner, terms, standing)
-    if now < due or not standing.may_take:
+    due = _acquire_due(state, owner, terms, claim)
+    if now < due or not claim.may_take:
         return Wait(min(max(due, now + terms.poll_s), read_due))
     lease = state.lease
     held = lease is not None and bool(lease.holder)
-    taken = lease_data.Lease(
+    acquired = lease_data.Lease(
         owner.name,
         fencing=lease.fencing + 1 if lease else 1,
         boot=owner.boot,
         address=owner.address,
-        candidates=_candidates(standing._replace(unflushed=held), lease),
+        candidates=_next_candidates(claim._replace(unflushed=held), lease),
         unflushed=held,
     )
-    return Write(taken, state.version)
+    return Write(acquired, state.version)
 
 
-def _take_due(
+def _acquire_due(
     state: LeaseState,
     owner: lease_data.Owner,
     terms: lease_data.Terms,
-    standing: lease_data.Standing,
+    claim: lease_data.Standing,
 ) -> float:
-    """Return from when a process may take a lease that stays unchanged."""
+    """Return from when a process may acquire a lease that is unchanged."""
     lease = state.lease
-    due = state.seen_since + standing.rank * terms.stagger_s
+    due = state.seen_since + claim.rank * terms.stagger_s
     if lease is None or not lease.holder:
         return due
     due += terms.lease_s + terms.margin_s
-    if not _may_take(lease, owner):
-        # In an outage the holder goes on under promises of the candidates
-        # alone. Others leave it more time than it then allows itself.
+    if not _is_candidate(lease, owner):
+        # During a platform outage the holder continues on promises of the
+        # candidates alone. Other processes wait longer than the holder may
+        # continue that way.
         due += terms.fallback_s
     return due
 
 
-def _hold(
+def _set_held(
     state: LeaseState,
     terms: lease_data.Terms,
     lease: lease_data.Lease,
@@ -306,7 +311,7 @@
     state.valid_until = sent_at + terms.lease_s - terms.margin_s
 
 
-def _lose(state: LeaseState) -> None:
+def _set_not_held(state: LeaseState) -> None:
     state.fencing = 0
     state.valid_until = float('-inf')
 
--- a/beryllug/core/lease_data.py
+++ b/beryllug/core/lease_data.py
@@ -1,18 +1,19 @@
 """Records of leases.
 
-A lease is an object of the platform. Whoever holds it may act alone for its
-name, for a time that both sides count on their own monotonic clocks.
+A lease is an object of the platform. Only its holder may act for its name,
+for a duration that the holder and the waiting processes each count on their
+own monotonic clocks.
 """
 
 from typing import NamedTuple
 
 
 class Candidate(NamedTuple):
-    """A process that may take a lease from its holder.
+    """A process that may acquire a lease from its holder.
 
     Attributes:
         name: Its name in the fleet.
-        started: Number of its start, by which a later start is told apart.
+        started: Number of its start; it differs after a restart.
     """
 
     name: str
@@ -23,14 +24,14 @@
     """Content of a lease object.
 
     Attributes:
-        holder: Name of the holding process, empty when given back.
+        holder: Name of the holding process, empty when released.
         fencing: Fencing token; it grows at each change of holder.
         renewals: Renewals of this holder, so that each changes the object.
-        boot: Random id of the holder's process start, by which a process
-            tells its own write from one of an earlier process of its name.
-        address: Where the holder is reached, ``ip:port``.
-        candidates: Who may take it when it lapses; others must wait much
-            longer. None means anyone.
+        boot: Random id of the holder's process start; distinguishes its
+            writes from those of an earlier process of the same name.
+        address: Address of the holder, ``ip:port``.
+        candidates: Processes that may acquire it when it expires; others
+            must wait much longer. If empty, any process may.
         unflushed: Whether the holder may have granted requests whose rows
             the platform does not have, and some candidate has copies.
     """
@@ -50,8 +51,9 @@
     Attributes:
         name: Name of the lease.
         holder: Name of the holding process.
-        fencing: Fencing token, to be sent with every act under the lease.
-        valid_until: Second of the monotonic clock until which it holds.
+        fencing: Fencing token, to be sent with every operation under the
+            lease.
+        valid_until: Second of the monotonic clock until which it is valid.
     """
 
     name: str
@@ -61,12 +63,12 @@
 
 
 class Owner(NamedTuple):
-    """The process that wants leases.
+    """The process that acquires leases.
 
     Attributes:
         name: Its name in the fleet.
         boot: Random id of this process start.
-        address: Where it is reached.
+        address: Its address.
     """
 
     name: str
@@ -78,16 +80,16 @@
     """Durations of leases, in seconds.
 
     Attributes:
-        lease_s: How long a lease holds without renewal.
-        margin_s: Taken off by the holder and added by a taker, against
-            clocks that run unlike.
+        lease_s: How long a lease is valid without renewal.
+        margin_s: Subtracted by the holder and added by a waiting process,
+            against clocks that run at different rates.
         renew_s: Time between two renewals.
         poll_s: Time between two reads by a process that waits for it.
-        stagger_s: How much longer each less preferred process waits.
-        fallback_s: How much longer a process waits that is no candidate.
-        promise_s: How long a promise not to take leases holds; shorter than
-            a lease, so that a process that forgot it by a restart has not
-            watched a lease for long enough to take it.
+        stagger_s: Additional wait for each rank after the preferred process.
+        fallback_s: Additional wait of a process that is not a candidate.
+        promise_s: How long a promise not to acquire leases is valid; shorter
+            than a lease, so that a process that lost the promise in a
+            restart has not watched a lease for long enough to acquire it.
     """
 
     lease_s: float
@@ -99,7 +101,7 @@
     promise_s: float
 
 
-# Shares of the time that a lease holds.
+# Durations as multiples of the lease duration.
 MARGIN = 0.1
 RENEWAL = 0.25
 POLL = 0.15
@@ -109,7 +111,7 @@
 
 
 def terms(lease_s: float) -> Terms:
-    """Derive all durations from the time a lease holds."""
+    """Derive all durations from the lease duration."""
     return Terms(
         lease_s=lease_s,
         margin_s=lease_s * MARGIN,
@@ -122,14 +124,14 @@
 
 
 class Standing(NamedTuple):
-    """How a process stands to a lease it wants.
+    """What a process brings to the decision about a lease it wants.
 
     Attributes:
-        rank: Place among the live processes that want it, 0 the preferred.
-        candidates: Who may take it from this process.
+        rank: Rank among the live processes that want it, 0 the preferred.
+        candidates: Processes that may acquire it from this process.
         unflushed: Whether this process has granted, or may have to gather,
-            what the platform does not have.
-        may_take: False while it promised not to take leases.
+            requests whose rows the platform does not have.
+        may_take: False while it promised not to acquire leases.
     """
 
     rank: int
@@ -139,9 +141,9 @@
 
 
 class Given(NamedTuple):
-    """Tells the process that is preferred next that a lease was given back.
+    """Tells the next preferred process that a lease was released.
 
-    It spares the time until that process would have read the lease.
+    Otherwise that process would notice only at its next read of the lease.
     """
 
     name: str
--- a/beryllug/core/lease_spread.py
+++ b/beryllug/core/lease_spread.py
@@ -1,9 +1,9 @@
-"""Which live member is preferred for which lease.
+"""Assign a preferred live member to each lease.
 
-Rendezvous hashing with a bound: no member is preferred for more than its
-even share of one kind of lease. All members compute the same from the same
-live members; while they believe differently for a moment, two may want one
-lease, and the lease itself decides.
+Rendezvous hashing with bounded loads: no member is preferred for more than
+its even share of one kind of lease. All members compute the same result from
+the same live members. While their views differ, two may want one lease, and
+the conditional write of the lease decides.
 """
 
 import heapq
@@ -14,32 +14,32 @@
 
 from beryllug.core import rendezvous
 
-# Members remembered for each name; more are hardly ever asked for.
-TOP = 8
+# Ranked members kept for each name; lower ranks are rarely needed.
+MAX_RANKED = 8
 KIND_SEPARATOR = '/'
 
-Scored = tuple[int, str]
+ScoredMember = tuple[int, str]
 
 
 @dataclass(slots=True)
 class Spread:
-    """Preferences, kept so that one member's change costs little.
+    """Preferences, kept so that an update after one change is cheap.
 
     Attributes:
-        members: The live members they are for.
-        tops: Best members of each name with their scores, best first.
+        members: The live members of the last update.
+        ranked: Best members of each name with their scores, best first.
         preferred: The preferred member of each name.
     """
 
     members: frozenset[str] = frozenset()
-    tops: dict[str, list[Scored]] = field(default_factory=dict)
+    ranked: dict[str, list[ScoredMember]] = field(default_factory=dict)
     preferred: dict[str, str] = field(default_factory=dict)
 
 
 def update(
     spread: Spread, names: Iterable[str], members: Iterable[str]
 ) -> None:
-    """Take in the wanted leases and the live members."""
+    """Recompute the preferences for the wanted leases and live members."""
     wanted = sorted(names)
     present = frozenset(members)
     if present == spread.members and wanted == list(spread.preferred):
@@ -47,36 +47,42 @@
     joined = present - spread.members
     left = spread.members - present
     spread.members = present
-    spread.tops = {
-        name: _top(spread.tops.get(name), name, present, joined, left)
+    spread.ranked = {
+        name: _rank_members(
+            spread.ranked.get(name), name, present, joined, left
+        )
         for name in wanted
     }
-    spread.preferred = _prefer(spread.tops, len(present))
+    spread.preferred = _assign_preferred(spread.ranked, len(present))
 
 
 def rank(spread: Spread, name: str, member: str) -> int:
-    """Return a member's place for a lease, 0 for the preferred one."""
+    """Return a member's rank for a lease, 0 for the preferred one."""
     preferred = spread.preferred.get(name)
     if preferred == member:
         return 0
-    order = [top for _, top in spread.tops.get(name, ()) if top != preferred]
-    return order.index(member) + 1 if member in order else TOP
+    order = [
+        other for _, other in spread.ranked.get(name, ()) if other != preferred
+    ]
+    return order.index(member) + 1 if member in order else MAX_RANKED
 
 
 def heir(spread: Spread, name: str, member: str) -> str | None:
-    """Return who is preferred for a lease once a member gives it up."""
+    """Return the preferred member for a lease that a member gives up."""
     preferred = spread.preferred.get(name)
     if preferred != member:
         return preferred
-    order = [top for _, top in spread.tops.get(name, ()) if top != member]
+    order = [
+        other for _, other in spread.ranked.get(name, ()) if other != member
+    ]
     return order[0] if order else None
 
 
 def best(spread: Spread, name: str) -> tuple[str, ...]:
-    """Return the members that come first for a lease."""
+    """Return the best ranked members for a lease, the preferred one first."""
     preferred = spread.preferred.get(name)
-    tops = tuple(member for _, member in spread.tops.get(name, ()))
-    return tuple(dict.fromkeys((preferred, *tops))) if preferred else tops
+    ranked = tuple(member for _, member in spread.ranked.get(name, ()))
+    return tuple(dict.fromkeys((preferred, *ranked))) if preferred else ranked
 
 
 def share(spread: Spread, name: str) -> int:
@@ -89,45 +95,51 @@
 def excess(spread: Spread, held: Iterable[str], member: str) -> str | None:
     """Return a held lease that should go to its preferred member, if any.
 
-    Only a member that holds more than its share gives one up: a lease that
-    moves is a short pause for its callers.
+    Only a member that holds more than its share gives one up: moving a lease
+    pauses its callers for a short time.
     """
-    kept = list(held)
-    counts = Counter(_kind(name) for name in kept)
-    for name in kept:
-        strange = spread.preferred.get(name, member) != member
-        if strange and counts[_kind(name)] > share(spread, name):
+    held_names = list(held)
+    counts = Counter(_kind(name) for name in held_names)
+    for name in held_names:
+        is_misplaced = spread.preferred.get(name, member) != member
+        if is_misplaced and counts[_kind(name)] > share(spread, name):
             return name
     return None
 
 
-def _top(
-    known: list[Scored] | None,
+def _rank_members(
+    known: list[ScoredMember] | None,
     name: str,
     members: frozenset[str],
     joined: frozenset[str],
     left: frozenset[str],
-) -> list[Scored]:
+) -> list[ScoredMember]:
     if known is None or any(member in left for _, member in known):
-        return heapq.nlargest(TOP, _scores(name, members))
+        return heapq.nlargest(MAX_RANKED, _scores(name, members))
     if not joined:
         return known
-    return heapq.nlargest(TOP, [*known, *_scores(name, joined)])
+    return heapq.nlargest(MAX_RANKED, [*known, *_scores(name, joined)])
 
 
-def _scores(name: str, members: Iterable[str]) -> list[Scored]:
+def _scores(name: str, members: Iterable[str]) -> list[ScoredMember]:
     return [(rendezvous.score(name, member), member) for member in members]
 
 
-def _prefer(tops: dict[str, list[Scored]], count: int) -> dict[str, str]:
-    kinds = Counter(_kind(name) for name in tops)
+def _assign_preferred(
+    ranked: dict[str, list[ScoredMember]], count: int
+) -> dict[str, str]:
+    kinds = Counter(_kind(name) for name in ranked)
     loads: Counter[tuple[str, str]] = Counter()
     preferred: dict[str, str] = {}
-    for name, top in tops.items():
+    for name, ranked_members in ranked.items():
         kind = _kind(name)
-        most = math.ceil(kinds[kind] / max(1, count))
-        free = (member for _, member in top if loads[kind, member] < most)
-        chosen = next(free, top[0][1] if top else '')
+        max_load = math.ceil(kinds[kind] / max(1, count))
+        below_max = (
+            member
+            for _, member in ranked_members
+            if loads[kind, member] < max_load
+        )
+        chosen = next(below_max, ranked_members[0][1] if ranked_members else '')
         loads[kind, chosen] += 1
         preferred[name] = chosen
     return preferred
--- a/beryllug/core/lease_spread_test.py
+++ b/beryllug/core/lease_spread_test.py
@@ -1,4 +1,4 @@
-"""Tests of which member is preferred for which lease."""
+"""Tests of the assignment of preferred members to leases."""
 
 import itertools
 import unittest
@@ -19,7 +19,7 @@
 
 
 class LeaseSpreadTest(unittest.TestCase):
-    """Even shares, and little change when members change."""
+    """Shares are even, and incremental updates give the full result."""
 
     def test_even(self) -> None:
         """No member is preferred for more than its share of a kind."""
@@ -33,7 +33,7 @@
                 self.assertLessEqual(max(counts.values()), share)
 
     def test_change_is_as_from_scratch(self) -> None:
-        """Updates one by one end where a whole computation ends."""
+        """Incremental updates give the result of a full computation."""
         names = _names(64)
         spread = lease_spread.Spread()
         members = _members(20)
@@ -47,7 +47,7 @@
         self.assertEqual(spread.preferred, scratch.preferred)
 
     def test_excess(self) -> None:
-        """Only who holds more than its share gives a lease up."""
+        """Only a member that holds more than its share gives a lease up."""
         names = _names(4)
         spread = lease_spread.Spread()
         lease_spread.update(spread, names, ['one'])
@@ -65,7 +65,7 @@
         self.assertIsNone(lease_spread.excess(spread, others[:1], 'one'))
 
     def test_ranks(self) -> None:
-        """Ranks of one lease are unlike, and an heir follows the preferred."""
+        """Ranks of a lease are distinct; the successor has rank 1."""
         spread = lease_spread.Spread()
         members = _members(5)
         lease_spread.update(spread, _names(5), members)
@@ -74,9 +74,11 @@
         )
         self.assertEqual(ranks, [0, 1, 2, 3, 4])
         first = spread.preferred['journal/0']
-        heir = lease_spread.heir(spread, 'journal/0', first)
-        self.assertIsNotNone(heir)
-        self.assertEqual(lease_spread.rank(spread, 'journal/0', heir or ''), 1)
+        successor = lease_spread.heir(spread, 'journal/0', first)
+        self.assertIsNotNone(successor)
+        self.assertEqual(
+            lease_spread.rank(spread, 'journal/0', successor or ''), 1
+        )
 
 
 if __name__ == '__main__':
--- a/beryllug/core/member_data.py
+++ b/beryllug/core/member_data.py
@@ -5,7 +5,7 @@
 
 
 class Status(StrEnum):
-    """What is believed of a member."""
+    """Status of a member."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
@@ -14,16 +14,16 @@
 
 
 class Member(NamedTuple):
-    """A control process, as it is believed to be.
+    """A control process, as known to its peers.
 
     Attributes:
         name: Its name in the fleet.
-        address: Where peers reach it.
+        address: Its address for peers.
         zone: Its availability zone.
         incarnation: Grows with each start of the process, and each time it
-            contradicts a report of its own death.
-        status: What is believed of it.
-        started: Its incarnation when it started, which tells starts apart.
+            refutes a false report about itself.
+        status: Its status.
+        started: Its incarnation when it started; it differs after a restart.
     """
 
     name: str
@@ -35,12 +35,12 @@
 
 
 class Note(NamedTuple):
-    """A small fact that is passed on with heartbeats.
+    """A small value that is spread with heartbeats.
 
     Attributes:
-        key: What it is about; of two notes the higher `number` holds.
-        number: Its order.
-        body: The fact.
+        key: Its key; of two notes with one key the higher `number` wins.
+        number: Its version.
+        body: The value.
     """
 
     key: str
@@ -49,15 +49,15 @@
 
 
 class Heartbeat(NamedTuple):
-    """What two members tell each other, as question and as reply.
+    """A heartbeat between two members, used for request and reply.
 
     Attributes:
-        sender: The sender about itself.
-        news: What it has learnt of others lately.
-        notes: Facts that it passes on.
-        digest: Digest of all that it believes of members and notes.
+        sender: The sender's own record.
+        news: Recent updates about other members.
+        notes: Recent notes.
+        digest: Digest of all members and notes of the sender.
         revision: Revision of the configuration it holds.
-        whole: Asks for all that the receiver knows, not for news only.
+        whole: Asks for the receiver's full state, not for updates only.
     """
 
     sender: Member
@@ -69,12 +69,12 @@
 
 
 class ProbeAsk(NamedTuple):
-    """Ask a member to reach another one that does not answer the asker."""
+    """Ask a member to probe another one that does not answer the sender."""
 
     address: str
 
 
 class ProbeReply(NamedTuple):
-    """Whether the other one answered."""
+    """Whether the probed member answered."""
 
     reached: bool
--- a/beryllug/core/membership.py
+++ b/beryllug/core/membership.py
@@ -1,10 +1,10 @@
-"""What a control process believes of the others.
+"""Gossip membership of the control processes.
 
-Members pass on what they learn with their heartbeats. For each member the
-higher incarnation holds, and within one incarnation the worse news: only the
-member itself raises its incarnation, to contradict a false report. Whether a
-member is live only decides who is asked first; a lease is never taken from a
-holder because it is believed dead.
+Members spread updates with their heartbeats. For each member the higher
+incarnation wins, and within one incarnation the more severe status: only the
+member itself raises its incarnation, to refute a false report. Whether a
+member is live only decides which one is asked first; a lease is never taken
+over because its holder is believed dead.
 """
 
 import math
@@ -15,15 +15,15 @@
 
 from beryllug.core import member_data
 
-SENDS_FACTOR = 3
-NEWS_LIMIT = 8
+RETRANSMIT_FACTOR = 3
+MAX_UPDATES = 8
 SUSPICION_ROUNDS = 3
-FORGET_S = 7200.0
+DEAD_MEMBER_TTL_S = 7200.0
 MAX_NOTES = 4096
 
 Status = member_data.Status
 
-_WORSE = MappingProxyType(
+_SEVERITY = MappingProxyType(
     {Status.ALIVE: 0, Status.SUSPECT: 1, Status.DEAD: 2, Status.LEFT: 3}
 )
 _LIVE = frozenset((Status.ALIVE, Status.SUSPECT))
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Known:
-    """One member and since when it is believed to be so."""
+    """One member and the time of its last change."""
 
     member: member_data.Member
     since: float
@@ -39,17 +39,17 @@
 
 @dataclass(slots=True)
 class Table:
-    """All that a process believes of members, and what it passes on.
+    """Members known to a process, and the updates it still has to send.
 
     Attributes:
         own: This process.
-        known: The others by name.
-        notes: Facts by key.
-        sends: How often each news is still to be passed on: of members by
-            name, of notes by key.
+        known: The other members by name.
+        notes: Notes by key.
+        sends: Remaining sends of each update: of members by name, of notes
+            by key.
         ring: Names of live members in the order of their hashes, this
             process first.
-        round: Counts the probes made.
+        round: Number of probes made.
         digest: Digest over members and notes.
     """
 
@@ -63,23 +63,23 @@
 
 
 def merge(table: Table, member: member_data.Member, now: float) -> None:
-    """Take in what is said of a member; `now` is monotonic."""
+    """Merge a report about a member; `now` is monotonic."""
     if member.name == table.own.name:
         _refute(table, member)
         return
     known = table.known.get(member.name)
-    if known is not None and not _is_news(known.member, member):
+    if known is not None and not _supersedes(known.member, member):
         return
     if known is None and member.status not in _LIVE:
         return
-    before = known.member.status in _LIVE if known else False
-    _believe(table, member, now)
-    if before != (member.status in _LIVE):
+    was_live = known.member.status in _LIVE if known else False
+    _store_member(table, member, now)
+    if was_live != (member.status in _LIVE):
         _build_ring(table)
 
 
 def merge_note(table: Table, note: member_data.Note) -> bool:
-    """Take in a fact; False when it is old."""
+    """Merge a note; False if it is not newer, or there are too many."""
     known = table.notes.get(note.key)
     if known is not None and known.number >= note.number:
         return False
@@ -87,39 +87,40 @@
         return False
     table.digest ^= _hash(known) ^ _hash(note)
     table.notes[note.key] = note
-    table.sends[note.key] = _sends(table)
+    table.sends[note.key] = _send_count(table)
     return True
 
 
 def suspect(table: Table, name: str, now: float) -> None:
-    """Take in that neither this process nor others reached a member."""
+    """Mark a member suspect that could not be reached, even indirectly."""
     known = table.known.get(name)
     if known is not None and known.member.status is Status.ALIVE:
         suspected = known.member._replace(status=Status.SUSPECT)
-        _believe(table, suspected, now)
+        _store_member(table, suspected, now)
 
 
 def expire(table: Table, heartbeat_s: float, now: float) -> None:
-    """Believe long suspected members dead, and forget long dead ones."""
-    bound_s = heartbeat_s * (SUSPICION_ROUNDS + _log(table))
+    """Mark members dead after long suspicion, and remove long dead ones."""
+    suspicion_s = heartbeat_s * (SUSPICION_ROUNDS + _log_ring_size(table))
     for name, known in list(table.known.items()):
         age_s = now - known.since
         match known.member.status:
-            case Status.SUSPECT if age_s > bound_s:
+            case Status.SUSPECT if age_s > suspicion_s:
                 merge(table, known.member._replace(status=Status.DEAD), now)
-            case Status.DEAD | Status.LEFT if age_s > FORGET_S:
+            case Status.DEAD | Status.LEFT if age_s > DEAD_MEMBER_TTL_S:
                 table.digest ^= _hash(known.member)
                 table.known.pop(name)
                 table.sends.pop(name, None)
 
 
 def next_target(table: Table) -> member_data.Member | None:
-    """Choose whom to probe next.
+    """Choose the next member to probe.
 
     A process probes the members 1, 2, 4, 8... places after it on the ring,
-    one a round. So each is probed about once a round whatever the size of
-    the fleet, connections stay few and last, and news that jumps such
-    distances reaches all in a number of rounds that grows as the logarithm.
+    one per round. So each member is probed about once a round whatever the
+    size of the fleet, connections are few and long-lived, and an update
+    reaches all members in a number of rounds that is logarithmic in the size
+    of the fleet.
     """
     size = len(table.ring)
     if size < 2:
@@ -141,7 +142,7 @@
 
 
 def find(table: Table, name: str) -> member_data.Member | None:
-    """Return what is believed of a member, this process included."""
+    """Return the record of a member, this process included."""
     if name == table.own.name:
         return table.own
     known = table.known.get(name)
@@ -149,7 +150,7 @@
 
 
 def gone(table: Table) -> list[member_data.Member]:
-    """Return the members that are believed dead."""
+    """Return the members with status DEAD."""
     return [
         known.member
         for known in table.known.values()
@@ -158,74 +159,82 @@
 
 
 def take_news(
-    table: Table, about: str
+    table: Table, receiver: str
 ) -> tuple[tuple[member_data.Member, ...], tuple[member_data.Note, ...]]:
-    """Return news to pass on and count them as sent.
+    """Return the updates to send next and count them as sent.
 
     Args:
         table: The table.
-        about: Name of the receiver: what is believed of it is always told,
-            so that it can contradict.
+        about: Name of the receiver. Its own record is always included, so
+            that it can refute it.
     """
-    freshest = sorted(table.sends, key=table.sends.__getitem__, reverse=True)
-    chosen = freshest[:NEWS_LIMIT]
+    by_sends_left = sorted(
+        table.sends, key=table.sends.__getitem__, reverse=True
+    )
+    chosen = by_sends_left[:MAX_UPDATES]
     for sent in chosen:
         table.sends[sent] -= 1
         if not table.sends[sent]:
             table.sends.pop(sent)
-    names = dict.fromkeys((about, *chosen))
-    news = (table.known[name].member for name in names if name in table.known)
+    names = dict.fromkeys((receiver, *chosen))
+    updates = (
+        table.known[name].member for name in names if name in table.known
+    )
     notes = (table.notes[key] for key in chosen if key in table.notes)
-    return tuple(news), tuple(notes)
+    return tuple(updates), tuple(notes)
 
 
 def everything(
     table: Table,
 ) -> tuple[tuple[member_data.Member, ...], tuple[member_data.Note, ...]]:
-    """Return all members and notes, for one that joins or fell behind."""
+    """Return all members and notes, for a member that joins or lags."""
     members = (known.member for known in table.known.values())
     return tuple(members), tuple(table.notes.values())
 
 
 def digest(table: Table) -> int:
-    """Return a digest, equal in two processes that believe the same."""
+    """Return a digest, equal in two processes with the same state."""
     return table.digest ^ _hash(table.own)
 
 
 def leave(table: Table) -> None:
-    """Let this process say that it leaves."""
+    """Mark this process as leaving."""
     table.own = table.own._replace(status=Status.LEFT)
 
 
 def merge_all(
     table: Table, members: Iterable[member_data.Member], now: float
 ) -> None:
-    """Take in what is said of several members."""
+    """Merge reports about several members."""
     for member in members:
         merge(table, member, now)
 
 
-def _refute(table: Table, told: member_data.Member) -> None:
-    """Contradict a false report about this process."""
+def _refute(table: Table, reported: member_data.Member) -> None:
+    """Refute a false report about this process."""
     own = table.own
-    wrong = told.status is not Status.ALIVE or told.address != own.address
-    if wrong and told.incarnation >= own.incarnation:
-        table.own = own._replace(incarnation=told.incarnation + 1)
+    is_false = (
+        reported.status is not Status.ALIVE or reported.address != own.address
+    )
+    if is_false and reported.incarnation >= own.incarnation:
+        table.own = own._replace(incarnation=reported.incarnation + 1)
 
 
-def _is_news(known: member_data.Member, told: member_data.Member) -> bool:
-    if told.incarnation != known.incarnation:
-        return told.incarnation > known.incarnation
-    return _WORSE[told.status] > _WORSE[known.status]
+def _supersedes(
+    known: member_data.Member, reported: member_data.Member
+) -> bool:
+    if reported.incarnation != known.incarnation:
+        return reported.incarnation > known.incarnation
+    return _SEVERITY[reported.status] > _SEVERITY[known.status]
 
 
-def _believe(table: Table, member: member_data.Member, now: float) -> None:
+def _store_member(table: Table, member: member_data.Member, now: float) -> None:
     known = table.known.get(member.name)
     if known is not None:
         table.digest ^= _hash(known.member)
     table.digest ^= _hash(member)
     table.known[member.name] = Known(member, now)
-    table.sends[member.name] = _sends(table)
+    table.sends[member.name] = _send_count(table)
 
 
 def _build_ring(table: Table) -> None:
@@ -234,32 +243,33 @@
     for name, known in table.known.items():
         if known.member.status in _LIVE:
             names.append(name)
-    names.sort(key=_place)
+    names.sort(key=_ring_position)
     start = names.index(own)
     table.ring = names[start:] + names[:start]
 
 
-def _place(name: str) -> tuple[int, str]:
+def _ring_position(name: str) -> tuple[int, str]:
     return zlib.crc32(name.encode()), name
 
 
-def _sends(table: Table) -> int:
-    return SENDS_FACTOR * _log(table)
+def _send_count(table: Table) -> int:
+    return RETRANSMIT_FACTOR * _log_ring_size(table)
 
 
-def _log(table: Table) -> int:
+def _log_ring_size(table: Table) -> int:
     return max(1, math.ceil(math.log2(len(table.ring) + 1)))
 
 
-def _hash(told: member_data.Member | member_data.Note | None) -> int:
-    """Return a digest of what counts: live members and notes.
+def _hash(reported: member_data.Member | member_data.Note | None) -> int:
+    """Return the hash of a note or a live member; 0 for all others.
 
-    A suspicion passes soon, and the dead are forgotten at unlike times.
+    The hash ignores suspicions, which are short-lived, and dead members,
+    which each process removes at a different time.
     """
-    match told:
+    match reported:
         case member_data.Note(key, number, _):
             return zlib.crc32(f'note {key} {number}'.encode())
         case member_data.Member(name=name, incarnation=incarnation):
-            if told.status in _LIVE:
+            if reported.status in _LIVE:
                 return zlib.crc32(f'member {name} {incarnation}'.encode())
     return 0
--- a/beryllug/core/outage.py
+++ b/beryllug/core/outage.py
@@ -1,16 +1,16 @@
-"""What control processes decide while the platform is down.
+"""Decisions of control processes while the platform is unreachable.
 
-The owner of a shard goes on granting from memory while all hold:
+The owner of a shard continues to grant from memory while all of these hold:
 
-- each candidate of its lease has promised to take no lease for a while, and
-  finds the platform down too;
+- each candidate of its lease has promised to acquire no lease for a while,
+  and cannot reach the platform either;
 - a candidate has a copy of the intent;
-- its last renewal is not so long past that others than candidates may take
-  the lease.
+- its last renewal is recent enough that only candidates may acquire the
+  lease.
 
-A new owner asks the candidates for copies before it serves. Where none can
-have been made, it need not ask; where some may be lost, it refuses keys that
-it does not know for a time.
+A new owner asks the candidates for copies before it serves. If none can have
+been made, it does not ask; if some may be lost, it refuses unknown keys for
+a while.
 """
 
 from collections.abc import Iterable, Mapping
@@ -19,16 +19,16 @@
 from beryllug.core import journal_data, lease_data, outage_data
 
 MAX_COPIES = 20000
-COPY_KEPT_S = 7200.0
+COPY_TTL_S = 7200.0
 QUARANTINE_S = 300.0
 
 
 @dataclass(slots=True)
 class Promises:
-    """Promises that this process got, by lease and candidate.
+    """Promises received by this process, by lease and candidate.
 
     Attributes:
-        until: When each ends, monotonic seconds.
+        until: When each expires, monotonic seconds.
     """
 
     until: dict[tuple[str, lease_data.Candidate], float] = field(
@@ -43,13 +43,13 @@
     sent_at: float,
     terms: lease_data.Terms,
 ) -> None:
-    """Take in a promise; it counts from before it was asked for.
+    """Record a promise; it counts from before the request was sent.
 
     Args:
         promises: The promises so far.
         name: Name of the candidate.
         reply: Its reply.
-        sent_at: When it was asked.
+        sent_at: When the request was sent.
         terms: Durations.
     """
     candidate = lease_data.Candidate(name, reply.started)
@@ -63,11 +63,12 @@
     lease_name: str,
     candidates: Iterable[lease_data.Candidate],
 ) -> float:
-    """Return until when no candidate takes a lease; -inf when one may.
+    """Return until when no candidate acquires a lease; -inf when one may.
 
-    A candidate counts with the start that the lease lists. One that took
-    the lease, was killed and started anew could else promise in good faith,
-    and two owners would grant the same keys.
+    A promise counts only from the process start that the lease lists.
+    Otherwise a candidate that acquired the lease, was killed and restarted
+    could promise without knowing of it, and two owners would grant the same
+    keys.
     """
     ends = [
         promises.until.get((lease_name, candidate), float('-inf'))
@@ -77,7 +78,7 @@
 
 
 def forget_ended(promises: Promises, now: float) -> None:
-    """Forget promises that have ended."""
+    """Remove expired promises."""
     promises.until = {
         key: end for key, end in promises.until.items() if end > now
     }
@@ -89,9 +90,9 @@
 
     Attributes:
         fencing: Fencing token of the owner that sent them.
-        closed: Highest token of an owner that gathered; copies of earlier
-            owners are refused from then on.
-        since: When the last copy came, monotonic seconds.
+        closed: Highest fencing token whose copies are refused, because a
+            later owner has gathered the copies.
+        since: When the last copy arrived, monotonic seconds.
         rows: The intents by request id.
     """
 
@@ -103,51 +104,53 @@
 
 @dataclass(slots=True)
 class Copies:
-    """Copies that this process keeps for others, by shard."""
+    """Copies that this process stores for other owners, by shard."""
 
     shards: dict[int, ShardCopies] = field(default_factory=dict)
 
 
 def count(copies: Copies) -> int:
-    """Return the number of rows that are kept."""
+    """Return the number of stored rows."""
     return sum(len(shard.rows) for shard in copies.shards.values())
 
 
-def keep(copies: Copies, ask: outage_data.CopyAsk, now: float) -> bool:
-    """Keep copies; False when there are too many, or a new owner gathered."""
-    shard = copies.shards.setdefault(ask.shard, ShardCopies())
-    late = ask.fencing <= shard.closed or ask.fencing < shard.fencing
-    if late or count(copies) + len(ask.rows) > MAX_COPIES:
+def keep(copies: Copies, request: outage_data.CopyAsk, now: float) -> bool:
+    """Store copies; False if there are too many or a new owner gathered."""
+    shard = copies.shards.setdefault(request.shard, ShardCopies())
+    is_stale = (
+        request.fencing <= shard.closed or request.fencing < shard.fencing
+    )
+    if is_stale or count(copies) + len(request.rows) > MAX_COPIES:
         return False
-    shard.fencing = ask.fencing
+    shard.fencing = request.fencing
     shard.since = now
-    shard.rows.update((row.request_id, row) for row in ask.rows)
+    shard.rows.update((row.request_id, row) for row in request.rows)
     return True
 
 
-def flushed(copies: Copies, ask: outage_data.FlushedAsk) -> None:
-    """Drop the copies of an owner that made its rows durable."""
-    shard = copies.shards.get(ask.shard)
-    if shard is not None and shard.fencing <= ask.fencing:
+def flushed(copies: Copies, request: outage_data.FlushedAsk) -> None:
+    """Remove the copies of an owner that made its rows durable."""
+    shard = copies.shards.get(request.shard)
+    if shard is not None and shard.fencing <= request.fencing:
         shard.rows.clear()
 
 
 def gather(
-    copies: Copies, ask: outage_data.GatherAsk
+    copies: Copies, request: outage_data.GatherAsk
 ) -> tuple[journal_data.Row, ...]:
-    """Return the copies of a shard for its new owner, and keep them still.
+    """Return the copies of a shard for its new owner, and keep them.
 
-    They are dropped when that owner says that they are durable.
+    They are removed when that owner confirms that they are durable.
     """
-    shard = copies.shards.setdefault(ask.shard, ShardCopies())
-    shard.closed = max(shard.closed, ask.fencing - 1)
+    shard = copies.shards.setdefault(request.shard, ShardCopies())
+    shard.closed = max(shard.closed, request.fencing - 1)
     return tuple(shard.rows.values())
 
 
 def expire(copies: Copies, now: float) -> None:
-    """Drop copies that nobody claimed for long."""
+    """Remove copies that have not been gathered or flushed in time."""
     for shard in copies.shards.values():
-        if now - shard.since > COPY_KEPT_S:
+        if now - shard.since > COPY_TTL_S:
             shard.rows.clear()
 
 
@@ -159,56 +162,58 @@
     own: lease_data.Candidate,
     reply: outage_data.GatherReply,
 ) -> bool:
-    """Tell whether a new owner has to ask others before it serves.
+    """Tell whether a new owner must ask other processes before it serves.
 
-    Granting from memory takes a promise of every candidate that the lease
-    lists. Where this process is listed with this start and promised nothing,
-    there was none.
+    Granting from memory needs a promise of every candidate that the lease
+    lists. If this process is listed with this start and promised nothing,
+    nothing was granted from memory.
 
     Args:
-        before: The lease as it was taken.
+        before: The lease before this process acquired it.
         own: This process, with this start.
-        reply: What it would answer itself.
+        reply: The reply that this process itself would send.
     """
     if before is None or not before.holder:
         return False
-    return before.unflushed or not _excludes(before, own, reply)
+    return before.unflushed or not _proves_no_copies(before, own, reply)
 
 
 def is_complete(before: lease_data.Lease, replies: Replies) -> bool:
     """Tell whether no copy can be missing.
 
-    Either every candidate replied with the start that is listed, so that it
-    has lost nothing, or one of them shows that there are no copies.
+    Either every candidate replied with its listed start, so that no memory
+    was lost, or one of the replies proves that there are no copies.
 
     Args:
-        before: The lease as it was taken.
-        replies: Replies by the name of the candidate, this process's too.
+        before: The lease before this process acquired it.
+        replies: Replies by name of the candidate, including this process.
     """
-    given = [
+    received = [
         (candidate, replies[candidate.name])
         for candidate in before.candidates
         if candidate.name in replies
     ]
-    none_made = any(_excludes(before, *answer) for answer in given)
-    if none_made and not before.unflushed:
+    no_copies = any(_proves_no_copies(before, *answer) for answer in received)
+    if no_copies and not before.unflushed:
         return True
-    same = [reply.started == listed.started for listed, reply in given]
-    return all(same) and len(given) == len(before.candidates)
+    unchanged = [reply.started == listed.started for listed, reply in received]
+    return all(unchanged) and len(received) == len(before.candidates)
 
 
-def _excludes(
+def _proves_no_copies(
     before: lease_data.Lease,
     candidate: lease_data.Candidate,
     reply: outage_data.GatherReply,
 ) -> bool:
-    """Tell whether a candidate shows that nothing was granted from memory."""
-    present = candidate._replace(started=reply.started)
-    return not reply.promised and present in before.candidates
+    """Tell whether a reply proves that nothing was granted from memory."""
+    current = candidate._replace(started=reply.started)
+    return not reply.promised and current in before.candidates
 
 
 def unclaimed(
     shards: Mapping[int, ShardCopies],
 ) -> dict[int, int]:
-    """Return the number of copies by shard, for a dump."""
-    return {shard: len(kept.rows) for shard, kept in shards.items()}
+    """Return the number of copies by shard, for the dump."""
+    return {
+        shard: len(shard_copies.rows) for shard, shard_copies in shards.items()
+    }
--- a/beryllug/core/outage_data.py
+++ b/beryllug/core/outage_data.py
@@ -1,4 +1,4 @@
-"""Messages between control processes while the platform is down."""
+"""Messages between control processes while the platform is unreachable."""
 
 from typing import NamedTuple
 
@@ -6,19 +6,19 @@
 
 
 class HeldLease(NamedTuple):
-    """A lease that a process holds, as far as it knows."""
+    """A lease that a process believes it holds."""
 
     name: str
     fencing: int
 
 
 class PromiseAsk(NamedTuple):
-    """Ask a candidate to take no lease for a while.
+    """Ask a candidate to acquire no lease for a while.
 
     Attributes:
-        boot: Random id of the asking process's start.
-        promise_s: For how long.
-        leases: The leases that the asker holds.
+        boot: Random id of the sender's process start.
+        promise_s: How long, in seconds.
+        leases: The leases that the sender holds.
     """
 
     boot: str
@@ -27,15 +27,15 @@
 
 
 class PromiseReply(NamedTuple):
-    """What a candidate promised.
+    """The promises of a candidate.
 
     Attributes:
-        started: Number of its start. A candidate that was started anew does
-            not know what it took before, so only the start counts that the
-            lease lists.
-        names: Leases that it promised to leave alone; none when it reaches
-            the platform. It leaves out those that it took itself, or of
-            which it knows a later holder.
+        started: Number of its start. A restarted candidate does not know
+            which leases it acquired before, so only a promise from the start
+            that the lease lists counts.
+        names: Leases that it promised not to acquire; none when it can reach
+            the platform. Leases that it acquired itself, or of which it
+            knows a later holder, are left out.
     """
 
     started: int
@@ -57,27 +57,27 @@
 
 
 class CopyReply(NamedTuple):
-    """Whether the copies are kept."""
+    """Whether the copies were stored."""
 
     kept: bool
 
 
 class FlushedAsk(NamedTuple):
-    """All rows of a shard are durable that its owner had copied."""
+    """All copied rows of a shard are now durable."""
 
     shard: int
     fencing: int
 
 
 class GatherAsk(NamedTuple):
-    """A new owner asks for what the platform may not have.
+    """A new owner asks for rows that the platform may not have.
 
     Attributes:
         shard: The shard.
-        fencing: Fencing token of the new owner; who answers takes no copy
-            from an earlier owner any more.
-        boot: Id of the earlier owner's start, to which promises may have
-            been given.
+        fencing: Fencing token of the new owner; the receiver stores no more
+            copies from earlier owners.
+        boot: Start id of the earlier owner, to which promises may have been
+            made.
     """
 
     shard: int
@@ -86,12 +86,12 @@
 
 
 class GatherReply(NamedTuple):
-    """What a candidate knows.
+    """The copies and promises of a candidate.
 
     Attributes:
         started: Number of its start.
         promised: Whether it ever promised anything to the earlier owner.
-        rows: Copies, and unflushed rows of its own time as owner.
+        rows: Copies, and unflushed rows from its own time as owner.
     """
 
     started: int
--- a/beryllug/core/push_tree.py
+++ b/beryllug/core/push_tree.py
@@ -1,9 +1,10 @@
-"""Who pushes to whom: a forest over the members of a zone.
+"""Forest over the members of a zone along which changes are pushed.
 
-Were the few who watch the platform to push to all others, they would send a
-change dozens of times. In the forest each member sends it a few times at
-most. All build the same forest out of the same order of members; where they
-differ for a while, a member gets a change twice or late, from a comparison.
+If the few members that watch the platform pushed to all others, each would
+send a change dozens of times. In the forest each member sends it at most
+`FAN_OUT` times. All members build the same forest from the same order of
+members; while their orders differ, a member gets a change twice, or late,
+when it next compares its state with a peer.
 """
 
 from collections.abc import Sequence
@@ -12,12 +13,12 @@
 
 
 def children(order: Sequence[str], roots: int, member: str) -> tuple[str, ...]:
-    """Return the members to whom one pushes.
+    """Return the members that a member pushes to.
 
     Args:
-        order: All members, in an order on which they agree; roots first.
-        roots: How many of them get changes elsewhere.
-        member: The one that pushes.
+        order: All members, in an order that all agree on; roots first.
+        roots: Number of members that get changes from another source.
+        member: The member that pushes.
     """
     if member not in order:
         return ()
--- a/beryllug/core/rpc_data.py
+++ b/beryllug/core/rpc_data.py
@@ -1,7 +1,7 @@
-"""Messages between the system's own processes.
+"""Messages between the processes of the fleet.
 
-They travel as MessagePack arrays, so fields are only added at the end and
-with a default.
+They are encoded as MessagePack arrays, so fields are only added at the end
+and with a default.
 """
 
 from typing import NamedTuple
@@ -27,7 +27,7 @@
     Attributes:
         fingerprint: Hash of account and body.
         crashes: Backend servers lost while it ran there.
-        until: Wall-clock second until which the entry counts.
+        until: Wall-clock second until which this record is valid.
         refused: Whether it is refused; else it needs a trial before it runs.
         trial_server: Server on which its trial may be running, or empty.
     """
@@ -47,25 +47,25 @@
 
 
 class ViewUpdate(NamedTuple):
-    """A change of the view; None marks a part that stays as it is.
+    """A change of the view; None marks a part that is unchanged.
 
-    A receiver takes `document` only with a higher `revision` than its own:
-    that is what keeps a stale control process from setting it back.
+    A receiver accepts `document` only with a higher `revision` than its own,
+    so a stale control process cannot revert it.
 
     Attributes:
         revision: Revision of the configuration the sender has.
         document: The accepted document.
-        rollouts: State of every roll-out.
-        servers: Backend servers by the host list.
-        loads: Loads that engines reported.
-        suspects: Requests under suspicion.
+        rollouts: State of every rollout.
+        servers: Backend servers of the host list.
+        loads: Loads reported by engines.
+        suspects: Requests suspected of crashing servers.
         token_keys: Keys for session tokens.
-        budgets: Answers of each candidate this entry may still give out.
+        budgets: Share of this entry in each candidate's exposure budget.
         accept: False when the control process has been cut off from both
             the platform and its peers for too long.
         sent_at: Wall-clock second at the sender.
-        number: Number of the change at the sender; a receiver that has taken
-            suspects confirms it.
+        number: Number of the change at the sender; a receiver confirms it
+            after applying suspects.
     """
 
     revision: int
@@ -86,8 +86,8 @@
 
     Attributes:
         version: The candidate.
-        total: Answers this entry may have given out since it started; it
-            only ever rises, so a message that comes twice deals out once.
+        total: Maximum of answers by this entry since it started; it never
+            decreases, so a duplicate message grants nothing twice.
     """
 
     version: config_data.VersionRef
@@ -95,7 +95,7 @@
 
 
 class IntentBatch(NamedTuple):
-    """Intents that an entry wants made durable, in order."""
+    """Intents that an entry sends to be made durable, in order."""
 
     rows: tuple[journal_data.Row, ...]
     hops: int = 0
@@ -108,7 +108,7 @@
 
 
 class OutcomeBatch(NamedTuple):
-    """Outcomes (and session rows) that an entry wants made durable."""
+    """Outcomes and session rows that an entry sends to be made durable."""
 
     rows: tuple[journal_data.Row, ...]
     hops: int = 0
@@ -130,7 +130,7 @@
 
 
 class LookupReply(NamedTuple):
-    """The row, if there is one; `available` False when nobody could say."""
+    """The row, if there is one; `available` False if no owner answered."""
 
     row: journal_data.Row | None
     available: bool = True
@@ -164,19 +164,19 @@
     Attributes:
         version: The version.
         account_id: The client account.
-        answers: Answers given out.
-        errors: Answers that failed through the version.
+        answers: Answers returned to callers.
+        errors: Answers that failed because of the version.
         late: Answers that missed their target.
         rated: Answers whose rating has arrived.
         rating_sum: Sum of these ratings, each from 0 to 1.
-        low_ratings: Ratings under the roll-out's least rating.
+        low_ratings: Ratings below the minimum rating of the rollout.
         crashes: Answers that ended because their backend server was lost;
             counted among the errors too.
         unrated: Answers without failure that will not be rated: no rating
-            was asked for, or the entry gave up waiting for it.
+            was requested, or the entry stopped waiting for it.
         moved: Sessions that were moved off this version.
         running: Requests that run on this version at the time of the
-            report; a level, not a count since the last one.
+            report; a gauge, not a count since the last report.
     """
 
     version: config_data.VersionRef
@@ -194,15 +194,15 @@
 
 
 class EvidenceReport(NamedTuple):
-    """An entry's evidence; `sequence` makes a resend count once.
+    """An entry's evidence; `sequence` removes duplicate reports.
 
     Attributes:
-        entry: Name of the entry process and of its start, so that a
-            restarted one begins its sequence and its shares anew.
+        entry: Name of the entry process and its start id, so that a
+            restarted one begins a new sequence and new shares.
         sequence: Grows by one with each report; a report is sent again
             unchanged until it is acknowledged.
         counts: Counts by version and account since the last report.
-        braked: Candidates that this entry holds back by itself.
+        braked: Candidates that this entry has stopped using by itself.
     """
 
     entry: str
@@ -222,8 +222,8 @@
 
     Attributes:
         digest: Digest of its whole bytes.
-        content: Its bytes, or their difference from the base.
-        base: Digest of the part they differ from, or empty.
+        content: Its bytes, or their delta from the base.
+        base: Digest of the base part, or empty.
     """
 
     digest: str
@@ -232,18 +232,18 @@
 
 
 class ConfigOffer(NamedTuple):
-    """What a control process holds, as it tells a peer.
+    """The configuration that a control process holds, offered to a peer.
 
-    The reply to an offer is the peer's own, without parts.
+    The reply to an offer is the peer's own offer, without parts.
 
     Attributes:
-        address: Where the sender answers for missing parts.
+        address: Address of the sender, for requests of missing parts.
         revision: The revision it holds, 0 for none.
         manifest: Digest of its list of parts.
-        splice: How that list follows from the one before, with a change.
+        splice: The difference from the previous list, with a change.
         parts: The parts that are new in it.
         keys_version: Version of the session keys it holds.
-        keys: These keys, where the sender thinks they are news.
+        keys: These keys, if the sender expects the peer not to have them.
     """
 
     address: str
@@ -262,21 +262,21 @@
 
 
 class PartsReply(NamedTuple):
-    """Those of the parts that the peer holds, up to a bound of size."""
+    """The requested parts that the peer holds, up to a size limit."""
 
     parts: tuple[ConfigPart, ...]
 
 
 class ProcessStatus(NamedTuple):
-    """What is known of one process of the fleet.
+    """Status of one process of the fleet.
 
     Attributes:
         name: Its name.
         role: Entry or control.
         zone: Its availability zone.
-        revision: Revision in force there; for an entry the one last sent.
-        accepts: Whether entries may take new work by what it knows.
-        state: ``live``, or why nothing more is known.
+        revision: Revision active there; for an entry the last one sent.
+        accepts: Whether it allows entries to accept new requests.
+        state: ``live``, or why its status is unknown.
         host: Its entry host, where known.
     """
 
@@ -290,19 +290,18 @@
 
 
 class StatusReply(NamedTuple):
-    """A control process and the entries that follow it."""
+    """A control process and the entries that are connected to it."""
 
     processes: tuple[ProcessStatus, ...]
 
 
 class RolloutState(NamedTuple):
-    """State of one roll-out, from the process that decides about it.
+    """State of one rollout, from the process that controls it.
 
     Attributes:
         version: Version of its record in the platform; a higher one is newer.
-        status: What entries and operators see.
-        budgets: Answers that each start of an entry process may have given
-            out in all.
+        status: Its status for entries and operators.
+        budgets: Maximum of answers in total, by start of an entry process.
     """
 
     version: int
@@ -311,12 +310,12 @@
 
 
 class RolloutAsk(NamedTuple):
-    """Ask the process that decides about a roll-out for its state."""
+    """Ask the process that controls a rollout for its state."""
 
     model: str
 
 
 class RolloutReply(NamedTuple):
-    """The state; None where the asked process does not decide about it."""
+    """The state; None if the receiver does not control the rollout."""
 
     state: RolloutState | None
--- a/beryllug/core/segment_data.py
+++ b/beryllug/core/segment_data.py
@@ -8,13 +8,13 @@
 
 
 class Segment(NamedTuple):
-    """Content of a segment object, its rows encoded each by itself.
+    """Content of a segment object, with each row encoded separately.
 
     Attributes:
         fencing: Fencing token of the owner that wrote it last.
-        sealed: Whether a new owner closed it.
-        nonce: Random id of the last write, by which a writer whose answer
-            was lost tells its own write.
+        sealed: Whether a new owner sealed it against further writes.
+        nonce: Random id of the last write; it identifies the writer's own
+            write when the reply was lost.
         at: Wall-clock second of the last write.
         rows: Encoded rows.
     """
@@ -37,11 +37,11 @@
 
 
 class Stored(NamedTuple):
-    """A segment as it stands in the platform.
+    """A segment as stored in the platform.
 
     Attributes:
         seq: Number of the segment in its shard.
-        version: Version of its object; 0 when it is not there yet.
+        version: Version of its object; 0 when it does not exist yet.
         segment: Its content.
     """
 
--- a/beryllug/core/shard_image.py
+++ b/beryllug/core/shard_image.py
@@ -1,9 +1,9 @@
-"""Images of a shard: its state, as it is stored and as it is restored.
+"""Build and restore snapshots (images) of a shard's state.
 
-Without them a new owner would read a day of rows. An image holds what the
-rows up to one segment leave behind; the new owner takes in the rows after it.
-It may hold some of those rows' effects already: to take a row in again, in
-the order of the log, changes nothing.
+Without a snapshot a new owner would read the rows of a whole day. A snapshot
+holds the effects of all rows up to one segment; the new owner replays the
+rows after it. It may already hold the effects of some of those: replaying a
+row again, in the order of the log, changes nothing.
 """
 
 from collections.abc import Iterable
@@ -17,12 +17,12 @@
 
 
 def pack(table: digest_index.Table) -> image_data.PackedTable:
-    """Return a table as it is stored."""
+    """Return a table in its stored form."""
     return image_data.PackedTable(*digest_index.pack(table), table.newest_at)
 
 
 def unsaved(state: shard_state.ShardState) -> list[digest_index.Table]:
-    """Return the full tables of which no copy stands in the platform."""
+    """Return the full tables that are not stored in the platform yet."""
     return [
         table
         for table in state.index.tables
@@ -33,11 +33,11 @@
 def take(
     state: shard_state.ShardState, upto: int, fencing: int, first: int
 ) -> image_data.Image:
-    """Return the image of a shard; full tables must have been saved.
+    """Return the snapshot of a shard; full tables must have been saved.
 
     Args:
         state: The shard.
-        upto: The last segment whose rows it has all taken in.
+        upto: The last segment of which all rows have been applied.
         fencing: Fencing token of its owner.
         first: Its oldest segment.
     """
@@ -66,10 +66,10 @@
 def restore(
     image: image_data.Image, tables: Iterable[image_data.PackedTable]
 ) -> shard_state.ShardState:
-    """Return the state that an image holds.
+    """Return the state that a snapshot holds.
 
     Args:
-        image: The image.
+        image: The snapshot.
         tables: The contents of its full tables, in their order.
     """
     state = shard_state.ShardState()
@@ -84,5 +84,7 @@
 
 
 def add_inherited(state: shard_state.ShardState, row: journal_data.Row) -> None:
-    """Remember an intent of an earlier owner that has no outcome."""
-    shard_state.add_try(state, row, shard_state.Phase.INHERITED, float('-inf'))
+    """Add an intent of an earlier owner that has no outcome."""
+    shard_state.add_attempt(
+        state, row, shard_state.Phase.INHERITED, float('-inf')
+    )
--- a/beryllug/core/shard_state.py
+++ b/beryllug/core/shard_state.py
@@ -1,6 +1,6 @@
-"""What the owner of a shard of the request journal remembers.
+"""In-memory state of the owner of a shard of the request journal.
 
-`core.journal` decides about rows that arrive, `core.journal_log` takes in
+`core.journal` decides about rows that arrive, `core.journal_log` applies
 rows that are durable; both work on this state.
 """
 
@@ -17,7 +17,7 @@
 
 
 class Phase(StrEnum):
-    """How far a try has come."""
+    """State of an attempt that has no durable outcome."""
 
     WAITING = 'waiting'
     OPEN = 'open'
@@ -25,13 +25,13 @@
 
 
 @dataclass(slots=True)
-class Try:
-    """One try of a request that may not repeat, without outcome yet.
+class Attempt:
+    """One attempt of a non-idempotent request, without outcome yet.
 
     Attributes:
         row: Its intent.
-        phase: How far it has come.
-        since: When this owner met it, monotonic seconds.
+        phase: Its state.
+        since: When this owner first saw it, monotonic seconds.
         seq: Segment of its intent, 0 while it is not durable.
     """
 
@@ -43,22 +43,22 @@
 
 @dataclass(slots=True)
 class ShardState:
-    """All that the owner of a shard remembers.
+    """State of one shard at its owner.
 
     Attributes:
-        tries: Tries without durable outcome by request id.
-        keys: Request ids of the tries of each key, in order. Only the last
-            can have been granted by this owner; of earlier owners' tries it
-            can be any one.
+        tries: Attempts without durable outcome by request id.
+        keys: Request ids of the attempts of each key, in order. Only the
+            last can have been granted by this owner; any one of them can
+            have been granted by an earlier owner.
         pending: Rows that wait to become durable, in order.
-        index: Segment of the latest row by digest, for all that is durable.
-        unflushed: Request ids of tries that may run although their intent
-            is not durable yet: copies of them stand in another process.
-        boots: The process start last heard of each entry process that has
-            tries, by the entry's name; empty when not heard yet.
+        index: Segment of the latest row by digest, for all durable rows.
+        unflushed: Request ids of attempts that may run although their intent
+            is not durable yet: another process holds copies of them.
+        boots: The latest process start seen of each entry process that has
+            attempts, by the entry's name; empty when none was seen yet.
     """
 
-    tries: dict[str, Try] = field(default_factory=dict)
+    tries: dict[str, Attempt] = field(default_factory=dict)
     keys: dict[Key, tuple[str, ...]] = field(default_factory=dict)
     pending: dict[RowId, journal_data.Row] = field(default_factory=dict)
     index: digest_index.Index = field(default_factory=digest_index.Index)
@@ -72,14 +72,14 @@
 
 
 def row_id(row: journal_data.Row) -> RowId:
-    """Return what tells a row from all others, and a repeat from a new one."""
+    """Return the identity of a row; rows sent again have the same one."""
     if row.kind in {journal_data.RowKind.INTENT, journal_data.RowKind.OUTCOME}:
         return row.kind, row.request_id
     return row.kind, f'{row.account_id}\0{row.shard_key}'
 
 
 def key_of(row: journal_data.Row) -> Key:
-    """Return account and key of a row."""
+    """Return the account and shard key of a row."""
     return row.account_id, row.shard_key
 
 
@@ -101,13 +101,13 @@
     return digest_index.digest('request', request_id)
 
 
-def add_try(
+def add_attempt(
     state: ShardState, row: journal_data.Row, phase: Phase, now: float
 ) -> None:
-    """Remember a try without outcome."""
-    state.tries[row.request_id] = Try(row, phase, now)
-    earlier = _without(state, row)
-    state.keys[key_of(row)] = (*earlier, row.request_id)
+    """Add an attempt without outcome."""
+    state.tries[row.request_id] = Attempt(row, phase, now)
+    other_ids = _other_attempts(state, row)
+    state.keys[key_of(row)] = (*other_ids, row.request_id)
     state.boots[entry_name(row.entry)] = row.entry
 
 
@@ -116,30 +116,30 @@
     row: journal_data.Row,
     outcome: journal_data.OutcomeState,
 ) -> None:
-    """Let the owner itself end a try; an outcome that waits stays."""
-    ended = row._replace(kind=journal_data.RowKind.OUTCOME, state=outcome)
-    state.pending.setdefault(row_id(ended), ended)
+    """Add an outcome on behalf of the entry; a pending outcome is kept."""
+    outcome_row = row._replace(kind=journal_data.RowKind.OUTCOME, state=outcome)
+    state.pending.setdefault(row_id(outcome_row), outcome_row)
 
 
-def close(state: ShardState, row: journal_data.Row) -> None:
-    """Forget a try that ended or was given up."""
+def remove_attempt(state: ShardState, row: journal_data.Row) -> None:
+    """Remove an attempt that ended or was denied."""
     state.tries.pop(row.request_id, None)
-    others = _without(state, row)
-    if others:
-        state.keys[key_of(row)] = others
+    other_ids = _other_attempts(state, row)
+    if other_ids:
+        state.keys[key_of(row)] = other_ids
     else:
         state.keys.pop(key_of(row), None)
     if not state.tries:
         state.boots.clear()
 
 
-def open_tries(state: ShardState, key: Key) -> list[Try]:
-    """Return the tries of a key that have no outcome, in order."""
+def open_attempts(state: ShardState, key: Key) -> list[Attempt]:
+    """Return the attempts of a key that have no outcome, in order."""
     return [state.tries[name] for name in state.keys.get(key, ())]
 
 
 def has_outcome(state: ShardState, request_id: str) -> bool:
-    """Tell whether a request has ended, durably or soon."""
+    """Tell whether a request has a durable or a pending outcome."""
     if (journal_data.RowKind.OUTCOME, request_id) in state.pending:
         return True
     digest = request_digest(request_id)
@@ -151,19 +151,21 @@
     return row.state is journal_data.OutcomeState.NOT_RUN
 
 
-def hear(state: ShardState, entry: str) -> None:
-    """Note which process start of an entry was last heard."""
+def record_boot(state: ShardState, entry: str) -> None:
+    """Record the latest process start seen of an entry."""
     name = entry_name(entry)
     if name in state.boots.keys():
         state.boots[name] = entry
 
 
 def entry_name(entry: str) -> str:
-    """Return the name of an entry without its process start."""
+    """Return the name of an entry process without its start id."""
     return entry.partition(BOOT_SEPARATOR)[0]
 
 
-def _without(state: ShardState, row: journal_data.Row) -> tuple[str, ...]:
-    """Return the tries of a row's key other than its own."""
+def _other_attempts(
+    state: ShardState, row: journal_data.Row
+) -> tuple[str, ...]:
+    """Return the request ids of a key's attempts other than the row's own."""
     names = state.keys.get(key_of(row), ())
     return tuple(name for name in names if name != row.request_id)
--- a/beryllug/core/suspects_data.py
+++ b/beryllug/core/suspects_data.py
@@ -1,7 +1,7 @@
 """Records of requests that are suspected of crashing backend servers.
 
-They travel between control processes too, so fields are only added at the
-end and with a default.
+They are also sent between control processes, encoded by position, so fields
+are only added at the end and with a default.
 """
 
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
             service.
         at: Wall-clock second of the report.
         trial_id: Trial that ran then, empty for an ordinary run.
-        cleared: Whether the request was answered elsewhere since.
+        cleared: Whether the request has been answered elsewhere since.
     """
 
     server_id: str
@@ -29,12 +29,12 @@
 
 
 class Trial(NamedTuple):
-    """A suspected request that may run again, once and on one server.
+    """One run of a suspected request, on one server, to test it.
 
     Attributes:
         trial_id: Its id.
         server_id: The server.
-        until: Wall-clock second by which it has ended in any case.
+        until: Wall-clock second by which it must have ended.
         ended: Whether it is known to have ended.
     """
 
@@ -45,7 +45,7 @@
 
 
 class Note(NamedTuple):
-    """All that is known of one fingerprint; two notes can be merged."""
+    """Losses and trials of one fingerprint; two notes can be merged."""
 
     fingerprint: str
     losses: tuple[Loss, ...] = ()
@@ -53,11 +53,11 @@
 
 
 class Notes(NamedTuple):
-    """Notes that a control process tells a peer.
+    """Notes that a control process sends to a peer.
 
     Attributes:
         notes: The notes.
-        wants: Whether the peer is to reply with its own.
+        wants: Whether the peer should reply with its own.
     """
 
     notes: tuple[Note, ...] = ()
@@ -72,7 +72,7 @@
 
 
 class Verdict(StrEnum):
-    """What may be done with a request."""
+    """Decision on whether a request may run."""
 
     RUN = 'run'
     TRY = 'try'
@@ -85,11 +85,11 @@
 
     Attributes:
         fingerprint: The request.
-        server_id: Where it is to run.
-        trial_id: Id of the trial if there is to be one; the same when the
-            question is asked again, which is so answered alike.
-        longest_s: Seconds by which the run ends in any case.
-        hops: Control processes that have passed the question on.
+        server_id: The server that it would run on.
+        trial_id: Id of the trial if there will be one; a retry sends the
+            same id and gets the same answer.
+        longest_s: Seconds by which the run must have ended.
+        hops: Control processes that have forwarded the message.
     """
 
     fingerprint: str
@@ -100,11 +100,11 @@
 
 
 class TrialReply(NamedTuple):
-    """The verdict.
+    """Reply to a `TrialAsk`.
 
     Attributes:
-        verdict: What may be done.
-        retry_after_s: Seconds until asking again can help.
+        verdict: The decision.
+        retry_after_s: Seconds after which a retry may be decided otherwise.
     """
 
     verdict: Verdict
@@ -116,8 +116,9 @@
 
     Attributes:
         fingerprint: The request.
-        trial_id: The trial, empty for a run that began unsuspected.
-        answered: Whether the server gave its whole answer.
+        trial_id: The trial, empty for a run that began before the request was
+            suspected.
+        answered: Whether the server sent a complete answer.
     """
 
     fingerprint: str
@@ -126,7 +127,7 @@
 
 
 class Crash(NamedTuple):
-    """One loss of a server, as the sum of the reports of it."""
+    """One loss of a server, merged from all reports of it."""
 
     server_id: str
     version: str
@@ -135,7 +136,7 @@
 
 
 class Cause(StrEnum):
-    """What crashes are put down to."""
+    """Cause of crashes."""
 
     POISON = 'poison_request'
     BAD_VERSION = 'bad_version'
@@ -144,10 +145,10 @@
 
 
 class Seen(NamedTuple):
-    """An entry has taken the suspects of a change of the view.
+    """Confirms that an entry has applied the suspects of a view change.
 
     Attributes:
-        entry: Start of the entry process.
+        entry: Name of the entry process with its start id.
         number: Number of the change at the control process.
     """
 
--- a/beryllug/core/suspects_test.py
+++ b/beryllug/core/suspects_test.py
@@ -1,4 +1,4 @@
-"""Decisions on suspected requests, in tables."""
+"""Tests of the decisions on suspected requests."""
 
 import itertools
 import random
@@ -18,33 +18,33 @@
     at: float = AT,
     trial: tuple[str, str] = ('', ''),
 ) -> rpc_data.CrashReport:
-    """Return a report; `trial` is the tried fingerprint and its trial."""
+    """Return a report; `trial` is a fingerprint and the id of its trial."""
     return rpc_data.CrashReport('e', server, V1, fingerprints, at, *trial)
 
 
-def ask(
+def judge(
     table: suspects_data.Table,
     name: str,
     server: str,
     trial_id: str = 't',
     now: float = AT,
 ) -> Verdict:
-    """Ask for a trial."""
-    question = suspects_data.TrialAsk(name, server, trial_id, 20)
-    return suspects.judge(table, question, now).verdict
+    """Return the verdict on a request that is to run on a server."""
+    request = suspects_data.TrialAsk(name, server, trial_id, 20)
+    return suspects.judge(table, request, now).verdict
 
 
 class JudgeTest(unittest.TestCase):
-    """The way of a suspected request."""
+    """Verdicts on a suspected request and its trial."""
 
     def setUp(self) -> None:
-        """Two requests shared a crash."""
+        """Two requests ran on a server that was lost."""
         self.table = suspects_data.Table()
         suspects.reported(self.table, report('s1', ('a', 'b')), AT)
 
     def test_convicted(self) -> None:
-        """The server of the trial is lost too: refused, for a time."""
-        self.assertEqual(ask(self.table, 'a', 's2'), Verdict.TRY)
+        """A request whose trial loses its server is refused for REFUSED_S."""
+        self.assertEqual(judge(self.table, 'a', 's2'), Verdict.TRY)
         lost = report('s2', ('a',), AT, ('a', 't'))
         suspects.reported(self.table, lost, AT)
         last = AT + suspects.REFUSED_S
@@ -54,64 +54,64 @@
             (last, Verdict.RUN),
         ):
             suspects.expire(self.table, now)
-            self.assertEqual(ask(self.table, 'a', 's3', 'u', now), verdict)
+            self.assertEqual(judge(self.table, 'a', 's3', 'u', now), verdict)
         self.assertEqual(suspects.shown(self.table, last), ())
 
     def test_restarted_server(self) -> None:
-        """The only server is back at once and lost again under the trial."""
-        ask(self.table, 'a', 's1')
+        """The only server restarts and is lost again under the trial."""
+        judge(self.table, 'a', 's1')
         lost = report('s1', ('a',), AT + 1, ('a', 't'))
         suspects.reported(self.table, lost, AT + 1)
-        verdict = ask(self.table, 'a', 's1', 'u', AT + 1)
+        verdict = judge(self.table, 'a', 's1', 'u', AT + 1)
         self.assertEqual(verdict, Verdict.REFUSE)
 
     def test_cleared(self) -> None:
-        """An innocent request is answered and runs freely after that.
+        """A request whose trial is answered needs no further trial.
 
-        A late report of the same loss brings no new suspicion; a new loss
-        does.
+        A late report of the same loss does not make it a suspect again; a
+        new loss does.
         """
-        ask(self.table, 'b', 's2')
+        judge(self.table, 'b', 's2')
         suspects.ended(self.table, suspects_data.TrialEnd('b', 't', True))
         suspects.reported(self.table, report('s1', ('b',), AT + 1), AT + 1)
-        self.assertEqual(ask(self.table, 'b', 's2', 'u'), Verdict.RUN)
+        self.assertEqual(judge(self.table, 'b', 's2', 'u'), Verdict.RUN)
         again = AT + LATER
         suspects.reported(self.table, report('s1', ('b',), again), again)
-        self.assertEqual(ask(self.table, 'b', 's2', 'u', again), Verdict.TRY)
+        self.assertEqual(judge(self.table, 'b', 's2', 'u', again), Verdict.TRY)
 
     def test_trials(self) -> None:
-        """One trial of a request, one trial on a server, until it ends."""
-        self.assertEqual(ask(self.table, 'a', 's2', 't'), Verdict.TRY)
+        """A request and a server each have at most one trial at a time."""
+        self.assertEqual(judge(self.table, 'a', 's2', 't'), Verdict.TRY)
         for title, name, server, trial_id, verdict in (
-            ('asked again', 'a', 's2', 't', Verdict.TRY),
-            ('a copy elsewhere', 'a', 's3', 'u', Verdict.WAIT),
+            ('repeated', 'a', 's2', 't', Verdict.TRY),
+            ('a copy on another server', 'a', 's3', 'u', Verdict.WAIT),
             ('another on the same server', 'b', 's2', 'u', Verdict.WAIT),
-            ('another elsewhere', 'b', 's3', 'u', Verdict.TRY),
+            ('another on another server', 'b', 's3', 'u', Verdict.TRY),
             ('not suspected', 'c', 's2', 'w', Verdict.RUN),
         ):
             with self.subTest(title):
-                found = ask(self.table, name, server, trial_id)
+                found = judge(self.table, name, server, trial_id)
                 self.assertEqual(found, verdict)
         end = suspects_data.TrialEnd('a', 't', answered=False)
         suspects.ended(self.table, end)
-        self.assertEqual(ask(self.table, 'a', 's4', 'x'), Verdict.TRY)
+        self.assertEqual(judge(self.table, 'a', 's4', 'x'), Verdict.TRY)
 
     def test_bounded(self) -> None:
-        """A lost rack brings thousands of suspects; refusals are kept."""
-        ask(self.table, 'a', 's2')
+        """Refused requests are kept when a lost rack fills the table."""
+        judge(self.table, 'a', 's2')
         lost = report('s2', ('a',), AT, ('a', 't'))
         suspects.reported(self.table, lost, AT)
         many = tuple(map(str, range(2 * suspects.MAX_NOTES)))
         suspects.reported(self.table, report('s3', many, AT + 1), AT + 1)
         self.assertEqual(len(self.table.notes), suspects.MAX_NOTES)
-        self.assertEqual(ask(self.table, 'a', 's4', 'u'), Verdict.REFUSE)
+        self.assertEqual(judge(self.table, 'a', 's4', 'u'), Verdict.REFUSE)
 
 
 class MergeTest(unittest.TestCase):
-    """Tables of processes that heard the same in another order are equal."""
+    """Tables with the same notes, merged in any order, are equal."""
 
     def test_orders(self) -> None:
-        """Each order of four notes, some told twice, gives one table."""
+        """Each order of four notes, some merged twice, gives one table."""
         loss = suspects_data.Loss('s1', 'v1', AT)
         tried = suspects_data.Trial('t', 's2', AT + 20)
         notes = (
--- a/beryllug/proofs/mutations.py
+++ b/beryllug/proofs/mutations.py
@@ -156,8 +156,8 @@
         'core/suspects.py',
         (
             (
-                'if running is not None or ask.server_id in trial_servers(',
-                'if ask.server_id in trial_servers(',
+                'if running is not None or request.server_id in trial_servers(',
+                'if request.server_id in trial_servers(',
             ),
         ),
         'core.suspects_test',
@@ -167,7 +167,7 @@
         'core/suspects.py',
         (
             (
-                'if running is not None or ask.server_id in trial_servers(',
+                'if running is not None or request.server_id in trial_servers(',
                 'if running is not None or not trial_servers(',
             ),
         ),
