--- a/beryllug/core/lease_test.py
+++ b/beryllug/core/lease_test.py
@@ -24,8 +24,8 @@
 
     version: int = 0
     content: lease_data.Lease | None = None
-    token_owners: dict[int, str] = field(default_factory=dict)
-    delayed: list[lease.Write] = field(default_factory=list)
+    tokens: dict[int, str] = field(default_factory=dict)
+    late: list[lease.Write] = field(default_factory=list)
 
     def write(self, write: lease.Write) -> bool:
         """Write if the version matches; record the owner of each token."""
@@ -34,7 +34,7 @@
         self.version += 1
         self.content = write.lease
         if write.lease.holder:
-            self.token_owners.setdefault(write.lease.fencing, write.lease.boot)
+            self.tokens.setdefault(write.lease.fencing, write.lease.boot)
         return True
 
 
@@ -44,7 +44,7 @@
 
     name: str
     rank: int
-    candidates: tuple[str, ...] = ()
+    listed: tuple[str, ...] = ()
     rate: float = 1.0
     paused_until: float = 0.0
     state: lease.LeaseState = field(
@@ -83,7 +83,7 @@
         TERMS,
         lease_data.Standing(
             process.rank,
-            tuple(lease_data.Candidate(name, 1) for name in process.candidates),
+            tuple(lease_data.Candidate(name, 1) for name in process.listed),
         ),
         now,
     )
@@ -112,7 +112,7 @@
     call_result: str,
 ) -> None:
     if call_result == 'late':
-        platform.delayed.append(write)
+        platform.late.append(write)
     if call_result in {'lost', 'late'}:
         lease.unsure(process.state, now)
         return
@@ -165,17 +165,17 @@
         """
         platform = Platform()
         holder, non_candidate = Process('one', 0), Process('two', 0)
-        holder.candidates = ('three',)
+        holder.listed = ('three',)
         self._run_without_faults(platform, (holder,), 0, 10)
         expires_at = holder.state.renewed_at + TERMS.lease_s
         limit = lease.outage_limit(holder.state, TERMS)
         self._run_without_faults(platform, (non_candidate,), 10, limit + 1)
         self.assertGreater(limit, 10 * expires_at)
-        self.assertEqual(platform.token_owners, {1: 'boot-one'})
+        self.assertEqual(platform.tokens, {1: 'boot-one'})
         self._run_without_faults(
             platform, (non_candidate,), limit + 1, limit + 30
         )
-        self.assertEqual(platform.token_owners, {1: 'boot-one', 2: 'boot-two'})
+        self.assertEqual(platform.tokens, {1: 'boot-one', 2: 'boot-two'})
 
     def test_old_replica(self) -> None:
         """A read from a lagging replica does not change the state."""
@@ -202,7 +202,7 @@
         first_sent = holder.state.renewed_at + TERMS.renew_s
         step(holder, platform, first_sent, 'late')
         step(holder, platform, first_sent, 'done')
-        platform.write(platform.delayed.pop())
+        platform.write(platform.late.pop())
         step(holder, platform, first_sent + 2, 'lost')
         step(holder, platform, first_sent + 2, 'done')
         held_s = TERMS.lease_s - TERMS.margin_s
@@ -224,7 +224,7 @@
         self._run_without_faults(platform, (second,), 70, 72)
         self._run_without_faults(platform, (second, first), 72, 80)
         self.assertTrue(first.holds(80))
-        self.assertEqual(platform.token_owners, {1: 'boot-one'})
+        self.assertEqual(platform.tokens, {1: 'boot-one'})
 
     def _run_with_faults(self, rng: random.Random) -> int:
         platform = Platform()
@@ -236,8 +236,8 @@
         for tick in range(TICKS):
             second = tick * STEP_S
             rng.shuffle(processes)
-            if platform.delayed and rng.randrange(40) == 0:
-                platform.write(platform.delayed.pop())
+            if platform.late and rng.randrange(40) == 0:
+                platform.write(platform.late.pop())
             for process in processes:
                 if rng.randrange(500) == 0:
                     process.paused_until = second + rng.uniform(0, 20)
@@ -251,10 +251,8 @@
             self.assertLessEqual(len(holders), 1)
             for holder in holders:
                 token = holder.state.fencing
-                self.assertEqual(
-                    platform.token_owners[token], holder.owner.boot
-                )
-        return len(platform.token_owners)
+                self.assertEqual(platform.tokens[token], holder.owner.boot)
+        return len(platform.tokens)
 
     def _run_without_faults(
         self,
--- a/beryllug/core/push_tree_test.py
+++ b/beryllug/core/push_tree_test.py
@@ -61,7 +61,7 @@
         """An invalid delta, or one that expands without bound, is rejected."""
         oversized = part_delta.compress(bytes(part_delta.MAX_BYTES * 4), b'')
         for title, delta in (
-            ('random bytes', b'\xff' * 9),
+            ('noise', b'\xff' * 9),
             ('oversized', oversized),
         ):
             with self.subTest(title), self.assertRaises(ValueError):
--- a/beryllug/core/suspects_test.py
+++ b/beryllug/core/suspects_test.py
@@ -22,7 +22,7 @@
     return rpc_data.CrashReport('e', server, V1, fingerprints, at, *trial)
 
 
-def judge(
+def get_verdict(
     table: suspects_data.Table,
     name: str,
     server: str,
@@ -44,7 +44,7 @@
 
     def test_convicted(self) -> None:
         """A request whose trial loses its server is refused for REFUSED_S."""
-        self.assertEqual(judge(self.table, 'a', 's2'), Verdict.TRY)
+        self.assertEqual(get_verdict(self.table, 'a', 's2'), Verdict.TRY)
         lost = report('s2', ('a',), AT, ('a', 't'))
         suspects.reported(self.table, lost, AT)
         last = AT + suspects.REFUSED_S
@@ -54,15 +54,17 @@
             (last, Verdict.RUN),
         ):
             suspects.expire(self.table, now)
-            self.assertEqual(judge(self.table, 'a', 's3', 'u', now), verdict)
+            self.assertEqual(
+                get_verdict(self.table, 'a', 's3', 'u', now), verdict
+            )
         self.assertEqual(suspects.shown(self.table, last), ())
 
     def test_restarted_server(self) -> None:
         """The only server restarts and is lost again under the trial."""
-        judge(self.table, 'a', 's1')
+        get_verdict(self.table, 'a', 's1')
         lost = report('s1', ('a',), AT + 1, ('a', 't'))
         suspects.reported(self.table, lost, AT + 1)
-        verdict = judge(self.table, 'a', 's1', 'u', AT + 1)
+        verdict = get_verdict(self.table, 'a', 's1', 'u', AT + 1)
         self.assertEqual(verdict, Verdict.REFUSE)
 
     def test_cleared(self) -> None:
@@ -71,40 +73,44 @@
         A late report of the same loss does not make it a suspect again; a
         new loss does.
         """
-        judge(self.table, 'b', 's2')
+        get_verdict(self.table, 'b', 's2')
         suspects.ended(self.table, suspects_data.TrialEnd('b', 't', True))
         suspects.reported(self.table, report('s1', ('b',), AT + 1), AT + 1)
-        self.assertEqual(judge(self.table, 'b', 's2', 'u'), Verdict.RUN)
+        self.assertEqual(get_verdict(self.table, 'b', 's2', 'u'), Verdict.RUN)
         again = AT + LATER
         suspects.reported(self.table, report('s1', ('b',), again), again)
-        self.assertEqual(judge(self.table, 'b', 's2', 'u', again), Verdict.TRY)
+        self.assertEqual(
+            get_verdict(self.table, 'b', 's2', 'u', again), Verdict.TRY
+        )
 
     def test_trials(self) -> None:
         """A request and a server each have at most one trial at a time."""
-        self.assertEqual(judge(self.table, 'a', 's2', 't'), Verdict.TRY)
+        self.assertEqual(get_verdict(self.table, 'a', 's2', 't'), Verdict.TRY)
         for title, name, server, trial_id, verdict in (
             ('repeated', 'a', 's2', 't', Verdict.TRY),
-            ('a copy on another server', 'a', 's3', 'u', Verdict.WAIT),
+            ('a copy elsewhere', 'a', 's3', 'u', Verdict.WAIT),
             ('another on the same server', 'b', 's2', 'u', Verdict.WAIT),
-            ('another on another server', 'b', 's3', 'u', Verdict.TRY),
+            ('another elsewhere', 'b', 's3', 'u', Verdict.TRY),
             ('not suspected', 'c', 's2', 'w', Verdict.RUN),
         ):
             with self.subTest(title):
-                found = judge(self.table, name, server, trial_id)
+                found = get_verdict(self.table, name, server, trial_id)
                 self.assertEqual(found, verdict)
         end = suspects_data.TrialEnd('a', 't', answered=False)
         suspects.ended(self.table, end)
-        self.assertEqual(judge(self.table, 'a', 's4', 'x'), Verdict.TRY)
+        self.assertEqual(get_verdict(self.table, 'a', 's4', 'x'), Verdict.TRY)
 
     def test_bounded(self) -> None:
         """Refused requests are kept when a lost rack fills the table."""
-        judge(self.table, 'a', 's2')
+        get_verdict(self.table, 'a', 's2')
         lost = report('s2', ('a',), AT, ('a', 't'))
         suspects.reported(self.table, lost, AT)
         many = tuple(map(str, range(2 * suspects.MAX_NOTES)))
         suspects.reported(self.table, report('s3', many, AT + 1), AT + 1)
         self.assertEqual(len(self.table.notes), suspects.MAX_NOTES)
-        self.assertEqual(judge(self.table, 'a', 's4', 'u'), Verdict.REFUSE)
+        self.assertEqual(
+            get_verdict(self.table, 'a', 's4', 'u'), Verdict.REFUSE
+        )
 
 
 class MergeTest(unittest.TestCase):
