--- a/beryllug/core/crash_causes.py
+++ b/beryllug/core/crash_causes.py
@@ -1,4 +1,4 @@
-"""Tell a poison request, a bad version and a dying host apart."""
+"""Distinguish a poison request, a bad version and a dying host."""
 
 from collections.abc import Iterable
 
--- a/beryllug/core/lease.py
+++ b/beryllug/core/lease.py
@@ -95,7 +95,7 @@
 def decide(
     state: LeaseState,
     owner: lease_data.Owner,
-    terms: lease_data.Terms,
+    timings: lease_data.Terms,
     claim: lease_data.Standing,
     now: float,
 ) -> Action:
@@ -104,17 +104,17 @@
     Args:
         state: What is known about it.
         owner: This process.
-        terms: Durations.
+        timings: Durations.
         claim: Rank and candidates of this process for it.
         now: Second of the monotonic clock.
     """
     if not state.known:
         return Read()
     if state.fencing:
-        return _decide_holder(state, terms, claim, now)
+        return _decide_holder(state, timings, claim, now)
     if claim.rank >= MAX_OBSERVERS or state.releasing:
-        return Wait(now + terms.lease_s)
-    return _decide_waiter(state, owner, terms, claim, now)
+        return Wait(now + timings.lease_s)
+    return _decide_waiter(state, owner, timings, claim, now)
 
 
 def sending(state: LeaseState, write: Write) -> None:
@@ -134,15 +134,15 @@
     return tuple(dict.fromkeys((*known, *state.listed)))
 
 
-def outage_limit(state: LeaseState, terms: lease_data.Terms) -> float:
+def outage_limit(state: LeaseState, timings: lease_data.Terms) -> float:
     """Return until when only candidates can acquire the lease."""
-    return state.renewed_at + terms.fallback_s - terms.margin_s
+    return state.renewed_at + timings.fallback_s - timings.margin_s
 
 
 def observed(
     state: LeaseState,
     owner: lease_data.Owner,
-    terms: lease_data.Terms,
+    timings: lease_data.Terms,
     version: int,
     lease: lease_data.Lease | None,
     now: float,
@@ -153,7 +153,7 @@
         # start to count from an old renewal.
         return
     changed = version != state.version
-    if changed or now - state.read_at > terms.lease_s / 2:
+    if changed or now - state.read_at > timings.lease_s / 2:
         state.seen_since = now
     state.version = version
     state.lease = lease
@@ -164,12 +164,12 @@
     if lease is None or not _is_own(lease, owner):
         _set_not_held(state)
     elif changed and state.unsure_since is not None:
-        _set_held(state, terms, lease, state.unsure_since)
+        _set_held(state, timings, lease, state.unsure_since)
 
 
 def written(
     state: LeaseState,
-    terms: lease_data.Terms,
+    timings: lease_data.Terms,
     write: Write,
     version: int,
     sent_at: float,
@@ -184,7 +184,7 @@
     state.taking = False
     state.listed.clear()
     if write.lease.holder:
-        _set_held(state, terms, write.lease, sent_at)
+        _set_held(state, timings, write.lease, sent_at)
     else:
         _set_not_held(state)
 
@@ -208,7 +208,7 @@
 
 def _decide_holder(
     state: LeaseState,
-    terms: lease_data.Terms,
+    timings: lease_data.Terms,
     claim: lease_data.Standing,
     now: float,
 ) -> Action:
@@ -217,7 +217,7 @@
     if state.releasing:
         released = lease_data.Lease('', lease.fencing)
         return Write(released, state.version)
-    due = state.renewed_at + terms.renew_s
+    due = state.renewed_at + timings.renew_s
     if now < due:
         return Wait(due)
     renewed = lease._replace(
@@ -255,18 +255,18 @@
 def _decide_waiter(
     state: LeaseState,
     owner: lease_data.Owner,
-    terms: lease_data.Terms,
+    timings: lease_data.Terms,
     claim: lease_data.Standing,
     now: float,
 ) -> Action:
-    read_due = state.read_at + terms.poll_s
+    read_due = state.read_at + timings.poll_s
     if now >= read_due:
         # A lease is acquired only right after it was read unchanged: a
         # process that was paused must not act on a read before the pause.
         return Read()
-    due = _acquire_due(state, owner, terms, claim)
+    due = _acquire_due(state, owner, timings, claim)
     if now < due or not claim.may_take:
-        return Wait(min(max(due, now + terms.poll_s), read_due))
+        return Wait(min(max(due, now + timings.poll_s), read_due))
     lease = state.lease
     held = lease is not None and bool(lease.holder)
     acquired = lease_data.Lease(
@@ -283,32 +283,32 @@
 def _acquire_due(
     state: LeaseState,
     owner: lease_data.Owner,
-    terms: lease_data.Terms,
+    timings: lease_data.Terms,
     claim: lease_data.Standing,
 ) -> float:
     """Return from when a process may acquire a lease that is unchanged."""
     lease = state.lease
-    due = state.seen_since + claim.rank * terms.stagger_s
+    due = state.seen_since + claim.rank * timings.stagger_s
     if lease is None or not lease.holder:
         return due
-    due += terms.lease_s + terms.margin_s
+    due += timings.lease_s + timings.margin_s
     if not _is_candidate(lease, owner):
         # During a platform outage the holder continues on promises of the
         # candidates alone. Other processes wait longer than the holder may
         # continue that way.
-        due += terms.fallback_s
+        due += timings.fallback_s
     return due
 
 
 def _set_held(
     state: LeaseState,
-    terms: lease_data.Terms,
+    timings: lease_data.Terms,
     lease: lease_data.Lease,
     sent_at: float,
 ) -> None:
     state.fencing = lease.fencing
     state.renewed_at = sent_at
-    state.valid_until = sent_at + terms.lease_s - terms.margin_s
+    state.valid_until = sent_at + timings.lease_s - timings.margin_s
 
 
 def _set_not_held(state: LeaseState) -> None:
--- a/beryllug/core/lease_data.py
+++ b/beryllug/core/lease_data.py
@@ -124,7 +124,7 @@
 
 
 class Standing(NamedTuple):
-    """What a process brings to the decision about a lease it wants.
+    """Claim of a process to a lease that it wants.
 
     Attributes:
         rank: Rank among the live processes that want it, 0 the preferred.
--- a/beryllug/core/lease_test.py
+++ b/beryllug/core/lease_test.py
@@ -11,7 +11,7 @@
 
 from beryllug.core import lease, lease_data
 
-TERMS = lease_data.terms(6.0)
+TIMINGS = lease_data.terms(6.0)
 STEP_S = 0.05
 NAME = 'journal/0'
 SEEDS = 30
@@ -80,7 +80,7 @@
     action = lease.decide(
         process.state,
         process.owner,
-        TERMS,
+        TIMINGS,
         lease_data.Standing(
             process.rank,
             tuple(lease_data.Candidate(name, 1) for name in process.listed),
@@ -94,7 +94,7 @@
             lease.observed(
                 process.state,
                 process.owner,
-                TERMS,
+                TIMINGS,
                 platform.version,
                 platform.content,
                 now,
@@ -121,7 +121,7 @@
         lease.unsure(process.state, now)
     elif applied:
         version = platform.version
-        lease.written(process.state, TERMS, write, version, now, now)
+        lease.written(process.state, TIMINGS, write, version, now, now)
     else:
         lease.conflicted(process.state)
 
@@ -152,9 +152,9 @@
         first.wait_until = 0
         second.wait_until = 0
         self._run_without_faults(
-            platform, (first, second), 10, 10 + TERMS.lease_s / 2
+            platform, (first, second), 10, 10 + TIMINGS.lease_s / 2
         )
-        self.assertTrue(second.holds(10 + TERMS.lease_s / 2))
+        self.assertTrue(second.holds(10 + TIMINGS.lease_s / 2))
 
     def test_others_than_candidates_wait(self) -> None:
         """A process that is not a listed candidate waits much longer.
@@ -167,8 +167,8 @@
         holder, non_candidate = Process('one', 0), Process('two', 0)
         holder.listed = ('three',)
         self._run_without_faults(platform, (holder,), 0, 10)
-        expires_at = holder.state.renewed_at + TERMS.lease_s
-        limit = lease.outage_limit(holder.state, TERMS)
+        expires_at = holder.state.renewed_at + TIMINGS.lease_s
+        limit = lease.outage_limit(holder.state, TIMINGS)
         self._run_without_faults(platform, (non_candidate,), 10, limit + 1)
         self.assertGreater(limit, 10 * expires_at)
         self.assertEqual(platform.tokens, {1: 'boot-one'})
@@ -184,7 +184,7 @@
         self._run_without_faults(platform, (holder,), 0, 10)
         before = platform.content
         lease.conflicted(holder.state)
-        lease.observed(holder.state, holder.owner, TERMS, 1, None, 10)
+        lease.observed(holder.state, holder.owner, TIMINGS, 1, None, 10)
         self.assertFalse(holder.state.known)
         self.assertTrue(holder.holds(10))
         self.assertEqual(holder.state.lease, before)
@@ -199,13 +199,13 @@
         platform = Platform()
         holder = Process('one', 0)
         self._run_without_faults(platform, (holder,), 0, 10)
-        first_sent = holder.state.renewed_at + TERMS.renew_s
+        first_sent = holder.state.renewed_at + TIMINGS.renew_s
         step(holder, platform, first_sent, 'late')
         step(holder, platform, first_sent, 'done')
         platform.write(platform.late.pop())
         step(holder, platform, first_sent + 2, 'lost')
         step(holder, platform, first_sent + 2, 'done')
-        held_s = TERMS.lease_s - TERMS.margin_s
+        held_s = TIMINGS.lease_s - TIMINGS.margin_s
         self.assertAlmostEqual(holder.state.valid_until, first_sent + held_s)
 
     def test_outage_restarts_the_wait(self) -> None:
--- a/beryllug/core/membership.py
+++ b/beryllug/core/membership.py
@@ -165,7 +165,7 @@
 
     Args:
         table: The table.
-        about: Name of the receiver. Its own record is always included, so
+        receiver: Name of the receiver. Its own record is always included, so
             that it can refute it.
     """
     by_sends_left = sorted(
--- a/beryllug/core/outage.py
+++ b/beryllug/core/outage.py
@@ -41,7 +41,7 @@
     name: str,
     reply: outage_data.PromiseReply,
     sent_at: float,
-    terms: lease_data.Terms,
+    timings: lease_data.Terms,
 ) -> None:
     """Record a promise; it counts from before the request was sent.
 
@@ -50,10 +50,10 @@
         name: Name of the candidate.
         reply: Its reply.
         sent_at: When the request was sent.
-        terms: Durations.
+        timings: Durations.
     """
     candidate = lease_data.Candidate(name, reply.started)
-    end = sent_at + terms.promise_s - terms.margin_s
+    end = sent_at + timings.promise_s - timings.margin_s
     for lease_name in reply.names:
         promises.until[lease_name, candidate] = end
 
--- a/beryllug/core/suspects_data.py
+++ b/beryllug/core/suspects_data.py
@@ -100,7 +100,7 @@
 
 
 class TrialReply(NamedTuple):
-    """Reply to a `TrialAsk`.
+    """Decision on whether a suspected request may run.
 
     Attributes:
         verdict: The decision.
