--- a/beryllug/core/__init__.py
+++ b/beryllug/core/__init__.py
@@ -1,5 +1,5 @@
-"""Records and pure deciding functions.
+"""Records and pure decision functions.
 
-Nothing here opens a socket, reads a clock or starts a task: the present
+Nothing here opens a socket, reads a clock or starts a task: the current
 time is always an argument.
 """
--- a/beryllug/core/balance.py
+++ b/beryllug/core/balance.py
@@ -1,10 +1,12 @@
 """Choice of the backend server for one attempt.
 
-Servers that leave get nothing. Among the live ones of a bounded subset, those
-that fail or lag are out, the one that probably has the prompt's prefix cached
-is taken unless it is loaded above the mean, and otherwise the cheaper of two
-drawn at random: many entry hosts that all took the least loaded one would pile
-onto it together until the next report.
+Servers that are leaving get no requests. Each process considers a bounded
+subset of the live servers of a pool, without the ejected ones. `LeastCost`
+takes the server with the lowest expected time to the first token, in which a
+probably cached prefix of the prompt, the load, the server's slowness and its
+zone count. Each dispatch is added to the load at once: many entry hosts that
+all read the same report would otherwise overload the least loaded server
+until its next report.
 """
 
 import random
@@ -13,22 +15,22 @@
 
 from beryllug.core import balance_data, ejection, server_load, view_data
 
-SUBSET = 16
-MASK = 0xFFFFFFFF
-MIX = 2654435761
-MIX_SHIFT = 15
+SUBSET_SIZE = 16
+UINT32_MASK = 0xFFFFFFFF
+HASH_MULTIPLIER = 2654435761
+HASH_SHIFT = 15
 
 
 def build_fleet(
-    view: view_data.View, entry: str, zone: str, subset: int = SUBSET
+    view: view_data.View, entry: str, zone: str, subset: int = SUBSET_SIZE
 ) -> balance_data.Fleet:
     """Index the live servers of a view by pool.
 
     Args:
         view: The view.
-        entry: Name of this process, which decides its subsets.
+        entry: Name of this process, which determines its subsets.
         zone: Availability zone of this process.
-        subset: Most servers of one pool that this process uses.
+        subset: Maximum number of servers of one pool that it uses.
 
     Returns:
         For each declared pool the members that this process may choose from.
@@ -47,7 +49,7 @@
                 zlib.crc32(server.server_id.encode()),
                 server.zone != zone,
             )
-            for server in _subset(live, entry, zone, subset)
+            for server in _select_subset(live, entry, zone, subset)
         )
         fleet[pool.name] = balance_data.PoolFleet(pool, members, len(live))
     return fleet
@@ -61,9 +63,9 @@
     now: float,
     rng: random.Random,
 ) -> view_data.BackendServer | None:
-    """Choose the server for an attempt, or None when there is none.
+    """Choose the server for an attempt; None if no server is usable.
 
-    The caller counts the choice with `server_load.dispatched` before it awaits.
+    The caller must count the choice in `server_load` before it awaits.
     """
     pool = fleet.get(pick.pool)
     if pool is None:
@@ -87,27 +89,27 @@
             ).server
         case balance_data.RoundRobin():
             usable.sort(key=lambda member: member.server.server_id)
-            turn = state.turns.get(pick.pool, rng.randrange(len(usable)))
-            state.turns[pick.pool] = turn + 1
-            return usable[turn % len(usable)].server
+            next_index = state.turns.get(pick.pool, rng.randrange(len(usable)))
+            state.turns[pick.pool] = next_index + 1
+            return usable[next_index % len(usable)].server
 
 
-def _subset(
+def _select_subset(
     live: Sequence[view_data.BackendServer], entry: str, zone: str, size: int
 ) -> list[view_data.BackendServer]:
-    """Take the servers of a pool that an entry uses, the own zone's first.
+    """Return the servers of a pool that an entry uses, own zone first.
 
-    A rendezvous hash, so that a server that comes or goes changes only its
-    own place, and each server has about equally many entries.
+    Uses rendezvous hashing: a server that is added or removed leaves the order
+    of the others as it is, and each server gets about equally many entries.
     """
 
     return sorted(
         live,
-        key=lambda server: (server.zone != zone, _place(entry, server)),
+        key=lambda server: (server.zone != zone, _subset_rank(entry, server)),
     )[:size]
 
 
-def _place(entry: str, server: view_data.BackendServer) -> int:
+def _subset_rank(entry: str, server: view_data.BackendServer) -> int:
     return zlib.crc32(f'{entry}\0{server.server_id}'.encode())
 
 
@@ -127,13 +129,13 @@
     ]
     if pick.version is None:
         return usable
-    ready = [
+    with_version = [
         member
         for member in usable
         if pick.version
         in server_load.track(state, member.server.server_id).loaded
     ]
-    return ready or usable
+    return with_version or usable
 
 
 def _least_loaded(
@@ -160,21 +162,26 @@
     owner = _prefix_owner(usable, pick.prefix_key)
     costs = []
     for member in usable:
-        seen = server_load.track(state, member.server.server_id)
-        load = server_load.load_of(seen, now, policy.others)
-        first = policy.cached if member is owner else 1
-        cost = _cost(first, load, pool.pool.concurrency, policy)
-        slow = max(seen.slowness / policy.lenience, 1)
-        costs.append(slow * cost + policy.remote * member.remote)
+        stats = server_load.track(state, member.server.server_id)
+        load = server_load.load_of(stats, now, policy.others)
+        first_token_cost = policy.cached if member is owner else 1
+        cost = _expected_cost(
+            first_token_cost, load, pool.pool.concurrency, policy
+        )
+        slow_factor = max(stats.slowness / policy.lenience, 1)
+        costs.append(slow_factor * cost + policy.remote * member.remote)
     return costs
 
 
-def _cost(
-    first: float, load: float, slots: int, policy: balance_data.LeastCost
+def _expected_cost(
+    first_token_cost: float,
+    load: float,
+    slot_count: int,
+    policy: balance_data.LeastCost,
 ) -> float:
-    """Return the expected time to a first token, in the policy's unit."""
-    waiting = max(0, load + 1 - policy.knee * slots)
-    return first * (1 + load / slots) + policy.queue * waiting
+    """Return the expected time to the first token, in the policy's unit."""
+    waiting = max(0, load + 1 - policy.knee * slot_count)
+    return first_token_cost * (1 + load / slot_count) + policy.queue * waiting
 
 
 def _prefix_owner(
@@ -182,15 +189,15 @@
 ) -> balance_data.Member | None:
     """Return the server that has a prefix cached if any has.
 
-    Every entry finds the same one by a rendezvous hash and none has to be
-    told; cache events come late and with gaps.
+    Every entry finds the same server by rendezvous hashing, without messages;
+    cache events arrive late and with gaps.
     """
     if not prefix_key:
         return None
     key = zlib.crc32(prefix_key.encode())
-    return max(usable, key=lambda member: _weight(key, member.seed))
+    return max(usable, key=lambda member: _owner_score(key, member.seed))
 
 
-def _weight(key: int, seed: int) -> int:
-    mixed = ((key ^ seed) * MIX) & MASK
-    return ((mixed ^ (mixed >> MIX_SHIFT)) * MIX) & MASK
+def _owner_score(key: int, seed: int) -> int:
+    hashed = ((key ^ seed) * HASH_MULTIPLIER) & UINT32_MASK
+    return ((hashed ^ (hashed >> HASH_SHIFT)) * HASH_MULTIPLIER) & UINT32_MASK
--- a/beryllug/core/balance_data.py
+++ b/beryllug/core/balance_data.py
@@ -1,7 +1,8 @@
-"""Records about the choice of a backend server.
+"""Records for the choice of a backend server.
 
-`Fleet` is built once a view and never changes. `BalanceState` is what this
-process itself saw of the servers; only its routing service changes it.
+`Fleet` is built once per view and never changes. `BalanceState` holds what
+this process itself observed of the servers; only its routing service changes
+it.
 """
 
 from collections import deque
@@ -12,11 +13,11 @@
 
 
 class Member(NamedTuple):
-    """A live backend server with what its choice needs.
+    """A live backend server with the data that the choice needs.
 
     Attributes:
         server: The server.
-        seed: A stable number of its name, for hashing prefixes.
+        seed: Hash of its id, for the hashing of prefixes.
         remote: Whether it is in another availability zone.
     """
 
@@ -31,7 +32,7 @@
     Attributes:
         pool: The declared pool.
         members: The bounded subset of its live servers.
-        live: Count of all its live servers.
+        live: Number of all its live servers.
     """
 
     pool: config_data.Pool
@@ -44,25 +45,25 @@
 
 @dataclass(slots=True)
 class Track:
-    """What this process saw of one backend server.
+    """What this process observed of one backend server.
 
     Attributes:
-        in_flight: Our requests on it.
-        smoothed: Their mean over the last seconds.
-        smoothed_at: When `smoothed` was last brought up to date.
-        changes: Times and signs of our dispatches and ends that its last
-            report may not contain.
-        change: Sum of these signs.
-        reported: Load by its last report.
-        reported_at: When that was measured, by our clock.
-        loaded: Versions it had loaded then.
-        slowness: Smoothed ratio of seen to expected time to first token.
-        samples: Answers that went into `slowness`.
-        failures: Failures in a row.
-        ejections: Ejections since it was last sound.
-        ejected_until: Second until which it gets no request.
-        returning: Whether it came back from an ejection and must prove
-            itself with few requests first.
+        in_flight: Requests of this process on the server.
+        smoothed: Exponentially weighted mean of `in_flight`.
+        smoothed_at: When `smoothed` was last updated.
+        changes: Times of the dispatches (+1) and ends (-1) of this process's
+            requests that the last report may not contain.
+        change: Sum of the signs in `changes`.
+        reported: Load in the last report; None before the first.
+        reported_at: When that was measured, by this process's clock.
+        loaded: Model versions that were loaded then.
+        slowness: Smoothed ratio of measured to expected time to first token.
+        samples: Number of answers in `slowness`.
+        failures: Consecutive failures.
+        ejections: Ejections since the server was last healthy.
+        ejected_until: Time until which the server gets no request.
+        returning: Whether it was ejected and has not answered since; it then
+            gets one request at a time.
     """
 
     in_flight: int = 0
@@ -83,7 +84,13 @@
 
 @dataclass(slots=True)
 class BalanceState:
-    """Tracks by server id; kept only for servers of the present fleet."""
+    """What is known of each server.
+
+    Attributes:
+        tracks: Observations by server id; `server_load.keep_only` drops
+            those of servers that are no longer listed.
+        turns: Index of the next round-robin choice, by pool.
+    """
 
     tracks: dict[str, Track] = field(default_factory=dict)
     turns: dict[str, int] = field(default_factory=dict)
@@ -91,22 +98,23 @@
 
 @dataclass(frozen=True, slots=True)
 class LeastCost:
-    """The server where the first token is expected soonest.
+    """Chooses the server with the lowest expected time to the first token.
 
-    Costs are in units of a first token on an idle server without a cached
-    prefix.
+    The unit of cost is the time to the first token on an idle server without
+    a cached prefix.
 
     Attributes:
         cached: Cost where the prompt's prefix is probably cached.
         queue: Cost of each request above the knee.
-        knee: Part of a server's slots above which a request may have to wait
-            for one, reports being as late as they are.
+        knee: Fraction of a server's slots above which a request may have to
+            wait for a slot. Below 1 because reports are late.
         remote: Cost of another availability zone.
-        others: How many requests of other entry processes are taken to have
-            followed each of ours since a server's last report. They read the
-            same report and prefer the same server: half of their number.
-        lenience: Slowness that is taken for chance. Below it the times of
-            single answers say less of a server than our own count does.
+        others: Assumed requests of other entry processes for each request of
+            this one since a server's last report. They read the same report
+            and prefer the same server; set to half of their number.
+        lenience: Slowness that is treated as random variation. Below it the
+            times of single answers tell less about a server than the count of
+            this process's own requests.
     """
 
     cached: float = 0.3
@@ -119,30 +127,30 @@
 
 @dataclass(frozen=True, slots=True)
 class TwoChoices:
-    """The less loaded of two random servers: a baseline."""
+    """Chooses the less loaded of two random servers: a baseline."""
 
 
 @dataclass(frozen=True, slots=True)
 class RoundRobin:
-    """Each server in turn: a baseline."""
+    """Chooses the servers in turn: a baseline."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeastConnections:
-    """The server with the fewest requests of ours: a baseline."""
+    """Chooses the server with the fewest own requests: a baseline."""
 
 
 BalancePolicy = LeastCost | TwoChoices | RoundRobin | LeastConnections
 
 
 class Pick(NamedTuple):
-    """What is asked of a choice.
+    """The requirements of one choice.
 
     Attributes:
         pool: Name of the pool.
-        version: The version to run, or None for a plain service.
+        version: The model version to run; None for a plain service.
         prefix_key: Digest of the start of the prompt, or empty.
-        excluded: Servers that this request already failed on.
+        excluded: Ids of the servers on which this request already failed.
     """
 
     pool: str
--- a/beryllug/core/balance_test.py
+++ b/beryllug/core/balance_test.py
@@ -38,10 +38,10 @@
 
 
 class ChooseTest(unittest.TestCase):
-    """Only live and sound servers, the one that answers soonest first."""
+    """Only live, healthy servers; the lowest expected cost first."""
 
     def setUp(self) -> None:
-        """Start with an empty state and four servers."""
+        """Create an empty state and four servers."""
         self.state = balance_data.BalanceState()
         self.rng = random.Random(1)
         self.fleet = _fleet(*(_server(number) for number in range(4)))
@@ -59,10 +59,10 @@
         return server.server_id if server else ''
 
     def test_leaving(self) -> None:
-        """A server that leaves gets no request from the next view on.
+        """A leaving server gets no request once the view marks it so.
 
-        The host list marks it as leaving, the view arrives, and a request
-        that was still sent there would be cut off by the server's end.
+        A request that was still sent to it would be cut off when the server
+        stops.
         """
         self.fleet = _fleet(_server(0), _server(1, LEAVING), _server(2))
         policies: tuple[balance_data.BalancePolicy, ...] = (
@@ -77,22 +77,23 @@
                 self.assertEqual(chosen, {'s0', 's2'})
 
     def test_none_left(self) -> None:
-        """Without a usable server there is no choice, and no exception."""
+        """Without a usable server the result is None, not an exception."""
         self.fleet = _fleet(_server(0, LEAVING))
         self.assertEqual(self.choose(), '')
         self.assertEqual(self.choose(PICK._replace(pool='nope')), '')
 
     def test_excluded(self) -> None:
-        """A retry goes elsewhere."""
+        """A retry goes to another server."""
         excluded = frozenset(('s0', 's1', 's2'))
         self.assertEqual(self.choose(PICK._replace(excluded=excluded)), 's3')
 
     def test_unseen_dispatches(self) -> None:
-        """One late report does not draw every request to one server.
+        """One late report does not send every request to one server.
 
         Server 3 reported four requests and the others eight. Until its next
-        report twelve arrive here, and as many at each other entry; without
-        our own counts most of all of these would go to it and wait.
+        report twelve arrive at this entry, and as many at each other one.
+        Without the count of own requests most of all of these would go to
+        server 3 and queue there.
         """
         loads = [
             view_data.ServerLoad(f's{number}', 4 if number == 3 else 8, 0, 1)
@@ -107,7 +108,7 @@
         self.assertIn(chosen['s3'], range(3, 6))
 
     def test_prefix(self) -> None:
-        """A session stays where its prompt is cached until that is loaded."""
+        """A session stays on the server with its prefix until it is loaded."""
         pick = PICK._replace(prefix_key='session')
         owner = self.choose(pick)
         self.assertEqual({self.choose(pick) for _ in range(20)}, {owner})
@@ -123,7 +124,7 @@
         self.assertEqual(self.choose(pick, now=1), 's2')
 
     def test_subset(self) -> None:
-        """Entries use bounded subsets that spread evenly, own zone first."""
+        """Entries use bounded, evenly spread subsets, own zone first."""
         servers = [
             _server(number, zone=f'z{number % 2}') for number in range(100)
         ]
@@ -141,40 +142,40 @@
 
 
 class EjectionTest(unittest.TestCase):
-    """Failing and slow servers are left alone, and tested with care."""
+    """Failing and slow servers are ejected, then probed one by one."""
 
     def test_failing(self) -> None:
-        """A server that refuses every connection looks idle but gets nothing.
+        """A server that refuses every connection gets no load.
 
-        It fails each request at once, so its count of open requests is the
-        lowest of all and would draw the whole load. Three failures in a row
-        eject it; afterwards one request at a time tests it.
+        It fails each request at once, so it has the fewest open requests and
+        would attract the whole load. Three consecutive failures eject it;
+        afterwards it is probed with one request at a time.
         """
-        seen = balance_data.Track()
+        stats = balance_data.Track()
         for _ in range(ejection.FAILURES_TO_EJECT):
-            ejection.failed(seen, 0)
-        self.assertTrue(ejection.is_out(seen, 0.5))
-        self.assertFalse(ejection.is_out(seen, 1.5))
-        seen.in_flight = 1
-        self.assertTrue(ejection.is_out(seen, 1.5))
-        seen.in_flight = 0
-        ejection.failed(seen, 1.5)
-        self.assertTrue(ejection.is_out(seen, 3))
-        ejection.succeeded(seen, 1)
-        self.assertFalse(ejection.is_out(seen, 4))
+            ejection.failed(stats, 0)
+        self.assertTrue(ejection.is_out(stats, 0.5))
+        self.assertFalse(ejection.is_out(stats, 1.5))
+        stats.in_flight = 1
+        self.assertTrue(ejection.is_out(stats, 1.5))
+        stats.in_flight = 0
+        ejection.failed(stats, 1.5)
+        self.assertTrue(ejection.is_out(stats, 3))
+        ejection.succeeded(stats, 1)
+        self.assertFalse(ejection.is_out(stats, 4))
 
     def test_pause(self) -> None:
-        """A pool that was lost as a whole is tested every few seconds."""
-        seen = balance_data.Track()
+        """A pool whose servers all failed is probed every few seconds."""
+        stats = balance_data.Track()
         now = 0.0
         for _ in range(10):
-            ejection.eject(seen, now, ejection.MOST_FAILING_S)
-            pause_s = seen.ejected_until - now
+            ejection.eject(stats, now, ejection.MOST_FAILING_S)
+            pause_s = stats.ejected_until - now
             self.assertLessEqual(pause_s, ejection.MOST_FAILING_S)
-            now = seen.ejected_until
+            now = stats.ejected_until
 
     def test_slow(self) -> None:
-        """Of a pool the slow servers go, but never more than half of it."""
+        """Slow servers are ejected, but at most half of a pool."""
         cases = (
             ((1, 1, 1, 10), {3}),
             ((1, 1.5, 2, 2.5), set[int]()),
@@ -190,42 +191,42 @@
                 ]
                 ejection.eject_slow(tracks, 0)
                 out = {
-                    place
-                    for place, seen in enumerate(tracks)
-                    if ejection.is_out(seen, 0.1)
+                    index
+                    for index, stats in enumerate(tracks)
+                    if ejection.is_out(stats, 0.1)
                 }
                 self.assertEqual(out, expected)
 
 
 class LoadTest(unittest.TestCase):
-    """Believed loads: reports, our own counts, and neither too old."""
+    """Estimated loads from reports and own counts, neither too old."""
 
     def test_pool_load(self) -> None:
-        """Counts of one entry speak for the others where none is reported."""
+        """Without reports the own count stands for the other entries'."""
         state = balance_data.BalanceState()
-        seen = server_load.track(state, 's0')
+        stats = server_load.track(state, 's0')
         for _ in range(9):
             server_load.dispatched(state, 's0', 0)
-        self.assertEqual(server_load.pool_load([seen], 1, 60), 9)
-        self.assertAlmostEqual(server_load.pool_load([seen], 8, 60), 72)
+        self.assertEqual(server_load.pool_load([stats], 1, 60), 9)
+        self.assertAlmostEqual(server_load.pool_load([stats], 8, 60), 72)
         loads = [view_data.ServerLoad('s0', 20, 4, 60)]
         server_load.report(state, loads, clock_offset=0)
-        self.assertEqual(server_load.pool_load([seen], 8, 60.5), 24)
+        self.assertEqual(server_load.pool_load([stats], 8, 60.5), 24)
         server_load.finished(state, 's0', 60.5)
-        self.assertEqual(server_load.pool_load([seen], 8, 60.5), 23)
+        self.assertEqual(server_load.pool_load([stats], 8, 60.5), 23)
 
     def test_old_reports(self) -> None:
-        """A report that is older than a known one is passed over."""
+        """A report older than the last one is ignored."""
         state = balance_data.BalanceState()
         for running, at in ((5, 2), (9, 1)):
             loads = [view_data.ServerLoad('s0', running, 0, at)]
             server_load.report(state, loads, clock_offset=0)
-        seen = server_load.track(state, 's0')
-        self.assertEqual(server_load.load_of(seen, 2), 5)
-        self.assertEqual(server_load.load_of(seen, 60), 0)
+        stats = server_load.track(state, 's0')
+        self.assertEqual(server_load.load_of(stats, 2), 5)
+        self.assertEqual(server_load.load_of(stats, 60), 0)
 
     def test_keep_only(self) -> None:
-        """A server that left is forgotten when its last request ended."""
+        """A removed server is dropped when its last request has ended."""
         state = balance_data.BalanceState()
         server_load.dispatched(state, 's0', 0)
         server_load.keep_only(state, [])
--- a/beryllug/core/ejection.py
+++ b/beryllug/core/ejection.py
@@ -1,10 +1,10 @@
-"""Ejection of failing and slow backend servers, and their careful return.
+"""Ejection of failing and slow backend servers, and their gradual return.
 
-A server that fails each request at once looks idle and would draw all of the
-load; one that is ten times slower ruins the tail while its failure count stays
-zero. Both get no requests for a time that grows with each ejection. Then one
-request at a time tests it: a server that is still bad costs one request a
-period and not a burst.
+A server that fails each request at once looks idle and would attract all of
+the load; one that is ten times slower spoils the tail latency while its
+failure count stays zero. Both get no requests for a time that grows with each
+ejection. Afterwards the server is probed with one request at a time, so one
+that is still bad costs one request per period instead of a burst.
 """
 
 from collections.abc import Iterable
@@ -12,88 +12,88 @@
 from beryllug.core import balance_data
 
 FAILURES_TO_EJECT = 3
-BASE_S = 1.0
+BASE_PAUSE_S = 1.0
 MOST_FAILING_S = 4.0
-MOST_SLOW_S = 16.0
+MAX_SLOW_PAUSE_S = 16.0
 SLOW_RATIO = 3.0
 MIN_SAMPLES = 5
 SMOOTHING = 0.2
-MOST_EJECTED_PART = 0.5
-MOST_RATIO = 100.0
+MAX_EJECTED_FRACTION = 0.5
+MAX_RATIO = 100.0
 
 
-def failed(seen: balance_data.Track, now: float) -> None:
-    """Take a failure of the server: a refused connect, a reset, a 5xx."""
-    seen.failures += 1
-    if seen.returning or seen.failures >= FAILURES_TO_EJECT:
-        eject(seen, now, MOST_FAILING_S)
+def failed(stats: balance_data.Track, now: float) -> None:
+    """Record a failure: a refused connection, a reset or a 5xx status."""
+    stats.failures += 1
+    if stats.returning or stats.failures >= FAILURES_TO_EJECT:
+        eject(stats, now, MOST_FAILING_S)
 
 
-def succeeded(seen: balance_data.Track, ratio: float) -> None:
-    """Take an answer of the server.
+def succeeded(stats: balance_data.Track, ratio: float) -> None:
+    """Record an answer of the server.
 
     Args:
-        seen: The server's track.
-        ratio: Seen time to first token over the expected one.
+        stats: Observations of the server.
+        ratio: Measured time to first token divided by the expected one.
     """
-    seen.failures = 0
-    bounded = min(ratio, MOST_RATIO)
-    if seen.returning:
-        # What was learnt before the ejection says nothing of it now.
-        seen.slowness = bounded
-        seen.samples = 0
-        seen.returning = False
-    seen.slowness += SMOOTHING * (bounded - seen.slowness)
-    seen.samples += 1
-    if seen.samples > MIN_SAMPLES and bounded < SLOW_RATIO:
-        seen.ejections = 0
-
-
-def eject(seen: balance_data.Track, now: float, most_s: float) -> None:
-    """Keep a server from new requests for a while.
-
-    A test of a failing server costs its request a failed connect; a test of a
-    slow one costs a slow answer. The first may come more often, and a pool
-    that was lost as a whole is back the sooner.
+    stats.failures = 0
+    bounded = min(ratio, MAX_RATIO)
+    if stats.returning:
+        # Samples from before the ejection no longer describe the server.
+        stats.slowness = bounded
+        stats.samples = 0
+        stats.returning = False
+    stats.slowness += SMOOTHING * (bounded - stats.slowness)
+    stats.samples += 1
+    if stats.samples > MIN_SAMPLES and bounded < SLOW_RATIO:
+        stats.ejections = 0
+
+
+def eject(stats: balance_data.Track, now: float, max_pause_s: float) -> None:
+    """Send a server no new requests for a while.
+
+    Probing a failing server costs a request one failed connection; probing a
+    slow one costs a slow answer. Failing servers may therefore be probed more
+    often, so a pool whose servers all failed recovers sooner.
 
     Args:
-        seen: The server's track.
-        now: The present second.
-        most_s: Longest pause.
+        stats: Observations of the server.
+        now: The current time in seconds.
+        max_pause_s: Upper bound of the pause.
     """
-    pause_s = min(BASE_S * 2**seen.ejections, most_s)
-    seen.ejected_until = now + pause_s
-    seen.ejections += 1
-    seen.failures = 0
-    seen.returning = True
+    pause_s = min(BASE_PAUSE_S * 2**stats.ejections, max_pause_s)
+    stats.ejected_until = now + pause_s
+    stats.ejections += 1
+    stats.failures = 0
+    stats.returning = True
 
 
 def eject_slow(tracks: Iterable[balance_data.Track], now: float) -> None:
     """Eject the servers of a pool that are far slower than its median.
 
-    At most half of a pool is ejected so: when most of it is slow, the cause is
-    load or the version, and fewer servers would make it worse.
+    At most half of a pool is ejected this way: when most servers are slow, the
+    cause is load or the model version, and fewer servers would make it worse.
     """
     pool = list(tracks)
-    judged = [seen for seen in pool if seen.samples >= MIN_SAMPLES]
-    if len(judged) < 2:
+    measured = [stats for stats in pool if stats.samples >= MIN_SAMPLES]
+    if len(measured) < 2:
         return
-    ranked = sorted(seen.slowness for seen in judged)
+    ranked = sorted(stats.slowness for stats in measured)
     median = ranked[(len(ranked) - 1) // 2]
-    out = sum(is_out(seen, now) for seen in pool)
-    room = int(len(pool) * MOST_EJECTED_PART) - out
+    ejected_count = sum(is_out(stats, now) for stats in pool)
+    allowance = int(len(pool) * MAX_EJECTED_FRACTION) - ejected_count
     slow = [
-        seen
-        for seen in judged
-        if seen.slowness > median * SLOW_RATIO and not seen.returning
+        stats
+        for stats in measured
+        if stats.slowness > median * SLOW_RATIO and not stats.returning
     ]
-    for seen in slow[: max(room, 0)]:
-        seen.samples = 0
-        eject(seen, now, MOST_SLOW_S)
+    for stats in slow[: max(allowance, 0)]:
+        stats.samples = 0
+        eject(stats, now, MAX_SLOW_PAUSE_S)
 
 
-def is_out(seen: balance_data.Track, now: float) -> bool:
-    """Tell whether a server may not have another request now."""
-    if now < seen.ejected_until:
+def is_out(stats: balance_data.Track, now: float) -> bool:
+    """Return whether a server must not get another request now."""
+    if now < stats.ejected_until:
         return True
-    return seen.returning and seen.in_flight > 0
+    return stats.returning and stats.in_flight > 0
--- a/beryllug/core/limits.py
+++ b/beryllug/core/limits.py
@@ -1,15 +1,15 @@
-"""Admission: reserved room, fair shares, and refusal at once.
-
-A request is either dispatched now or refused now with a time after which
-asking again can help. Nothing waits in the entry: a request that is held back
-and refused near its deadline costs its caller the whole target for nothing.
-
-How far a pool may be filled depends on who asks. Urgent requests may queue for
-a part of their slack. Bulk requests leave a reserve of free slots, so that a
-lookup finds one although reports run for minutes. An account above its fair
-share leaves a reserve too, so that another account's first request finds the
-pool as it was. Reserves grow with the root of the slots, as the fluctuation of
-the load does: a large pool needs a smaller part of itself free.
+"""Admission control: reserved capacity, fair shares, immediate refusal.
+
+A request is either dispatched or refused at once, with a time after which a
+retry can succeed. The entry has no queue: a request that is queued and refused
+near its deadline would cost its caller the whole target for nothing.
+
+How far a pool may be filled depends on the request. Urgent requests may queue
+for a fraction of their slack. Bulk requests leave a reserve of free slots, so
+that a lookup finds one although reports run for minutes. An account above its
+fair share leaves a reserve too, so that the first request of another account
+still finds a slot. Reserves grow with the square root of the slots, as the
+fluctuation of the load does: a large pool needs a smaller fraction free.
 """
 
 import math
@@ -20,18 +20,18 @@
 
 from beryllug.core import config_data, request_data, shares
 
-URGENT_SLACK_PART = 0.6
+URGENT_QUEUE_FRACTION = 0.6
 NORMAL_RESERVE = 0.5
 SHARED_RESERVE = 1.5
-CHANCE = 1.5
-FLOOD = 2.2
-OVERFLOW = 4.0
+NOISE_EXCESS = 1.5
+FLOOD_EXCESS = 2.2
+OVERFLOW_RESERVE = 4.0
 BULK_RESERVE = 2.5
-MOST_RESERVED_PART = 0.5
+MAX_RESERVED_FRACTION = 0.5
 SLOT_SMOOTHING = 0.02
-LEAST_RETRY_S = 0.2
-BULK_RETRY_PART = 0.5
-MOST_RETRY_S = 30.0
+MIN_RETRY_S = 0.2
+BULK_RETRY_FRACTION = 0.5
+MAX_RETRY_S = 30.0
 MS = 1000
 
 
@@ -49,7 +49,7 @@
 
     Attributes:
         why: The reason.
-        retry_after_s: Seconds after which asking again can help.
+        retry_after_s: Seconds after which a retry can succeed.
     """
 
     why: Why
@@ -57,7 +57,7 @@
 
 
 class Ticket(NamedTuple):
-    """An admitted request's hold on its pool; given back by `release`."""
+    """The capacity that an admitted request occupies until `release`."""
 
     pool: str
     account_id: str
@@ -66,19 +66,19 @@
 
 @dataclass(slots=True)
 class LimitState:
-    """Uses of every pool; only the admission service changes them."""
+    """Use of every pool; only the admission service changes it."""
 
     pools: dict[str, shares.PoolUse] = field(default_factory=dict)
 
 
 class Room(NamedTuple):
-    """What a pool offers now.
+    """Current capacity of a pool.
 
     Attributes:
         pool: Name of the pool.
-        slots: Slots of all its sound servers.
-        load: Requests believed to be on them, of every entry.
-        entries: Entry processes that share the pool.
+        slots: Slots of all its healthy servers.
+        load: Estimated requests on them, from all entry processes.
+        entries: Number of entry processes that share the pool.
     """
 
     pool: str
@@ -88,12 +88,12 @@
 
 
 class Ask(NamedTuple):
-    """What is asked of a pool.
+    """A request to be admitted to a pool.
 
     Attributes:
         account_id: The client account.
         targets: Service targets of the request's class.
-        first_token_s: Expected seconds to the first token without a wait.
+        first_token_s: Expected seconds to the first token without queueing.
         service_s: Expected seconds from the first token to the end.
         elapsed_s: Seconds since the request arrived.
     """
@@ -115,33 +115,33 @@
     """Admit a request to a pool, or refuse it at once.
 
     Args:
-        state: Uses; an admitted request is counted in it.
+        state: Use of the pools; an admitted request is counted in it.
         weights: Weight of each client account.
-        room: What the pool offers.
-        ask: What the request asks.
-        now: The present second.
+        room: Current capacity of the pool.
+        ask: The request to admit.
+        now: The current time in seconds.
 
     Returns:
-        A ticket to give back when the request ends, or the refusal.
+        A ticket to release when the request ends, or the refusal.
     """
     use = _pool_use(state, room.pool)
-    shares.asks(use, ask.account_id, _own_slot_s(ask), now)
+    shares.record_demand(use, ask.account_id, _own_slot_s(ask), now)
     if not room.slots:
         return Refused(Why.DOWN, _retry_after(ask.service_s))
     if _slack_s(ask) < 0:
         return Refused(Why.LATE, _retry_after(ask.service_s))
     load = max(room.load, use.total)
-    over = load + 1 - _most_load(use, room, ask)
-    if over > 0:
-        return Refused(Why.FULL, _drain_s(use, room, ask, over))
+    excess_load = load + 1 - _max_load(use, room, ask)
+    if excess_load > 0:
+        return Refused(Why.FULL, _retry_delay_s(use, room, ask, excess_load))
     if _is_over_share(use, weights, room, ask, now):
         return Refused(Why.SHARE, _retry_after(shares.SMOOTHING_S))
-    return _take(use, room, ask, now)
+    return _issue_ticket(use, room, ask, now)
 
 
 def release(state: LimitState, ticket: Ticket, now: float) -> None:
-    """Give a ticket back when its request has ended on the pool."""
-    _change(_pool_use(state, ticket.pool), ticket, -1, now)
+    """Release the capacity of a request that has ended on the pool."""
+    _record_change(_pool_use(state, ticket.pool), ticket, -1, now)
 
 
 def _is_over_share(
@@ -151,68 +151,80 @@
     ask: Ask,
     now: float,
 ) -> bool:
-    """Tell whether the request is above its account's share of a full pool.
+    """Return whether the request exceeds its account's share of a full pool.
 
-    The more an account asks above its share, the earlier it is held to it. A
-    small excess may be chance and counts only when the pool overflows.
+    The more an account's demand exceeds its share, the earlier the share is
+    enforced. A small excess may be random and is never limited.
     """
-    shared = _reserved(room, SHARED_RESERVE)
+    shared_slots = _slots_without_reserve(room, SHARED_RESERVE)
     load = max(room.load, use.total)
-    if load + 1 <= shared:
+    if load + 1 <= shared_slots:
         return False
-    over = shares.excess(
-        use, weights, ask.account_id, shared / room.entries, now
+    excess_ratio = shares.excess(
+        use, weights, ask.account_id, shared_slots / room.entries, now
     )
-    if over <= CHANCE:
+    if excess_ratio <= NOISE_EXCESS:
         return False
-    spare = max(FLOOD - over, 0) / (FLOOD - CHANCE)
-    if load + 1 <= shared + spare * OVERFLOW * math.sqrt(room.slots):
+    margin = max(FLOOD_EXCESS - excess_ratio, 0) / (FLOOD_EXCESS - NOISE_EXCESS)
+    if load + 1 <= shared_slots + margin * OVERFLOW_RESERVE * math.sqrt(
+        room.slots
+    ):
         return False
-    if over >= FLOOD and load + 1 > room.slots:
-        # Its excess is known less well than the queue that it made.
+    if excess_ratio >= FLOOD_EXCESS and load + 1 > room.slots:
+        # The queue is a more reliable sign than the estimated excess.
         return True
-    return not shares.takes_turn(use, ask.account_id, over)
+    return not shares.spend_credit(use, ask.account_id, excess_ratio)
 
 
-def _take(use: shares.PoolUse, room: Room, ask: Ask, now: float) -> Ticket:
+def _issue_ticket(
+    use: shares.PoolUse, room: Room, ask: Ask, now: float
+) -> Ticket:
     use.slot_s += SLOT_SMOOTHING * (_own_slot_s(ask) - use.slot_s)
     priority = request_data.priority(ask.targets)
     ticket = Ticket(room.pool, ask.account_id, priority)
-    _change(use, ticket, 1, now)
+    _record_change(use, ticket, 1, now)
     return ticket
 
 
-def _change(use: shares.PoolUse, ticket: Ticket, sign: int, now: float) -> None:
-    shares.change(use, ticket.account_id, sign, now)
+def _record_change(
+    use: shares.PoolUse, ticket: Ticket, sign: int, now: float
+) -> None:
+    shares.record_use(use, ticket.account_id, sign, now)
     if ticket.priority is request_data.Priority.BULK:
         use.bulk += sign
 
 
-def _most_load(use: shares.PoolUse, room: Room, ask: Ask) -> float:
-    """Return the load up to which a request of this sort is taken."""
+def _max_load(use: shares.PoolUse, room: Room, ask: Ask) -> float:
+    """Return the load up to which requests of this priority are admitted."""
     match request_data.priority(ask.targets):
         case request_data.Priority.BULK:
-            return _reserved(room, BULK_RESERVE)
+            return _slots_without_reserve(room, BULK_RESERVE)
         case request_data.Priority.NORMAL:
-            return _reserved(room, NORMAL_RESERVE)
+            return _slots_without_reserve(room, NORMAL_RESERVE)
         case request_data.Priority.URGENT:
-            per_s = room.slots / _slot_s(use, ask)
-            return room.slots + URGENT_SLACK_PART * _slack_s(ask) * per_s
+            slots_per_s = room.slots / _expected_slot_s(use, ask)
+            return (
+                room.slots + URGENT_QUEUE_FRACTION * _slack_s(ask) * slots_per_s
+            )
 
 
-def _reserved(room: Room, reserve: float) -> float:
-    kept = reserve * math.sqrt(room.slots)
-    return room.slots - min(kept, room.slots * MOST_RESERVED_PART)
+def _slots_without_reserve(room: Room, reserve: float) -> float:
+    reserved = reserve * math.sqrt(room.slots)
+    return room.slots - min(reserved, room.slots * MAX_RESERVED_FRACTION)
 
 
 def _slack_s(ask: Ask) -> float:
-    """Return the seconds that a request can wait and still meet its target."""
-    first = ask.targets.first_token_ms / MS
-    whole = ask.targets.total_ms / MS - ask.service_s
-    return min(first, whole) - ask.first_token_s - ask.elapsed_s
+    """Return the seconds a request can queue and still meet its target."""
+    first_token_slack_s = ask.targets.first_token_ms / MS
+    total_slack_s = ask.targets.total_ms / MS - ask.service_s
+    return (
+        min(first_token_slack_s, total_slack_s)
+        - ask.first_token_s
+        - ask.elapsed_s
+    )
 
 
-def _slot_s(use: shares.PoolUse, ask: Ask) -> float:
+def _expected_slot_s(use: shares.PoolUse, ask: Ask) -> float:
     return use.slot_s or _own_slot_s(ask)
 
 
@@ -220,20 +232,22 @@
     return ask.first_token_s + ask.service_s
 
 
-def _drain_s(use: shares.PoolUse, room: Room, ask: Ask, over: float) -> float:
-    """Return when asking again can help.
+def _retry_delay_s(
+    use: shares.PoolUse, room: Room, ask: Ask, excess_load: float
+) -> float:
+    """Return the seconds after which a retry can succeed.
 
-    A pool that is full is so for longer than one slot takes to come free, and
-    bulk requests have time: asked again at once, they are refused again.
+    A full pool stays full for longer than one slot takes to become free, so a
+    bulk request that is retried early is refused again; it has time to wait.
     """
-    drained_s = over * _slot_s(use, ask) / room.slots
+    delay_s = excess_load * _expected_slot_s(use, ask) / room.slots
     if request_data.priority(ask.targets) is request_data.Priority.BULK:
-        drained_s = max(drained_s, BULK_RETRY_PART * _slack_s(ask))
-    return _retry_after(drained_s)
+        delay_s = max(delay_s, BULK_RETRY_FRACTION * _slack_s(ask))
+    return _retry_after(delay_s)
 
 
 def _retry_after(seconds: float) -> float:
-    return min(max(seconds, LEAST_RETRY_S), MOST_RETRY_S)
+    return min(max(seconds, MIN_RETRY_S), MAX_RETRY_S)
 
 
 def _pool_use(state: LimitState, pool: str) -> shares.PoolUse:
--- a/beryllug/core/limits_test.py
+++ b/beryllug/core/limits_test.py
@@ -15,14 +15,14 @@
 
 
 class AdmitTest(unittest.TestCase):
-    """A request is taken now or refused now."""
+    """A request is admitted or refused at once."""
 
     def test_room_by_priority(self) -> None:
-        """A desk lookup finds a slot although reports wait for one.
+        """A lookup finds a slot although reports are waiting for one.
 
         Reports run for minutes and would fill every slot. They are refused
-        from two thirds of the pool on, drafts a little below its end, and
-        lookups only where their own wait would be too long.
+        from about two thirds of the slots on, drafts slightly below all
+        slots, and lookups only if they would queue for too long.
         """
         cases = (
             (LOOKUP, 79, True),
@@ -46,7 +46,7 @@
                     self.assertGreater(decision.retry_after_s, 0)
 
     def test_late(self) -> None:
-        """What can not meet its target is refused before it has waited."""
+        """A request that cannot meet its target is refused at once."""
         cases = (
             (_ask(LOOKUP)._replace(elapsed_s=1.4), limits.Why.LATE),
             (_ask(LOOKUP)._replace(first_token_s=2), limits.Why.LATE),
@@ -59,14 +59,14 @@
                 self.assertIs(decision.why, why)
 
     def test_down(self) -> None:
-        """A pool without a sound server refuses at once."""
+        """A pool without a healthy server refuses at once."""
         room = ROOM._replace(slots=0)
         decision = limits.admit(limits.LimitState(), {}, room, _ask(LOOKUP), 0)
         assert isinstance(decision, limits.Refused)
         self.assertIs(decision.why, limits.Why.DOWN)
 
     def test_release(self) -> None:
-        """Tickets given back leave nothing behind."""
+        """After all tickets are released, nothing is in use."""
         state = limits.LimitState()
         tickets = [
             limits.admit(state, {}, ROOM, _ask(REPORT), 0) for _ in range(5)
@@ -79,11 +79,11 @@
         self.assertEqual(use.accounts['a'].in_flight, 0)
 
     def test_flood(self) -> None:
-        """An account that floods a full pool does not push out the others.
+        """An account that floods a full pool does not displace the others.
 
-        One account asks twenty times as often as another of equal weight. On
-        a full pool the flood is thinned to its share and the small account
-        loses nothing.
+        One account sends about twenty times as many requests as another of
+        equal weight. On a full pool the flooding account is limited to its
+        share and nearly all requests of the small one are admitted.
         """
         state = limits.LimitState()
         room = ROOM._replace(load=78)
@@ -102,10 +102,10 @@
 
 
 class SharesTest(unittest.TestCase):
-    """Max-min fair shares of what is asked."""
+    """Max-min fair shares of the demand."""
 
     def test_fair_level(self) -> None:
-        """What one account leaves unused raises the level of the others."""
+        """The unused share of one account raises the level of the others."""
         cases: tuple[
             tuple[dict[str, float], dict[str, int], float, float], ...
         ] = (
@@ -118,33 +118,33 @@
             with self.subTest(asked=asked, weights=weights):
                 use = shares.PoolUse()
                 for name, much in asked.items():
-                    use.accounts[name] = shares.Use(asked=much)
+                    use.accounts[name] = shares.AccountLoad(demand=much)
                 found = shares.fair_level(use, weights, slots, 0)
                 self.assertAlmostEqual(found, level)
 
     def test_one_long_request(self) -> None:
-        """However long it runs, a request asks for one slot."""
+        """A request demands one slot, however long it runs."""
         use = shares.PoolUse()
-        shares.asks(use, 'a', 600, 0)
-        self.assertEqual(shares.asked(use.accounts['a'], 0), 1)
+        shares.record_demand(use, 'a', 600, 0)
+        self.assertEqual(shares.current_demand(use.accounts['a'], 0), 1)
 
     def test_idle_accounts(self) -> None:
-        """Accounts that ask nothing are forgotten."""
+        """Accounts without requests are dropped."""
         use = shares.PoolUse()
-        shares.asks(use, 'old', 1, 0)
-        shares.asks(use, 'new', 1, 100)
+        shares.record_demand(use, 'old', 1, 0)
+        shares.record_demand(use, 'new', 1, 100)
         shares.excess(use, {}, 'new', 1, 100)
         self.assertEqual(set(use.accounts), {'new'})
 
 
 class EstimatesTest(unittest.TestCase):
-    """Learnt times follow the answers and not the queue."""
+    """Learnt times reflect the service times, not the queueing."""
 
     def test_first_token(self) -> None:
-        """Waits for a slot do not count as the time of a first token.
+        """Queueing for a slot does not count as time to the first token.
 
-        Did they count, a loaded pool would look too slow for any target, its
-        requests would be refused, and it would stay refused when idle again.
+        Otherwise a loaded pool would look too slow for any target, all of its
+        requests would be refused, and they would still be when it is idle.
         """
         state = estimates.EstimateState()
         key = estimates.Key('chat:v1', 'lookup')
--- a/beryllug/core/retry.py
+++ b/beryllug/core/retry.py
@@ -1,10 +1,10 @@
-"""What may be tried again, and how often.
+"""Which requests may be retried, and how often.
 
-Two rules. A request that is not idempotent is tried again only where no byte
-of it can have reached a backend server, or the server says that it did not
-run it; otherwise a slot is held twice. And retries draw on a budget that
-first tries fill: in an outage each caller's request would else become several
-and hold the pool down after it came back.
+Two rules apply. A request that is not idempotent is retried only if no byte of
+it can have reached a backend server, or if the server states that it did not
+run it; otherwise a booking slot could be held twice. And retries consume a
+budget to which first attempts add: without it each request of an outage would
+become several and keep the pool overloaded after it has recovered.
 """
 
 from collections.abc import Mapping
@@ -12,20 +12,20 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-RETRIES_PER_TRY = 0.1
+RETRIES_PER_ATTEMPT = 0.1
 MOST_TOKENS = 4.0
-FIRST_TOKENS = 2.0
+INITIAL_TOKENS = 2.0
 MAX_ATTEMPTS = 3
-# Of a request whose server was lost: its trial may meet servers that were
-# lost with the first one.
-MAX_AFTER_CRASH = 6
+# Attempts of a request whose server was lost. The next attempts may reach
+# servers that were lost together with the first one.
+MAX_ATTEMPTS_AFTER_CRASH = 6
 BASE_DELAY_S = 0.01
 MAX_DELAY_S = 0.5
-GROWTH = 4.0
+BACKOFF_FACTOR = 4.0
 
 
 class Failure(StrEnum):
-    """How an attempt failed, by how far it can have got."""
+    """How an attempt failed, by how far the request can have got."""
 
     NOT_SENT = 'not_sent'
     DECLINED = 'declined'
@@ -37,7 +37,7 @@
 
 
 class Denial(StrEnum):
-    """Why a request is not tried again."""
+    """Why a request is not retried."""
 
     MAY_HAVE_RUN = 'may_have_run'
     ANSWER_BEGUN = 'answer_begun'
@@ -48,22 +48,22 @@
 
 @dataclass(slots=True)
 class Budget:
-    """Retries that one pool may still get from this process.
+    """Retry budget of this process for one pool.
 
     Attributes:
-        tokens: Retries at hand; a first try adds a part of one.
-        tries: First tries so far.
+        tokens: Available retries; each first attempt adds a fraction of one.
+        tries: First attempts so far.
         retries: Retries so far.
     """
 
-    tokens: float = FIRST_TOKENS
+    tokens: float = INITIAL_TOKENS
     tries: int = 0
     retries: int = 0
 
 
 @dataclass(slots=True)
 class RetryState:
-    """The budgets of one process; only its routing service changes them."""
+    """Budgets of one process; only its routing service changes them."""
 
     pools: dict[str, Budget] = field(default_factory=dict)
 
@@ -72,13 +72,13 @@
     """A failed attempt.
 
     Attributes:
-        pool: Pool that the attempt went to.
+        pool: Pool that the attempt was sent to.
         failure: How it failed.
-        number: Its number, 1 for the first try.
+        number: Its number, 1 for the first attempt.
         repeatable: Whether the request is idempotent.
         answer_begun: Whether the caller already has a byte of the answer.
-        needs_s: Seconds that another attempt is expected to take.
-        complete_by: Second by which the whole answer is owed.
+        needs_s: Expected duration of another attempt in seconds.
+        complete_by: Time by which the whole answer is due.
         crashed: Whether a server was lost while the request ran there.
     """
 
@@ -93,42 +93,42 @@
 
 
 class Again(NamedTuple):
-    """Try again, after a delay of so many seconds."""
+    """The request may be retried after a delay in seconds."""
 
     delay_s: float
 
 
 def first_try(state: RetryState, pool: str) -> None:
-    """Count a first try, which earns its pool a part of a retry.
+    """Count a first attempt, which adds a fraction of a retry to the budget.
 
-    To be called when a server was chosen: a request that finds none puts no
-    load on the pool and earns nothing.
+    Called when a server was chosen: a request that finds no server puts no
+    load on the pool and adds nothing.
     """
     budget = _budget(state, pool)
     budget.tries += 1
-    budget.tokens = min(budget.tokens + RETRIES_PER_TRY, MOST_TOKENS)
+    budget.tokens = min(budget.tokens + RETRIES_PER_ATTEMPT, MOST_TOKENS)
 
 
 def may_retry(
     state: RetryState, attempt: Attempt, now: float, jitter: float
 ) -> Again | Denial:
-    """Decide whether a failed attempt is followed by another.
+    """Decide whether a failed attempt is retried.
 
     Args:
-        state: Budgets; a granted retry is taken from its pool's.
+        state: Budgets; a granted retry is taken from that of its pool.
         attempt: The failed attempt.
-        now: The present second.
-        jitter: A random number from 0 to 1, so that requests which failed
-            together do not come back together.
+        now: The current time in seconds.
+        jitter: A random number from 0 to 1, so that requests that failed
+            together are not retried at the same moment.
 
     Returns:
         The delay before the next attempt, or why there is none.
     """
     budget = _budget(state, attempt.pool)
     if attempt.number == 1:
-        # A first try that failed earns nothing: in an outage every try
-        # fails, and a tenth of them would go on hitting the pool again.
-        budget.tokens = max(budget.tokens - RETRIES_PER_TRY, 0)
+        # A failed first attempt adds nothing: in an outage all attempts
+        # fail, and a tenth of them would be sent to the pool again.
+        budget.tokens = max(budget.tokens - RETRIES_PER_ATTEMPT, 0)
     denial = _denial(attempt)
     if denial is not None:
         return denial
@@ -136,9 +136,9 @@
     if now + delay_s + attempt.needs_s > attempt.complete_by:
         return Denial.TIME
     if attempt.crashed:
-        # The lost server's other requests must be answered, however many
-        # they were: each is tried alone, so they come no faster than the
-        # servers that are left answer them.
+        # The other requests of the lost server must be answered, however
+        # many there are. Each is tried alone, so they arrive no faster than
+        # the remaining servers answer them.
         budget.retries += 1
         return Again(delay_s)
     if budget.tokens < 1:
@@ -149,7 +149,7 @@
 
 
 def ran_for_sure_not(failure: Failure) -> bool:
-    """Tell whether "not run" may be said of a request that failed so."""
+    """Return whether a request that failed this way surely did not run."""
     return failure in SURELY_NOT_RUN
 
 
@@ -167,14 +167,14 @@
 
 def _denial(attempt: Attempt) -> Denial | None:
     if attempt.answer_begun:
-        # Text of two runs must never be joined into one answer.
+        # An answer must never combine the texts of two runs.
         return Denial.ANSWER_BEGUN
     if not attempt.repeatable and not ran_for_sure_not(attempt.failure):
-        # The server may have run it although its answer was lost: a second
-        # run would hold a second slot.
+        # The server may have run it although its answer was lost. A second
+        # run could hold a second booking slot.
         return Denial.MAY_HAVE_RUN
-    most = MAX_AFTER_CRASH if attempt.crashed else MAX_ATTEMPTS
-    if attempt.number >= most:
+    max_attempts = MAX_ATTEMPTS_AFTER_CRASH if attempt.crashed else MAX_ATTEMPTS
+    if attempt.number >= max_attempts:
         return Denial.ATTEMPTS
     return None
 
@@ -182,8 +182,10 @@
 def _delay_s(attempt: Attempt, jitter: float) -> float:
     if attempt.failure is Failure.NOT_SENT and attempt.number == 1:
         return 0
-    longest = min(BASE_DELAY_S * GROWTH**attempt.number, MAX_DELAY_S)
-    return longest * jitter
+    max_delay_s = min(
+        BASE_DELAY_S * BACKOFF_FACTOR**attempt.number, MAX_DELAY_S
+    )
+    return max_delay_s * jitter
 
 
 def _budget(state: RetryState, pool: str) -> Budget:
--- a/beryllug/core/retry_test.py
+++ b/beryllug/core/retry_test.py
@@ -16,14 +16,14 @@
 
 
 class RetryTest(unittest.TestCase):
-    """A retry needs a right, time and budget."""
+    """A retry must be permitted and needs time and budget."""
 
     def test_denials(self) -> None:
-        """A hold broken after its first byte ends as unknown.
+        """A hold whose connection broke once it was sent is not retried.
 
-        The server may have taken the slot although its answer was lost. A
-        second try would hold a second slot for the same guest, so only a
-        failure that proves the request did not run allows one.
+        The server may have reserved the slot although its answer was lost. A
+        second attempt would hold a second slot for the same guest, so only a
+        failure that proves that the request did not run permits one.
         """
         not_sent = retry.Failure.NOT_SENT
         declined = retry.Failure.DECLINED
@@ -52,24 +52,24 @@
                     self.assertIs(decision, denial)
 
     def test_outage(self) -> None:
-        """An outage of a pool does not become a retry storm.
+        """An outage of a pool does not cause a retry storm.
 
-        Every one of a thousand requests fails and asks for a retry. Without
-        a budget the pool would get two to three thousand attempts just as it
-        comes back. A budget that failed tries fill would still give it 1100.
+        Each of a thousand requests fails and asks for a retry. Without a
+        budget the pool would get two to three thousand attempts just as it
+        recovers; with one to which failed attempts add, still 1100.
         """
         state = retry.RetryState()
-        self.assertEqual(_granted(state, 1000, fails_each=1), 2)
+        self.assertEqual(_granted(state, 1000, failure_interval=1), 2)
 
     def test_crashed(self) -> None:
-        """A lost server's requests are tried again, whatever the budget.
+        """Requests of a lost server are retried regardless of the budget.
 
-        Dozens of innocent requests ran on a server that one of them crashed.
-        On the budget for single failures all but two would get no answer.
-        The number of their attempts stays bounded.
+        Dozens of harmless requests ran on a server that one request crashed.
+        With the budget for single failures all but two of them would get no
+        answer. The number of their attempts remains bounded.
         """
         state = retry.RetryState()
-        _granted(state, 100, fails_each=1)
+        _granted(state, 100, failure_interval=1)
         for number, granted in ((1, True), (5, True), (6, False)):
             lost = ATTEMPT._replace(number=number, crashed=True)
             decision = retry.may_retry(state, lost, 0, 0.5)
@@ -79,24 +79,24 @@
         )
 
     def test_single_failures(self) -> None:
-        """While one try in twenty fails, each of them is tried again."""
+        """While one attempt in twenty fails, each of them is retried."""
         state = retry.RetryState()
-        self.assertEqual(_granted(state, 1000, fails_each=20), 50)
+        self.assertEqual(_granted(state, 1000, failure_interval=20), 50)
 
     def test_burst_after_quiet(self) -> None:
-        """A long quiet time does not save up a burst of retries."""
+        """Many successful attempts do not permit a burst of retries."""
         state = retry.RetryState()
-        _granted(state, 1000, fails_each=1001)
-        granted = _granted(state, 100, fails_each=1)
+        _granted(state, 1000, failure_interval=1001)
+        granted = _granted(state, 100, failure_interval=1)
         self.assertLessEqual(granted, retry.MOST_TOKENS)
 
 
-def _granted(state: retry.RetryState, tries: int, fails_each: int) -> int:
-    """Count the retries granted when each so-manieth try fails."""
+def _granted(state: retry.RetryState, tries: int, failure_interval: int) -> int:
+    """Count the retries granted when every n-th first attempt fails."""
     granted = 0
     for number in range(1, tries + 1):
         retry.first_try(state, 'engines')
-        if number % fails_each == 0:
+        if number % failure_interval == 0:
             decision = retry.may_retry(state, ATTEMPT, 0, 0.5)
             granted += isinstance(decision, retry.Again)
     return granted
--- a/beryllug/core/retry_window.py
+++ b/beryllug/core/retry_window.py
@@ -1,12 +1,12 @@
-"""How many arrivals beyond the first a process may cause at a service.
-
-The bound holds for the whole fleet over a sliding window: a ratio of its
-requests, and a slack. Processes tell one another how many of each they have
-sent, as sums that are about a second old, and each keeps to what the fleet has
-left. One that hears no sum keeps to the ratio of its own requests and to its
-part of the slack, so that the whole is kept without a message; but there one
-process of a large fleet, which sees a few requests, lacks what another has
-left over.
+"""How many repeated requests a process may send to a service.
+
+A repeat is any send of a request to a service after the first one. The bound
+holds for the whole fleet over a sliding window: a ratio of the requests plus a
+slack. Processes exchange the numbers of both that they have sent, as sums that
+are about a second old, and each process uses what the fleet has left. A process
+without a sum keeps to the ratio of its own requests and to its part of the
+slack, which keeps the bound without messages. In a large fleet, however, a
+process that sees few requests then cannot use what others have left over.
 """
 
 from collections import deque
@@ -18,34 +18,34 @@
 
 
 class Use(Enum):
-    """What a repeat is for."""
+    """Why a request is repeated."""
 
     FAILED = auto()
     LARGER = auto()
 
 
-# Part of the bound that is used where a process hears no sums. Each process's
-# window slides as the bound's does; the rest is for clocks that run apart.
-# Larger models leave a part for requests that failed, which would be lost.
-PARTS_ALONE: Mapping[Use, float] = MappingProxyType(
+# Fraction of the bound that a process without sums uses. The window of each
+# process slides as that of the bound does; the rest allows for clock drift.
+# Escalations to a larger model leave a part for failed requests, which would
+# otherwise get no answer.
+FRACTIONS_WITHOUT_SUMS: Mapping[Use, float] = MappingProxyType(
     {Use.FAILED: 0.9, Use.LARGER: 0.72}
 )
-# The same where it does, beside what others may have sent since.
-PARTS_TOLD: Mapping[Use, float] = MappingProxyType(
+# The same with sums, besides what others may have sent since.
+FRACTIONS_WITH_SUMS: Mapping[Use, float] = MappingProxyType(
     {Use.FAILED: 0.95, Use.LARGER: 0.85}
 )
-# Repeats that one request may cause: routes permit three servers.
-MOST_A_REQUEST = 2
-# Seconds since others sent what was last told of them, at the most but for lost
-# messages.
-TOLD_AGO_S = 1.0
-# Part of the slack that each process gets is cut once more while the count of
-# processes may have grown unseen.
-LEAST_PROCESSES = 8
+# Maximum repeats of one request: routes permit three servers.
+MAX_REPEATS_PER_REQUEST = 2
+# Maximum age of the last sums of the others, unless messages were lost.
+MAX_SUM_AGE_S = 1.0
+# Lower bound of the number of processes among which the slack is divided, since
+# the number may have grown without this process knowing it.
+MIN_PROCESSES = 8
 
 
 class Bound(NamedTuple):
-    """Arrivals beyond the first: `ratio` of the requests, and `slack`."""
+    """Maximum repeats in a window: `ratio` of the requests plus `slack`."""
 
     ratio: float
     slack: float
@@ -53,7 +53,7 @@
 
 
 class Sent(NamedTuple):
-    """Requests and repeats within a window."""
+    """Numbers of requests and of repeats within a window."""
 
     asked: int
     repeated: int
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class Window:
-    """Times of a service's requests and of repeats within the window."""
+    """Times of a service's requests and repeats within the window."""
 
     requests: deque[float] = field(default_factory=deque)
     repeats: deque[float] = field(default_factory=deque)
@@ -73,8 +73,8 @@
 
 
 def sent(window: Window, bound: Bound, now: float) -> Sent:
-    """Return what this process sent within the window."""
-    _forget(window, now - bound.window_s)
+    """Return how much this process sent within the window."""
+    _drop_until(window, now - bound.window_s)
     return Sent(len(window.requests), len(window.repeats))
 
 
@@ -85,35 +85,41 @@
     others: Sent | None,
     use: Use,
 ) -> bool:
-    """Tell whether one more arrival is within the bound.
+    """Return whether one more repeat is within the bound.
 
     Args:
         own: What this process sent within the window.
         bound: The fleet's bound.
-        processes: Processes that share it.
-        others: What all others have sent, as told; None where nothing is.
-        use: What the arrival is for.
+        processes: Number of processes that share it.
+        others: What all others have sent by their last sums; None without.
+        use: The reason for the repeat.
     """
     if others is None:
-        slack = bound.slack / max(processes, LEAST_PROCESSES)
-        allowed = PARTS_ALONE[use] * (bound.ratio * own.asked + slack)
+        slack = bound.slack / max(processes, MIN_PROCESSES)
+        allowed = FRACTIONS_WITHOUT_SUMS[use] * (
+            bound.ratio * own.asked + slack
+        )
         return own.repeated + 1 <= allowed
-    # What others may have sent since they told it, should all of their requests
-    # fail: each process sees the room that is left, and the servers that fall
-    # under one's requests are those of all.
-    recent = others.asked * TOLD_AGO_S / bound.window_s
+    # What others may have sent since their sums, if all of their requests
+    # fail: each process sees the same remaining bound, and they all use the
+    # same servers, so their requests fail together.
+    recent_requests = others.asked * MAX_SUM_AGE_S / bound.window_s
     asked = own.asked + others.asked
-    repeated_now = own.repeated + others.repeated + MOST_A_REQUEST * recent
-    whole = bound.ratio * asked + bound.slack
-    return repeated_now + 1 <= PARTS_TOLD[use] * whole
+    repeated_estimate = (
+        own.repeated
+        + others.repeated
+        + MAX_REPEATS_PER_REQUEST * recent_requests
+    )
+    fleet_bound = bound.ratio * asked + bound.slack
+    return repeated_estimate + 1 <= FRACTIONS_WITH_SUMS[use] * fleet_bound
 
 
 def repeated(window: Window, now: float) -> None:
-    """Count an arrival beyond the first."""
+    """Count a repeat."""
     window.repeats.append(now)
 
 
-def _forget(window: Window, until: float) -> None:
+def _drop_until(window: Window, until: float) -> None:
     for times in (window.requests, window.repeats):
         while times and times[0] < until:
             times.popleft()
--- a/beryllug/core/server_load.py
+++ b/beryllug/core/server_load.py
@@ -1,9 +1,9 @@
-"""Load of a backend server from lagged reports and our own counts.
+"""Load of a backend server from delayed reports and own request counts.
 
-An engine reports its load some time after it measured it. What this process
-sent and got back since then is known to it exactly, so the report is corrected
-by that. Without the correction every dispatch inside one lag sees the same
-idle server and all of them go there.
+A report arrives some time after an engine measured its load. This process
+knows exactly which of its own requests were dispatched and ended since then
+and corrects the report accordingly. Without the correction every dispatch
+within one reporting delay would go to the same apparently idle server.
 """
 
 import math
@@ -11,8 +11,8 @@
 
 from beryllug.core import balance_data, view_data
 
-KEPT_S = 5.0
-STALE_S = 5.0
+CHANGES_KEPT_S = 5.0
+REPORT_VALID_S = 5.0
 SMOOTHING_S = 0.5
 DEVIATIONS = 2.0
 
@@ -20,26 +20,26 @@
 def track(
     state: balance_data.BalanceState, server_id: str
 ) -> balance_data.Track:
-    """Return the track of a server, a new one at its first use."""
-    found = state.tracks.get(server_id)
-    if found is None:
-        found = balance_data.Track()
-        state.tracks[server_id] = found
-    return found
+    """Return the observations of a server, created at the first use."""
+    stats = state.tracks.get(server_id)
+    if stats is None:
+        stats = balance_data.Track()
+        state.tracks[server_id] = stats
+    return stats
 
 
 def dispatched(
     state: balance_data.BalanceState, server_id: str, now: float
 ) -> None:
-    """Count a request that goes to a server."""
-    _change(track(state, server_id), 1, now)
+    """Count a request that is dispatched to a server."""
+    _record_change(track(state, server_id), 1, now)
 
 
 def finished(
     state: balance_data.BalanceState, server_id: str, now: float
 ) -> None:
-    """Count a request that ended on a server, however it ended."""
-    _change(track(state, server_id), -1, now)
+    """Count a request that ended on a server, with any outcome."""
+    _record_change(track(state, server_id), -1, now)
 
 
 def report(
@@ -47,96 +47,98 @@
     loads: Iterable[view_data.ServerLoad],
     clock_offset: float,
 ) -> None:
-    """Take reported loads.
+    """Apply reported loads.
 
     Args:
-        state: The tracks to change.
-        loads: The loads, in any order; older ones than known are passed over.
-        clock_offset: What to add to a report's wall-clock second to get a
-            second of this process's clock.
+        state: The state to update.
+        loads: The loads, in any order; older than known ones are ignored.
+        clock_offset: Added to the wall-clock time of a report to get the time
+            of this process's clock.
     """
     for load in loads:
-        seen = track(state, load.server_id)
+        stats = track(state, load.server_id)
         measured_at = load.reported_at + clock_offset
-        if seen.reported is None or measured_at > seen.reported_at:
-            seen.reported = load.running + load.queued
-            seen.reported_at = measured_at
-            seen.loaded = frozenset(load.loaded)
-            _forget(seen, measured_at)
+        if stats.reported is None or measured_at > stats.reported_at:
+            stats.reported = load.running + load.queued
+            stats.reported_at = measured_at
+            stats.loaded = frozenset(load.loaded)
+            _drop_changes_until(stats, measured_at)
 
 
-def load_of(seen: balance_data.Track, now: float, others: float = 0) -> float:
-    """Return the requests that a server is believed to have now.
+def load_of(stats: balance_data.Track, now: float, others: float = 0) -> float:
+    """Return the estimated number of requests on a server.
 
     Args:
-        seen: The server's track.
-        now: The present second.
-        others: Requests of other entries that are taken to have followed
-            each of ours since the last report.
+        stats: Observations of the server.
+        now: The current time in seconds.
+        others: Assumed requests of other entries for each request of this
+            process since the last report.
     """
-    if seen.reported is None or not is_reported(seen, now):
-        return seen.in_flight
-    corrected = seen.reported + seen.change * (1 + others)
-    return max(corrected, seen.in_flight)
+    if stats.reported is None or not is_reported(stats, now):
+        return stats.in_flight
+    corrected = stats.reported + stats.change * (1 + others)
+    return max(corrected, stats.in_flight)
 
 
 def pool_load(
     tracks: Iterable[balance_data.Track], entries: int, now: float
 ) -> float:
-    """Return the requests that a pool is believed to have now.
+    """Return the estimated number of requests on a pool.
 
-    A plain service reports no load. What the other entries have there is
-    taken to be what this one had on the mean of the last seconds, since the
-    balancer deals requests out evenly.
+    A plain service reports no load. Each other entry is assumed to have as
+    many requests there as this one had on average over the last seconds,
+    since the load balancer in front distributes requests evenly.
     """
     load = 0.0
-    mean = 0.0
-    ours = 0
-    for seen in tracks:
-        if is_reported(seen, now):
-            load += load_of(seen, now)
+    own_mean = 0.0
+    own_count = 0
+    for stats in tracks:
+        if is_reported(stats, now):
+            load += load_of(stats, now)
         else:
-            mean += smoothed(seen, now)
-            ours += seen.in_flight
-    # A sudden overload shows in our own count seconds before its mean.
-    surely = ours - DEVIATIONS * math.sqrt(ours)
-    return load + max(ours, entries * max(mean, surely))
+            own_mean += smoothed(stats, now)
+            own_count += stats.in_flight
+    # A sudden overload is visible in the count seconds before the mean.
+    lower_bound = own_count - DEVIATIONS * math.sqrt(own_count)
+    return load + max(own_count, entries * max(own_mean, lower_bound))
 
 
-def is_reported(seen: balance_data.Track, now: float) -> bool:
-    """Tell whether a server's last report still says something."""
-    return seen.reported is not None and now - seen.reported_at <= STALE_S
+def is_reported(stats: balance_data.Track, now: float) -> bool:
+    """Return whether the server has a report that is recent enough."""
+    return (
+        stats.reported is not None and now - stats.reported_at <= REPORT_VALID_S
+    )
 
 
-def smoothed(seen: balance_data.Track, now: float) -> float:
-    """Return our mean requests on a server over the last seconds."""
-    kept = math.exp(-max(now - seen.smoothed_at, 0) / SMOOTHING_S)
-    return kept * seen.smoothed + (1 - kept) * seen.in_flight
+def smoothed(stats: balance_data.Track, now: float) -> float:
+    """Return the mean of this process's requests on a server."""
+    decay = math.exp(-max(now - stats.smoothed_at, 0) / SMOOTHING_S)
+    return decay * stats.smoothed + (1 - decay) * stats.in_flight
 
 
 def keep_only(
     state: balance_data.BalanceState, servers: Iterable[view_data.BackendServer]
 ) -> None:
-    """Forget servers that are no longer listed and have none of ours."""
+    """Drop servers that are not listed and have no own requests."""
     listed = {server.server_id for server in servers}
-    gone = [
+    removed = [
         server_id
-        for server_id, seen in state.tracks.items()
-        if server_id not in listed and not seen.in_flight
+        for server_id, stats in state.tracks.items()
+        if server_id not in listed and not stats.in_flight
     ]
-    for server_id in gone:
+    for server_id in removed:
         state.tracks.pop(server_id)
 
 
-def _change(seen: balance_data.Track, sign: int, now: float) -> None:
-    seen.smoothed = smoothed(seen, now)
-    seen.smoothed_at = now
-    seen.in_flight += sign
-    seen.changes.append((now, sign))
-    seen.change += sign
-    _forget(seen, now - KEPT_S)
+def _record_change(stats: balance_data.Track, sign: int, now: float) -> None:
+    stats.smoothed = smoothed(stats, now)
+    stats.smoothed_at = now
+    stats.in_flight += sign
+    stats.changes.append((now, sign))
+    stats.change += sign
+    _drop_changes_until(stats, now - CHANGES_KEPT_S)
 
 
-def _forget(seen: balance_data.Track, until: float) -> None:
-    while seen.changes and seen.changes[0][0] <= until:
-        seen.change -= seen.changes.popleft()[1]
+def _drop_changes_until(stats: balance_data.Track, until: float) -> None:
+    while stats.changes and stats.changes[0][0] <= until:
+        stats.change -= stats.changes.popleft()[1]
--- a/beryllug/core/shares.py
+++ b/beryllug/core/shares.py
@@ -1,12 +1,13 @@
-"""What client accounts ask of a pool, and each one's fair share of it.
+"""Demand of client accounts on a pool, and their fair shares of it.
 
 Shares are max-min fair: what an account leaves unused raises the level of the
-others, in proportion to their weights. An account is judged by what it asks
-and not by what it was given: one that floods would else look modest as soon as
-it is held back, be let in again, and so on in turns.
+others, in proportion to their weights. An account is measured by its demand
+and not by what was admitted: a flooding account would otherwise look modest as
+soon as it is limited, be admitted again, and oscillate.
 
-Asked is expected slot time a second, smoothed over some seconds. One entry
-process sees only a part of an account's requests, so a small excess is noise.
+Demand is the expected slot time per second, smoothed over some seconds. One
+entry process sees only some of an account's requests, so a small excess is
+noise.
 """
 
 import math
@@ -14,28 +15,28 @@
 from dataclasses import dataclass, field
 
 SMOOTHING_S = 3.0
-LEVEL_EVERY_S = 0.5
-FORGOTTEN_S = 60.0
-LEAST_PART = 0.1
+LEVEL_INTERVAL_S = 0.5
+IDLE_EXPIRY_S = 60.0
+MIN_SHARE_FRACTION = 0.1
 
 
 @dataclass(slots=True)
-class Use:
+class AccountLoad:
     """One account's use of a pool.
 
     Attributes:
-        in_flight: Its requests now.
-        asked: Slots that its requests of the last seconds would fill.
-        at: When `asked` was last brought up to date.
-        credit: Part of a request that it may have while it is held back.
-        seen_at: When one of its requests last came or ended.
+        in_flight: Its current requests.
+        demand: Slots that its requests of the last seconds would fill.
+        at: When `demand` was last updated.
+        credit: Fraction of a request that it may send while it is limited.
+        active_at: When one of its requests last arrived or ended.
     """
 
     in_flight: int = 0
-    asked: float = 0.0
+    demand: float = 0.0
     at: float = 0.0
     credit: float = 0.0
-    seen_at: float = 0.0
+    active_at: float = 0.0
 
 
 @dataclass(slots=True)
@@ -43,16 +44,16 @@
     """Use of one pool through this process.
 
     Attributes:
-        accounts: Use of each account that was lately active.
-        total: Requests of all accounts now.
-        bulk: Requests of the bulk class now.
-        slot_s: Smoothed seconds for which an admitted request is expected
-            to take a slot.
-        level: Fair slots for each unit of weight.
+        accounts: Use of each recently active account.
+        total: Current requests of all accounts.
+        bulk: Current requests of bulk priority.
+        slot_s: Smoothed expected seconds for which an admitted request
+            occupies a slot.
+        level: Fair number of slots per unit of weight.
         level_at: When the level was computed.
     """
 
-    accounts: dict[str, Use] = field(default_factory=dict)
+    accounts: dict[str, AccountLoad] = field(default_factory=dict)
     total: int = 0
     bulk: int = 0
     slot_s: float = 0.0
@@ -60,25 +61,27 @@
     level_at: float = -math.inf
 
 
-def asks(use: PoolUse, account_id: str, slot_s: float, now: float) -> None:
-    """Count a request that an account makes, admitted or not."""
-    mine = use.accounts.setdefault(account_id, Use(at=now))
-    # However long it runs, one request fills one slot at a time.
-    mine.asked = asked(mine, now) + min(slot_s / SMOOTHING_S, 1)
-    mine.at = now
-    mine.seen_at = now
+def record_demand(
+    use: PoolUse, account_id: str, slot_s: float, now: float
+) -> None:
+    """Add a request to an account's demand, admitted or not."""
+    account = use.accounts.setdefault(account_id, AccountLoad(at=now))
+    # However long it runs, a request occupies one slot at a time.
+    account.demand = current_demand(account, now) + min(slot_s / SMOOTHING_S, 1)
+    account.at = now
+    account.active_at = now
 
 
-def asked(use: Use, now: float) -> float:
-    """Return the slots that an account's requests would fill."""
-    return use.asked * math.exp(-max(now - use.at, 0) / SMOOTHING_S)
+def current_demand(use: AccountLoad, now: float) -> float:
+    """Return the slots that an account's recent requests would fill."""
+    return use.demand * math.exp(-max(now - use.at, 0) / SMOOTHING_S)
 
 
-def change(use: PoolUse, account_id: str, sign: int, now: float) -> None:
-    """Count a request of an account in or out."""
-    mine = use.accounts.setdefault(account_id, Use(at=now))
-    mine.in_flight += sign
-    mine.seen_at = now
+def record_use(use: PoolUse, account_id: str, sign: int, now: float) -> None:
+    """Count a start (+1) or an end (-1) of an account's request."""
+    account = use.accounts.setdefault(account_id, AccountLoad(at=now))
+    account.in_flight += sign
+    account.active_at = now
     use.total += sign
 
 
@@ -89,63 +92,68 @@
     slots: float,
     now: float,
 ) -> float:
-    """Return what an account asks over its fair share.
+    """Return the ratio of an account's demand to its fair share.
 
     Args:
         use: Use of the pool.
         weights: Weight of each account.
         account_id: The account.
-        slots: This process's part of the slots that are shared out.
-        now: The present second.
+        slots: This process's part of the slots to share.
+        now: The current time in seconds.
     """
-    if now - use.level_at >= LEVEL_EVERY_S:
-        _forget(use, now)
+    if now - use.level_at >= LEVEL_INTERVAL_S:
+        _drop_idle(use, now)
         use.level = fair_level(use, weights, slots, now)
         use.level_at = now
     share = use.level * weights.get(account_id, 1)
-    return asked(use.accounts[account_id], now) / max(share, slots * LEAST_PART)
+    return current_demand(use.accounts[account_id], now) / max(
+        share, slots * MIN_SHARE_FRACTION
+    )
 
 
-def takes_turn(use: PoolUse, account_id: str, over: float) -> bool:
-    """Tell whether this request is one that its account's share allows.
+def spend_credit(use: PoolUse, account_id: str, excess_ratio: float) -> bool:
+    """Return whether this request is within its account's share.
 
-    Of an account that asks for twice its share every second request is.
+    Of an account whose demand is twice its share, every second request is.
     """
-    mine = use.accounts[account_id]
-    mine.credit += 1 / over
-    if mine.credit < 1:
+    account = use.accounts[account_id]
+    account.credit += 1 / excess_ratio
+    if account.credit < 1:
         return False
-    mine.credit -= 1
+    account.credit -= 1
     return True
 
 
 def fair_level(
     use: PoolUse, weights: Mapping[str, int], slots: float, now: float
 ) -> float:
-    """Return the slots for each unit of weight that fill the pool.
+    """Return the slots per unit of weight that fill the pool.
 
-    Accounts that want less than the level are given what they want; the rest
-    is shared by the others. Infinite when all get what they want.
+    Accounts whose demand is below the level get their demand; the others
+    share the rest. Infinite when every demand is met.
     """
-    wanted = sorted(
-        (asked(one, now) / weights.get(name, 1), weights.get(name, 1))
-        for name, one in use.accounts.items()
+    demands = sorted(
+        (
+            current_demand(account, now) / weights.get(name, 1),
+            weights.get(name, 1),
+        )
+        for name, account in use.accounts.items()
     )
-    left = slots
+    remaining = slots
     weight = sum(weights.get(name, 1) for name in use.accounts)
-    for level, mine in wanted:
-        if level * weight >= left:
-            return left / weight
-        left -= level * mine
-        weight -= mine
+    for level, own_weight in demands:
+        if level * weight >= remaining:
+            return remaining / weight
+        remaining -= level * own_weight
+        weight -= own_weight
     return math.inf
 
 
-def _forget(use: PoolUse, now: float) -> None:
+def _drop_idle(use: PoolUse, now: float) -> None:
     idle = [
         name
-        for name, one in use.accounts.items()
-        if not one.in_flight and now - one.seen_at > FORGOTTEN_S
+        for name, account in use.accounts.items()
+        if not account.in_flight and now - account.active_at > IDLE_EXPIRY_S
     ]
     for name in idle:
         use.accounts.pop(name)
