--- a/beryllug/core/config_data.py
+++ b/beryllug/core/config_data.py
@@ -1,8 +1,8 @@
-"""The records of an accepted configuration document.
+"""Records of an accepted configuration document.
 
-These are the shapes every decision works on. `parsing.document` builds them
-from JSON, `checks.validations` judges them, and nothing changes them later:
-a new revision is a new `Document`.
+All decisions work on these records. `parsing.document` builds them from JSON
+and `checks.validations` validates them. They are immutable: a new revision is
+a new `Document`.
 """
 
 from enum import StrEnum
@@ -12,28 +12,28 @@
 
 
 class VersionRef(NamedTuple):
-    """Name of one version of one model; `version` may be ``*``."""
+    """Reference to a version of a model; `version` may be ``*`` for all."""
 
     model: str
     version: str
 
 
 class PoolKind(StrEnum):
-    """What kind of backend servers a pool holds."""
+    """Kind of the backend servers of a pool."""
 
     ENGINE = 'engine'
     PLAIN = 'plain'
 
 
 class Pool(NamedTuple):
-    """A group of backend servers that are alike.
+    """A group of similar backend servers.
 
     Attributes:
-        name: The name that the host list gives for its servers.
+        name: The pool name that the host list has for its servers.
         kind: Model engines or plain services.
         concurrency: Requests that one server runs at once without queueing.
-        checks_fencing: Whether its servers refuse an order that carries an
-            old fencing token.
+        checks_fencing: Whether its servers refuse an order with an outdated
+            fencing token.
     """
 
     name: str
@@ -49,7 +49,7 @@
         ref: The model and the version name.
         pool: The pool whose servers run it.
         cost_micro: Price of a thousand tokens, in millionths of the currency.
-        withdrawn: A withdrawn version receives no new work.
+        withdrawn: Whether it is withdrawn and gets no new requests.
     """
 
     ref: VersionRef
@@ -59,20 +59,20 @@
 
 
 class Model(NamedTuple):
-    """A model: a name that callers ask for, and its versions."""
+    """A model: the name that callers use, and its versions."""
 
     name: str
     versions: tuple[Version, ...]
 
 
 class Cascade(NamedTuple):
-    """Cheaper to stronger models tried in order under one name.
+    """Models from cheap to strong, tried in order under one name.
 
     Attributes:
-        name: The name that callers ask for as a model.
+        name: The name that callers use as a model.
         stages: Model names, cheapest first.
-        quality_target: Least acceptable mean rating, from 0 to 1.
-        min_rating: A stage's answer is given out when rated at least so.
+        quality_target: Minimum acceptable mean rating, from 0 to 1.
+        min_rating: Minimum rating at which a stage's answer is returned.
     """
 
     name: str
@@ -87,10 +87,10 @@
     Attributes:
         account_id: Stable name of the account.
         key_hashes: Hex SHA-256 of each bearer key that is valid for it.
-        allowed: The versions its requests may run on.
-        cascades: Names of the cascades it may ask for.
-        services: Names of the plain services it may call.
-        weight: Its share of concurrency relative to the other accounts.
+        allowed: The versions on which its requests may run.
+        cascades: Names of the cascades that it may use.
+        services: Names of the plain services that it may call.
+        weight: Its share of concurrency relative to other accounts.
     """
 
     account_id: str
@@ -106,12 +106,13 @@
 
     Attributes:
         model: The model that is rolled out.
-        incumbent: Version that serves while the candidate is not proved.
+        incumbent: Version that serves until the candidate is accepted.
         candidate: Version that is being rolled out.
-        stages: Shares of new sessions in percent, rising, the last 100.
-        exposure_budget: Answers that may be given out and not yet judged.
+        stages: Percentages of new sessions, increasing, the last 100.
+        exposure_budget: Maximum answers that are returned but not yet
+            evaluated.
         max_error_rate: Error rate from which the candidate counts as bad.
-        min_rating: Mean rating under which the candidate counts as bad.
+        min_rating: Mean rating below which the candidate counts as bad.
     """
 
     model: str
@@ -124,11 +125,11 @@
 
 
 class Operation(NamedTuple):
-    """One kind of call of a plain service.
+    """A kind of call of a plain service.
 
     Attributes:
         method: HTTP method in upper case.
-        path: Prefix of the path under the service's own path.
+        path: Path prefix, relative to the path of the service.
         repeatable: False for a call that is not idempotent.
     """
 
@@ -138,7 +139,7 @@
 
 
 class Service(NamedTuple):
-    """A plain service beside the model engines."""
+    """A service that is not a model engine."""
 
     name: str
     pool: str
@@ -146,7 +147,7 @@
 
 
 class Targets(NamedTuple):
-    """Service targets of one class of request, in milliseconds."""
+    """Service targets of a request class, in milliseconds."""
 
     request_class: str
     first_token_ms: int
@@ -154,7 +155,7 @@
 
 
 class Document(NamedTuple):
-    """A whole configuration, as operators declare it."""
+    """A complete configuration, as declared by operators."""
 
     accounts: tuple[Account, ...] = ()
     models: tuple[Model, ...] = ()
--- a/beryllug/core/config_root.py
+++ b/beryllug/core/config_root.py
@@ -1,8 +1,8 @@
-"""The root object of the configuration, and how it advances.
+"""The root object of the configuration, and its updates.
 
-The root is small and is the only object that ever changes. Everything else
-is immutable and named by its own digest, so whoever holds a root holds one
-whole configuration and never a mixture of two.
+The root is small and the only object that changes. All others are immutable
+and content-addressed, so a root identifies one complete configuration and
+never a mixture of two.
 """
 
 import json
@@ -14,15 +14,17 @@
 HISTORY = 32
 
 
-class Past(NamedTuple):
-    """One accepted revision, for the history and for lost answers.
+class AcceptedRevision(NamedTuple):
+    """An accepted revision in the history.
+
+    It also tells a tool whose response was lost whether its apply succeeded.
 
     Attributes:
         revision: Its number.
         author: Who applied it.
         at: When, in seconds of the wall clock.
         apply_id: Id of the apply, chosen by the operator's tool.
-        manifest: Digest of the part that lists its parts.
+        manifest: Digest of the manifest that lists its parts.
     """
 
     revision: int
@@ -33,26 +35,26 @@
 
 
 class Root(NamedTuple):
-    """The configuration in force.
+    """The current configuration.
 
     Attributes:
-        revision: Rises by one with each accepted document.
+        revision: Incremented with each accepted document.
         parts: Digests of the parts of the document, in order.
-        history: The last revisions, the present one first.
+        history: The last revisions, the current one first.
     """
 
     revision: int = 0
     parts: tuple[str, ...] = ()
-    history: tuple[Past, ...] = ()
+    history: tuple[AcceptedRevision, ...] = ()
 
     @property
     def author(self) -> str:
-        """Return who applied the present revision."""
+        """Return who applied the current revision."""
         return self.history[0].author if self.history else ''
 
 
 class Stamp(NamedTuple):
-    """Who applies a document, when, and under which id."""
+    """Who applies a document, when, and with which id."""
 
     author: str
     at: float
@@ -64,36 +66,38 @@
 ) -> Root:
     """Return the root after an accepted apply."""
     revision = root.revision + 1
-    past = Past(revision, stamp.author, stamp.at, stamp.apply_id, manifest)
-    return Root(revision, parts, (past, *root.history)[:HISTORY])
+    accepted = AcceptedRevision(
+        revision, stamp.author, stamp.at, stamp.apply_id, manifest
+    )
+    return Root(revision, parts, (accepted, *root.history)[:HISTORY])
 
 
 def applied(root: Root, apply_id: str) -> int | None:
-    """Return the revision that an apply made, or None if it made none."""
-    for past in root.history:
-        if past.apply_id == apply_id:
-            return past.revision
+    """Return the revision that an apply created; None if unknown."""
+    for accepted in root.history:
+        if accepted.apply_id == apply_id:
+            return accepted.revision
     return None
 
 
 def reaches_back(root: Root, revision: int) -> bool:
-    """Tell whether the history has every revision after the given one."""
+    """Return whether the history has all revisions after the given one."""
     oldest = root.history[-1].revision if root.history else 1
     return oldest <= revision + 1
 
 
 def encode(root: Root) -> bytes:
-    """Return the object's bytes."""
+    """Return the root as JSON."""
     return json.dumps(plain.to_plain(root)).encode()
 
 
 def decode(raw: bytes) -> Root:
-    """Read the object's bytes.
+    """Read a root from JSON.
 
     Raises:
-        ValueError: They are no root.
+        ValueError: The bytes are not a configuration root.
     """
     try:
         return plain.from_plain(Root, json.loads(raw))
     except TypeError as exc:
-        raise ValueError(f'no configuration root: {exc}') from exc
+        raise ValueError(f'not a configuration root: {exc}') from exc
--- a/beryllug/core/config_state.py
+++ b/beryllug/core/config_state.py
@@ -1,8 +1,8 @@
-"""What a control process holds of the configuration, and what it takes.
+"""The configuration of a control process, and which updates it accepts.
 
-A process takes a higher revision and nothing else, from whomever it comes.
-That one rule keeps a stale replica of the platform, a peer that was away and
-an old message that arrives late from bringing a withdrawn version back.
+A process accepts only a higher revision, whatever the source. This rule
+prevents a stale replica of the platform, a peer that was disconnected or a
+delayed old message from restoring a withdrawn version.
 """
 
 from collections.abc import Mapping, Sequence
@@ -14,14 +14,14 @@
 
 
 class Held(NamedTuple):
-    """A whole configuration in force at one process.
+    """The complete configuration that one process uses.
 
     Attributes:
         revision: Its revision, 0 before the first.
         digests: Digests of its parts, in order.
         chunks: The bytes of these parts, by digest.
-        records: What these parts hold, by digest.
-        document: The document they make.
+        records: The parsed records of these parts, by digest.
+        document: The document that consists of these parts.
     """
 
     revision: int = 0
@@ -32,12 +32,12 @@
 
 
 class Splice(NamedTuple):
-    """How a list of digests follows from another.
+    """The change from one list of digests to another.
 
     Attributes:
-        head: How many stay at the start.
-        tail: How many stay at the end.
-        added: What stands between them.
+        head: Number of unchanged digests at the start.
+        tail: Number of unchanged digests at the end.
+        added: The new digests between them.
     """
 
     head: int
@@ -46,7 +46,7 @@
 
 
 class Contact(NamedTuple):
-    """When this process last heard from others, in monotonic seconds."""
+    """Times of the last contact with others, in monotonic seconds."""
 
     platform_at: float = NEVER
     peer_at: float = NEVER
@@ -57,16 +57,16 @@
     chunks: Mapping[str, bytes],
     before: Held,
 ) -> Held:
-    """Put a configuration together.
+    """Build a configuration from its parts.
 
     Args:
         revision: Its revision.
         chunks: The bytes of its parts by digest, in order.
-        before: What was held before; parts that it shares with the new
-            configuration are not parsed again.
+        before: The previous configuration; parts that it shares with the new
+            one are not parsed again.
 
     Raises:
-        ValueError: The bytes are no document.
+        ValueError: The bytes are not a document.
     """
     records = {
         digest: before.records.get(digest) or document_parts.parse(chunk)
@@ -77,42 +77,42 @@
 
 
 def newer(held: Held, offered: Held) -> Held:
-    """Return which of two configurations is to be in force."""
+    """Return the configuration to use: the offered one only if newer."""
     return offered if offered.revision > held.revision else held
 
 
 def may_accept(contact: Contact, now: float, cut_off_s: float) -> bool:
-    """Tell whether new work may be taken.
+    """Return whether new work may be accepted.
 
-    A process that reaches neither the platform nor any peer can't learn of
-    a withdrawal. It goes on for a bounded time, so the withdrawn version is
-    exposed no longer than that. An outage of the platform alone changes
-    nothing: while a peer answers, the two share what either of them knows.
+    A process that reaches neither the platform nor any peer cannot learn of a
+    withdrawal. It continues for a bounded time, which limits how long a
+    withdrawn version is exposed. An outage of the platform alone has no
+    effect: while a peer responds, the two exchange what each of them knows.
 
     Args:
-        contact: Whom this process heard from last.
+        contact: Times of the last contact.
         now: Seconds of the monotonic clock.
-        cut_off_s: How long it may go on without hearing from anyone.
+        cut_off_s: How long the process may continue without any contact.
     """
     return now - max(contact) <= cut_off_s
 
 
 def splice(old: Sequence[str], new: Sequence[str]) -> Splice:
-    """Return how one list of digests follows from another."""
+    """Return the change from one list of digests to another."""
     shorter = min(len(old), len(new))
     head = 0
     while head < shorter and old[head] == new[head]:
         head += 1
     tail = 0
-    most = shorter - head
+    max_tail = shorter - head
     for before, after in zip(reversed(old), reversed(new)):
-        if before != after or tail == most:
+        if before != after or tail == max_tail:
             break
         tail += 1
     return Splice(head, tail, tuple(new[head : len(new) - tail]))
 
 
 def spliced(old: Sequence[str], change: Splice) -> tuple[str, ...]:
-    """Return the list that follows from another by a splice."""
+    """Apply a change to a list of digests."""
     end = len(old) - change.tail
     return (*old[: change.head], *change.added, *old[end:])
--- a/beryllug/core/config_state_test.py
+++ b/beryllug/core/config_state_test.py
@@ -1,4 +1,4 @@
-"""Tests of what a control process takes, and of the session keys."""
+"""Tests of configuration updates and of the session keys."""
 
 import itertools
 import unittest
@@ -10,7 +10,7 @@
     pools=(config_data.Pool('p', config_data.PoolKind.ENGINE, 4),)
 )
 
-# Platform heard at, peer heard at, now, whether new work may be taken.
+# Last contact with the platform, with a peer, now, whether work is accepted.
 ACCEPTS: tuple[tuple[float, float, float, bool], ...] = (
     (NEVER, NEVER, 0, False),
     (0, NEVER, 10, True),
@@ -20,7 +20,7 @@
     (500, 500, 511, False),
 )
 
-# Title, age of each key in seconds, ids of the keys that are in use.
+# Title, age of each key in seconds, ids of the valid keys, signing key first.
 KEYS: tuple[tuple[str, tuple[float, ...], tuple[str, ...]], ...] = (
     ('none', (), ()),
     ('first, just made', (0,), ('0',)),
@@ -31,19 +31,19 @@
 
 
 class StateTest(unittest.TestCase):
-    """Revisions, contact and lists of parts."""
+    """Revisions, contact with others and lists of parts."""
 
     def test_newer(self) -> None:
-        """Only a higher revision is taken, whatever else differs."""
+        """Only a higher revision is accepted, whatever else differs."""
         held = config_state.Held(5)
-        for revision, taken in ((4, False), (5, False), (6, True)):
+        for revision, is_accepted in ((4, False), (5, False), (6, True)):
             with self.subTest(revision):
                 offered = config_state.Held(revision, ('x',))
                 found = config_state.newer(held, offered)
-                self.assertEqual(found is offered, taken)
+                self.assertEqual(found is offered, is_accepted)
 
     def test_may_accept(self) -> None:
-        """Hearing from either side is enough, within the bound."""
+        """Contact with the platform or a peer within the bound suffices."""
         for platform_at, peer_at, now, expected in ACCEPTS:
             with self.subTest(platform=platform_at, peer=peer_at, now=now):
                 contact = config_state.Contact(platform_at, peer_at)
@@ -51,7 +51,7 @@
                 self.assertEqual(accepts, expected)
 
     def test_splice(self) -> None:
-        """A splice leads from any list to any other."""
+        """A splice transforms any list into any other."""
         lists = [
             digits
             for length in range(4)
@@ -64,7 +64,7 @@
         self.assertEqual(one, config_state.Splice(2, 2, ('x',)))
 
     def test_hold(self) -> None:
-        """A document comes back from its parts, and only from parts."""
+        """A document is rebuilt from its parts; other bytes are rejected."""
         parts = document_parts.split(DOCUMENT)
         chunks = {part.digest: part.content for part in parts}
         held = config_state.hold(3, chunks, config_state.Held())
@@ -77,16 +77,16 @@
 
 
 class TokenKeysTest(unittest.TestCase):
-    """Keys of session tokens and their rotation."""
+    """Rotation of the keys of session tokens."""
 
     def test_in_use(self) -> None:
-        """A new key verifies at once, and signs when all know it."""
+        """A new key verifies at once and signs once it is distributed."""
         for title, ages, expected in KEYS:
             with self.subTest(title):
                 listed = token_keys.KeyList(
                     tuple(
-                        token_keys.Key(f'{place:08}ff', 1000 - age)
-                        for place, age in enumerate(ages)
+                        token_keys.Key(f'{index:08}ff', 1000 - age)
+                        for index, age in enumerate(ages)
                     )
                 )
                 found = token_keys.in_use(listed, 1000)
@@ -94,16 +94,18 @@
                 self.assertEqual(ids, expected)
 
     def test_rotation(self) -> None:
-        """A key is renewed in time, and the one before stays valid."""
+        """A new key is added when due; the previous one stays valid."""
         listed = token_keys.KeyList()
         self.assertTrue(token_keys.is_due(listed, 0))
-        for turn in range(3):
-            now = turn * token_keys.SIGNS_S
+        for rotation in range(3):
+            now = rotation * token_keys.SIGNS_S
             self.assertTrue(token_keys.is_due(listed, now))
-            listed = token_keys.renewed(listed, f'{turn:064}', now)
+            listed = token_keys.renewed(listed, f'{rotation:064}', now)
             self.assertFalse(token_keys.is_due(listed, now + 1))
-        made = [key.made_at for key in listed.keys]
-        self.assertEqual(made, [token_keys.SIGNS_S, 2 * token_keys.SIGNS_S])
+        creation_times = [key.made_at for key in listed.keys]
+        self.assertEqual(
+            creation_times, [token_keys.SIGNS_S, 2 * token_keys.SIGNS_S]
+        )
 
 
 if __name__ == '__main__':
--- a/beryllug/core/diff.py
+++ b/beryllug/core/diff.py
@@ -1,7 +1,7 @@
 """Differences between two configuration documents.
 
-Declared things are matched by their names and not by their places, so a new
-account at the top of the list is one change and not a change of every one.
+Records are matched by name and not by position, so a new account at the top of
+the list is one change and not a change of every account.
 """
 
 from collections.abc import Iterator
@@ -27,7 +27,7 @@
 
 
 class Kind(StrEnum):
-    """What happened to a path."""
+    """Kind of a difference."""
 
     ADDED = 'added'
     REMOVED = 'removed'
@@ -39,10 +39,10 @@
     """One difference.
 
     Attributes:
-        kind: What happened.
-        path: Where, as ``accounts[kutch].weight``.
-        old: What stood there, as plain data; None when added.
-        new: What stands there now; None when removed.
+        kind: Kind of the difference.
+        path: Where it is, such as ``accounts[kutch].weight``.
+        old: The old value as plain data; None if it was added.
+        new: The new value; None if it was removed.
     """
 
     kind: Kind
@@ -54,16 +54,16 @@
 def compare(
     old: config_data.Document, new: config_data.Document
 ) -> tuple[Difference, ...]:
-    """Return the differences that lead from one document to another."""
+    """Return the differences between an old and a new document."""
     if old == new:
         return ()
     before = document_plain.render(old)
     after = document_plain.render(new)
-    return tuple(_fields('', before, after))
+    return tuple(_compare_fields('', before, after))
 
 
 def describe(difference: Difference) -> str:
-    """Render a difference as one line for a person."""
+    """Format a difference as one line."""
     path = difference.path
     match difference.kind:
         case Kind.ADDED:
@@ -76,36 +76,38 @@
             return f'~ {path}: {difference.old} -> {difference.new}'
 
 
-def _fields(
+def _compare_fields(
     path: str, old: dict[str, Any], new: dict[str, Any]
 ) -> Iterator[Difference]:
     for field, after in new.items():
-        inner = f'{path}.{field}' if path else field
+        inner_path = f'{path}.{field}' if path else field
         before = old.get(field)
         if before != after and field in KEY_FIELDS:
-            yield from _keyed(inner, field, before or [], after)
+            yield from _compare_records(inner_path, field, before or [], after)
         elif before != after:
-            yield Difference(Kind.CHANGED, inner, before, after)
+            yield Difference(Kind.CHANGED, inner_path, before, after)
 
 
-def _keyed(
+def _compare_records(
     path: str, field: str, old: list[Any], new: list[Any]
 ) -> Iterator[Difference]:
-    before = {_key(field, part): part for part in old}
-    after = {_key(field, part): part for part in new}
-    for gone in sorted(before.keys() - after.keys()):
-        yield Difference(Kind.REMOVED, f'{path}[{gone}]', old=before[gone])
-    for key, part in after.items():
-        earlier = before.get(key)
-        inner = f'{path}[{key}]'
-        if earlier is None:
-            yield Difference(Kind.ADDED, inner, new=part)
+    before = {_record_key(field, record): record for record in old}
+    after = {_record_key(field, record): record for record in new}
+    for removed_key in sorted(before.keys() - after.keys()):
+        yield Difference(
+            Kind.REMOVED, f'{path}[{removed_key}]', old=before[removed_key]
+        )
+    for key, record in after.items():
+        old_record = before.get(key)
+        inner_path = f'{path}[{key}]'
+        if old_record is None:
+            yield Difference(Kind.ADDED, inner_path, new=record)
         else:
-            yield from _fields(inner, earlier, part)
-    kept = [name for name in before if name in after]
-    if kept != [name for name in after if name in before]:
+            yield from _compare_fields(inner_path, old_record, record)
+    common = [name for name in before if name in after]
+    if common != [name for name in after if name in before]:
         yield Difference(Kind.REORDERED, path)
 
 
-def _key(field: str, part: dict[str, Any]) -> str:
-    return ' '.join(str(part[name]) for name in KEY_FIELDS[field])
+def _record_key(field: str, record: dict[str, Any]) -> str:
+    return ' '.join(str(record[name]) for name in KEY_FIELDS[field])
--- a/beryllug/core/diff_test.py
+++ b/beryllug/core/diff_test.py
@@ -65,7 +65,7 @@
     """Differences by name."""
 
     def test_lines(self) -> None:
-        """Each change is one line, wherever things stand in their lists."""
+        """Each change is one line, wherever the records are in their lists."""
         for title, new, lines in CASES:
             with self.subTest(title):
                 found = diff.compare(BASE, new)
--- a/beryllug/core/document_parts.py
+++ b/beryllug/core/document_parts.py
@@ -1,8 +1,9 @@
-"""A document as content-addressed parts, and back.
+"""Splits a document into content-addressed parts and joins them again.
 
-A part holds some records of one section. Where it ends is decided by the
-record itself and not by its place, so a record that is added or changed
-changes one part, and every other part keeps its digest and isn't sent again.
+A part holds some records of one section. Boundaries depend on the content of
+the records and not on their position (content-defined chunking), so an added
+or changed record usually changes one part; the others keep their digests and
+are not sent again.
 """
 
 import hashlib
@@ -13,38 +14,38 @@
 from beryllug.core import config_data, document_plain, plain
 
 PREFIX = 'beryllug/parts/'
-SMALL = 4096
-LARGE = 262144
-CUT_ONE_IN = 8
+MIN_CHUNK_BYTES = 4096
+MAX_CHUNK_BYTES = 262144
+BOUNDARY_ONE_IN = 8
 DIGEST_BYTES = 32
 
 
 class Part(NamedTuple):
-    """Bytes under the hex digest of themselves."""
+    """Some bytes and their hex digest."""
 
     digest: str
     content: bytes
 
 
 class Records(NamedTuple):
-    """The records of one part, and the section in which they stand."""
+    """The records of a part, and the section to which they belong."""
 
     section: str
     records: tuple[Any, ...]
 
 
 def key_of(digest: str) -> str:
-    """Return the key of a part in the platform."""
+    """Return the key under which the platform stores a part."""
     return f'{PREFIX}{digest}'
 
 
 def make(content: bytes) -> Part:
-    """Name some bytes by their digest."""
+    """Return some bytes as a part."""
     return Part(hashlib.sha256(content).hexdigest(), content)
 
 
 def is_whole(part: Part) -> bool:
-    """Tell whether the bytes are those that the digest names."""
+    """Return whether the digest of a part matches its bytes."""
     return make(part.content).digest == part.digest
 
 
@@ -52,7 +53,7 @@
     """Split a document into parts, in order."""
     rendered = document_plain.render(document)
     return tuple(
-        make(_frame(section, chunk))
+        make(_join_records(section, chunk))
         for section, records in rendered.items()
         for chunk in _chunks(map(_encode, records))
     )
@@ -62,23 +63,23 @@
     """Build the records of one part.
 
     Raises:
-        ValueError: The bytes are no part of a document.
+        ValueError: The bytes are not a part of a document.
     """
     try:
-        frame = json.loads(content)
-        section = min(frame)
-        records = document_plain.build_records(section, frame[section])
+        decoded = json.loads(content)
+        section = min(decoded)
+        records = document_plain.build_records(section, decoded[section])
     except (TypeError, LookupError) as exc:
-        raise ValueError(f'no part of a document: {exc}') from exc
+        raise ValueError(f'not a part of a document: {exc}') from exc
     return Records(section, records)
 
 
 def is_understood(content: bytes) -> bool:
-    """Tell whether this release knows all fields of a part.
+    """Return whether this release knows all fields of a part.
 
-    A newer release may have written fields that this one passes over. It
-    can still serve by such a document, but what it would write of it lacks
-    those fields, so it must not make a new document out of it.
+    A newer release may have written fields that this one ignores. It can
+    serve with such a document, but must not derive a new document from it:
+    the unknown fields would be lost.
     """
     part = parse(content)
     sections = {part.section: part.records}
@@ -87,7 +88,7 @@
 
 
 def join(parts: Iterable[Records]) -> config_data.Document:
-    """Build the document of parsed parts, in their order."""
+    """Join parsed parts, in their order, into a document."""
     sections: dict[str, list[Any]] = {}
     for part in parts:
         sections.setdefault(part.section, []).extend(part.records)
@@ -97,7 +98,7 @@
 
 
 def join_plain(chunks: Iterable[bytes]) -> dict[str, Any]:
-    """Return the document as it was written, with fields unknown here."""
+    """Return the document as it was written, with unknown fields."""
     sections: dict[str, Any] = {}
     for chunk in chunks:
         for section, records in json.loads(chunk).items():
@@ -106,7 +107,7 @@
 
 
 def manifest(digests: Sequence[str]) -> Part:
-    """Make the part that lists the parts of a document."""
+    """Return the part that lists the parts of a document."""
     return make(json.dumps(list(digests)).encode())
 
 
@@ -119,20 +120,20 @@
     return json.dumps(record, sort_keys=True, separators=(',', ':')).encode()
 
 
-def _frame(section: str, chunk: list[bytes]) -> bytes:
+def _join_records(section: str, chunk: list[bytes]) -> bytes:
     records = b','.join(chunk)
     return b'{"%s":[%s]}' % (section.encode(), records)
 
 
 def _chunks(records: Iterable[bytes]) -> Iterator[list[bytes]]:
-    """Cut after a record whose own digest says so, within bounds of size."""
+    """Split after records chosen by their digest, within size bounds."""
     chunk: list[bytes] = []
     size = 0
     for record in records:
         chunk.append(record)
         size += len(record)
-        marked = hashlib.sha256(record).digest()[0] % CUT_ONE_IN == 0
-        if size >= LARGE or (marked and size >= SMALL):
+        is_boundary = hashlib.sha256(record).digest()[0] % BOUNDARY_ONE_IN == 0
+        if size >= MAX_CHUNK_BYTES or (is_boundary and size >= MIN_CHUNK_BYTES):
             yield chunk
             chunk = []
             size = 0
--- a/beryllug/core/document_plain.py
+++ b/beryllug/core/document_plain.py
@@ -1,7 +1,7 @@
 """A configuration document as plain data, in the form operators write.
 
-It mirrors `config_data.Document` but for one thing: a version stands inside
-its model and so names the version only.
+It has the structure of `config_data.Document` with one exception: a version is
+listed inside its model and so has no model name of its own.
 """
 
 from collections.abc import Mapping, Sequence
@@ -39,8 +39,8 @@
     """Build the records of a document that is known to be well formed.
 
     Raises:
-        TypeError: The shape is another.
-        ValueError: A word isn't one of an enumeration.
+        TypeError: The structure differs.
+        ValueError: A value is not in its enumeration.
         KeyError: A name is missing, or a section is unknown.
     """
     sections = {
@@ -51,14 +51,14 @@
 
 
 def build_records(section: str, records: Sequence[Any]) -> tuple[Any, ...]:
-    """Build records of one section; raises as `build` does."""
+    """Build the records of one section; raises like `build`."""
     kind = RECORDS[section]
     if kind is config_data.Model:
-        records = [_with_refs(model) for model in records]
+        records = [_expand_version_refs(model) for model in records]
     return tuple(plain.from_plain(kind, record) for record in records)
 
 
-def _with_refs(model: dict[str, Any]) -> dict[str, Any]:
+def _expand_version_refs(model: dict[str, Any]) -> dict[str, Any]:
     name = model['name']
     versions = [
         {**version, 'ref': {'model': name, VERSION: version[VERSION]}}
--- a/beryllug/core/draft.py
+++ b/beryllug/core/draft.py
@@ -1,8 +1,8 @@
-"""A draft: changes of single records over an accepted document.
+"""A draft: changes of single records of an accepted document.
 
-The console keeps no state. Each of its pages carries the revision that the
-operator started from and the records that were changed since, and this is
-enough to make the whole next document.
+The console is stateless. Each of its pages contains the revision from which
+the operator started and the records changed since, which is enough to build
+the complete next document.
 """
 
 from typing import Any, NamedTuple
@@ -17,9 +17,9 @@
     """One changed record.
 
     Attributes:
-        section: Its section, as ``accounts``.
-        key: Name of the record as it was, empty for a new one.
-        record: The record as it is to be; None removes it.
+        section: Its section, such as ``accounts``.
+        key: Name of the record before the change; empty for a new one.
+        record: The record after the change; None removes it.
     """
 
     section: str
@@ -33,39 +33,41 @@
 
 
 def place_of(rendered: Rendered, section: str, key: str) -> int | None:
-    """Return where a record stands in its section, or None."""
-    for place, record in enumerate(rendered.get(section, ())):
+    """Return the index of a record in its section, or None."""
+    for index, record in enumerate(rendered.get(section, ())):
         if key_of(section, record) == key:
-            return place
+            return index
     return None
 
 
 def apply(rendered: Rendered, changes: tuple[Change, ...]) -> Rendered:
-    """Return the document after the changes, in their order."""
+    """Return the document with the changes applied in order."""
     edited = {section: list(rendered[section]) for section in rendered}
     for change in changes:
         records = edited[change.section]
-        place = place_of(edited, change.section, change.key)
+        index = place_of(edited, change.section, change.key)
         if change.record is None:
-            if place is not None:
-                records.pop(place)
-        elif place is None or not change.key:
+            if index is not None:
+                records.pop(index)
+        elif index is None or not change.key:
             records.append(change.record)
         else:
-            records[place] = change.record
+            records[index] = change.record
     return edited
 
 
 def merge(changes: tuple[Change, ...], change: Change) -> tuple[Change, ...]:
-    """Add a change; one of the same record before it is left out.
+    """Add a change in place of an earlier change with the same key.
 
-    A record that was renamed meanwhile goes by its new name, so the chain of
-    its changes is kept in that case.
+    After a rename a record has a new key, so its earlier changes are kept.
     """
     kept = []
     for earlier in changes:
-        same = (earlier.section, earlier.key) == (change.section, change.key)
-        if not (same and change.key):
+        is_same_key = (earlier.section, earlier.key) == (
+            change.section,
+            change.key,
+        )
+        if not (is_same_key and change.key):
             kept.append(earlier)
     return (*kept, change)
 
@@ -73,7 +75,7 @@
 def clashes(
     old: Rendered, new: Rendered, changes: tuple[Change, ...]
 ) -> tuple[Change, ...]:
-    """Return the changes of records that differ between two documents."""
+    """Return the changes whose records differ between two documents."""
     return tuple(
         change
         for change in changes
@@ -82,7 +84,7 @@
 
 
 def _record(rendered: Rendered, change: Change) -> Any:
-    """Return the record that a change is about, or None."""
+    """Return the record to which a change applies, or None."""
     name = change.key or key_of(change.section, change.record or {})
-    place = place_of(rendered, change.section, name)
-    return None if place is None else rendered[change.section][place]
+    index = place_of(rendered, change.section, name)
+    return None if index is None else rendered[change.section][index]
--- a/beryllug/core/edits.py
+++ b/beryllug/core/edits.py
@@ -1,7 +1,7 @@
-"""Common changes of a document, as operators ask for them by name.
+"""Common changes of a document that operators can request by name.
 
-An edit only makes the next document. It is judged and applied like any other,
-so an edit that makes no sense is refused with the same findings.
+An edit only creates the next document, which is validated and applied like any
+other, so an invalid edit is refused with the same findings.
 """
 
 from dataclasses import dataclass
@@ -14,21 +14,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Withdraw a version, and end a roll-out that it is part of."""
+    """Withdraw a version and end any roll-out of which it is part."""
 
     ref: Ref
 
 
 @dataclass(frozen=True, slots=True)
 class Restore:
-    """Let a withdrawn version serve again."""
+    """Restore a withdrawn version to service."""
 
     ref: Ref
 
 
 @dataclass(frozen=True, slots=True)
 class StartRollout:
-    """Roll out a version; in place of an earlier roll-out of its model."""
+    """Roll out a version; replaces an earlier roll-out of its model."""
 
     rollout: config_data.Rollout
 
@@ -54,26 +54,26 @@
     """Return the document after an edit.
 
     Raises:
-        LookupError: It names what the document does not have.
+        LookupError: It names something that is not in the document.
     """
     match edit:
         case Withdraw(ref):
-            edited = _without_rollouts(_mark(document, ref, True), ref)
+            edited = _without_rollouts(_set_withdrawn(document, ref, True), ref)
         case Restore(ref):
-            edited = _mark(document, ref, withdrawn=False)
+            edited = _set_withdrawn(document, ref, withdrawn=False)
         case StartRollout(rollout):
             others = _other_rollouts(document, rollout.model)
             edited = document._replace(rollouts=(*others, rollout))
         case PromoteRollout(model):
-            edited = _promote(document, _rollout(document, model))
+            edited = _promote(document, _rollout_of(document, model))
         case StopRollout(model):
-            found = _rollout(document, model)
+            found = _rollout_of(document, model)
             ref = config_data.VersionRef(model, found.candidate)
-            edited = _without_rollouts(_mark(document, ref, True), ref)
+            edited = _without_rollouts(_set_withdrawn(document, ref, True), ref)
     return edited
 
 
-def _mark(document: Document, ref: Ref, withdrawn: bool) -> Document:
+def _set_withdrawn(document: Document, ref: Ref, withdrawn: bool) -> Document:
     """Mark a version as withdrawn or not."""
     known = {
         version.ref for model in document.models for version in model.versions
@@ -95,7 +95,7 @@
 
 
 def _without_rollouts(document: Document, ref: Ref) -> Document:
-    """Take out the roll-out that a version is part of."""
+    """Remove the roll-out of which a version is part."""
     kept = tuple(
         rollout
         for rollout in document.rollouts
@@ -113,7 +113,7 @@
     )
 
 
-def _rollout(document: Document, model: str) -> config_data.Rollout:
+def _rollout_of(document: Document, model: str) -> config_data.Rollout:
     for rollout in document.rollouts:
         if rollout.model == model:
             return rollout
@@ -121,10 +121,10 @@
 
 
 def _promote(document: Document, rollout: config_data.Rollout) -> Document:
-    """Put the candidate before the incumbent wherever both are preferred.
+    """Move the candidate before the incumbent in every list with both.
 
     Without a roll-out the first version of a list serves new sessions; with
-    the old order the incumbent would get them all back.
+    the old order they would all go back to the incumbent.
     """
     new = config_data.VersionRef(rollout.model, rollout.candidate)
     old = config_data.VersionRef(rollout.model, rollout.incumbent)
@@ -142,25 +142,27 @@
 def _reorder(model: config_data.Model, new: Ref, old: Ref) -> config_data.Model:
     """Declare the new version before the old one."""
     by_ref = {version.ref: version for version in model.versions}
-    order = _ahead(list(by_ref), new, old)
+    order = _move_ahead(list(by_ref), new, old)
     return model._replace(versions=tuple(by_ref[ref] for ref in order))
 
 
 def _prefer(allowed: tuple[Ref, ...], new: Ref, old: Ref) -> tuple[Ref, ...]:
-    """Prefer the new version in a list that covers both."""
+    """Put the new version first in a list that allows both versions."""
     every = config_data.VersionRef(new.model, config_data.ANY_VERSION)
     if new in allowed or every not in allowed:
-        return tuple(_ahead(list(allowed), new, old))
+        return tuple(_move_ahead(list(allowed), new, old))
     return (
-        tuple(_ahead([*allowed, new], new, old)) if old in allowed else allowed
+        tuple(_move_ahead([*allowed, new], new, old))
+        if old in allowed
+        else allowed
     )
 
 
-def _ahead(refs: list[Ref], new: Ref, old: Ref) -> list[Ref]:
-    """Move the new version right before the old one if it comes after it."""
+def _move_ahead(refs: list[Ref], new: Ref, old: Ref) -> list[Ref]:
+    """Move the new version directly before the old one if it is behind."""
     if new in refs and old in refs:
-        place = refs.index(old)
-        if place < refs.index(new):
+        position = refs.index(old)
+        if position < refs.index(new):
             refs.remove(new)
-            refs.insert(place, new)
+            refs.insert(position, new)
     return refs
--- a/beryllug/core/finding.py
+++ b/beryllug/core/finding.py
@@ -1,7 +1,7 @@
-"""Findings: errors that carry the place they come from.
+"""Findings: errors with their location.
 
-Parsers and validations never stop at the first mistake. They return a list
-of findings, so that an operator mends a document or a settings file once.
+Parsers and validations never stop at the first mistake. They return a list of
+findings, so that an operator can correct a document or a settings file at once.
 """
 
 from typing import NamedTuple
@@ -11,10 +11,10 @@
     """One mistake in an input.
 
     Attributes:
-        source: The file or document in which it stands.
-        path: Where in the source, as ``accounts[2].allowed[0]`` or
+        source: The file or document in which it is.
+        path: Location in the source, such as ``accounts[2].allowed[0]`` or
             ``section.key``.
-        reason: What is wrong and what would be right.
+        reason: What is wrong and what would be correct.
     """
 
     source: str
@@ -23,5 +23,5 @@
 
 
 def describe(finding: Finding) -> str:
-    """Render a finding as one line for a person."""
+    """Format a finding as one line."""
     return f'{finding.source}: {finding.path}: {finding.reason}'
--- a/beryllug/core/losses.py
+++ b/beryllug/core/losses.py
@@ -1,8 +1,8 @@
-"""Which requests were not served as they should be, from structured logs.
+"""Requests that were not served as required, from structured logs.
 
-Each request ends with one line. Its last attempt, if any, tells the backend
-server; what a caller would call a loss is told by the line itself: refused,
-failed, cut off, late, or answered by a model that was not sure.
+Each request ends with one log line. Its last attempt, if any, gives the backend
+server. The line itself gives the reason why the request counts as lost:
+refused, failed, cut off, late, or answered by a model that was unsure.
 """
 
 from collections import Counter
@@ -10,7 +10,7 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-FAILED = 400
+ERROR_STATUS = 400
 SERVED = 'served'
 LATE = 'late'
 NO_SERVER = '-'
@@ -20,11 +20,11 @@
     """How a request ended.
 
     Attributes:
-        at: Unix second.
-        process: The process that took it.
+        at: Unix time in seconds.
+        process: The process that received it.
         zone: Availability zone of that process.
-        route: Its route, or empty where it had none.
-        server: Instance that was tried last, or `NO_SERVER`.
+        route: Its route; empty if it had none.
+        server: Instance of the last attempt, or `NO_SERVER`.
         reason: Why it counts as lost, or `SERVED`.
     """
 
@@ -37,18 +37,18 @@
 
 
 class Line(NamedTuple):
-    """A log line that is about a request, or about its process.
+    """A log line about a request or its process.
 
     Attributes:
-        at: Unix second.
-        event: What happened.
+        at: Unix time in seconds.
+        event: Name of the event.
         process: The process that wrote it.
         request: Id of the request, or empty.
         route: Its route, or empty.
-        status: Status that the caller got, or 0.
-        reason: Why, where the line says so.
-        server: Instance, where the line names one.
-        zone: Availability zone, in a line that tells a start.
+        status: HTTP status that the caller got, or 0.
+        reason: Reason, if the line has one.
+        server: Instance, if the line names one.
+        zone: Availability zone, in the line of a process start.
         is_late: Whether its answer was late.
     """
 
@@ -65,14 +65,14 @@
 
 
 class Group(NamedTuple):
-    """Requests that have something in common."""
+    """Requests with equal values of the grouping fields."""
 
     key: tuple[str, ...]
     lost: int
     all: int
 
 
-# What requests can be grouped by.
+# Fields by which requests can be grouped.
 FIELDS: Mapping[str, Callable[[Ended], str]] = MappingProxyType(
     {
         'second': lambda ended: f'{ended.at:.0f}',
@@ -86,7 +86,7 @@
 
 
 def ended(lines: Iterable[Line]) -> list[Ended]:
-    """Return how each request ended, from the lines of any processes."""
+    """Return how each request ended, from the lines of all processes."""
     zones: dict[str, str] = {}
     servers: dict[str, str] = {}
     found = []
@@ -111,20 +111,20 @@
 
 
 def group(requests: Iterable[Ended], by: Iterable[str]) -> list[Group]:
-    """Return lost requests by some fields, most lost first.
+    """Group requests by some fields, most losses first.
 
     Args:
-        requests: How they ended.
+        requests: How the requests ended.
         by: Names of `FIELDS`.
     """
     readers = [FIELDS[name] for name in by]
     lost: Counter[tuple[str, ...]] = Counter()
-    everything: Counter[tuple[str, ...]] = Counter()
-    for each in requests:
-        key = tuple(read(each) for read in readers)
-        everything[key] += 1
-        lost[key] += each.reason != SERVED
-    groups = [Group(key, lost[key], everything[key]) for key in everything]
+    totals: Counter[tuple[str, ...]] = Counter()
+    for ended_request in requests:
+        key = tuple(read(ended_request) for read in readers)
+        totals[key] += 1
+        lost[key] += ended_request.reason != SERVED
+    groups = [Group(key, lost[key], totals[key]) for key in totals]
     return sorted(groups, key=lambda found: (-found.lost, found.key))
 
 
@@ -132,7 +132,7 @@
     if line.event != 'answered':
         reason = f'{line.event} {line.status or ""}'.strip()
         return f'{reason}: {line.reason}' if line.reason else reason
-    if line.status >= FAILED:
+    if line.status >= ERROR_STATUS:
         return f'failed {line.status}'
     if line.is_late:
         return LATE
--- a/beryllug/core/part_delta.py
+++ b/beryllug/core/part_delta.py
@@ -1,37 +1,43 @@
-"""A part as its difference from another part.
+"""A part encoded as its delta from another part.
 
-One changed record leaves the rest of its part as it was. Compressed with the
-old part as dictionary, the new one is little more than that record.
+If one record changes, the rest of its part stays the same. Compressed with the
+old part as dictionary, the new part is only slightly larger than that record.
 """
 
 import zlib
 
-LEVEL = 6
-RAW = -15
+COMPRESSION_LEVEL = 6
+RAW_DEFLATE_WBITS = -15
 DICTIONARY_BYTES = 32768
 MAX_BYTES = 1048576
 
 
 def compress(content: bytes, base: bytes) -> bytes:
-    """Return the difference that leads from a base to a part."""
-    packer = zlib.compressobj(LEVEL, wbits=RAW, zdict=base[-DICTIONARY_BYTES:])
-    return packer.compress(content) + packer.flush()
+    """Return the delta from a base to a part."""
+    compressor = zlib.compressobj(
+        COMPRESSION_LEVEL,
+        wbits=RAW_DEFLATE_WBITS,
+        zdict=base[-DICTIONARY_BYTES:],
+    )
+    return compressor.compress(content) + compressor.flush()
 
 
 def expand(delta: bytes, base: bytes) -> bytes:
-    """Return the part that a difference leads to.
+    """Return the part that results from a base and a delta.
 
-    It may be another one than the sender's where the base differs; whoever
-    takes it compares its digest.
+    With a different base it differs from the sender's part, so the caller must
+    check its digest.
 
     Raises:
-        ValueError: It is no difference, or leads to an oversized part.
+        ValueError: It is not a delta, or the part is too large.
     """
-    unpacker = zlib.decompressobj(wbits=RAW, zdict=base[-DICTIONARY_BYTES:])
+    decompressor = zlib.decompressobj(
+        wbits=RAW_DEFLATE_WBITS, zdict=base[-DICTIONARY_BYTES:]
+    )
     try:
-        content = unpacker.decompress(delta, MAX_BYTES)
+        content = decompressor.decompress(delta, MAX_BYTES)
     except zlib.error as exc:
-        raise ValueError(f'no difference of a part: {exc}') from exc
-    if unpacker.unconsumed_tail:
+        raise ValueError(f'not a delta of a part: {exc}') from exc
+    if decompressor.unconsumed_tail:
         raise ValueError('the part is too large')
     return content
--- a/beryllug/core/plain.py
+++ b/beryllug/core/plain.py
@@ -1,8 +1,8 @@
-"""Records to plain dicts and lists, and back.
+"""Converts records to plain dicts and lists, and back.
 
-What is kept in the platform and shown to operators carries its field names,
-so that a release reads what its neighbour wrote: a field it doesn't know is
-passed over, a field that is missing takes its default.
+Data that is stored in the platform or shown to operators contains field names,
+so that adjacent releases can read each other's data: unknown fields are
+ignored, missing fields get their defaults.
 """
 
 import enum
@@ -14,36 +14,36 @@
 
 
 def to_plain(record: Any) -> Any:
-    """Turn a record, with all it holds, into what JSON can say."""
+    """Convert a record, with all nested values, to JSON types."""
     if isinstance(record, tuple):
         fields = getattr(record, '_fields', None)
-        parts = [to_plain(part) for part in record]
+        parts = [to_plain(item) for item in record]
         return parts if fields is None else dict(zip(fields, parts))
     return record.value if isinstance(record, enum.Enum) else record
 
 
 def from_plain(kind: type[Record], plain: Any) -> Record:
-    """Build a record of a type from what `to_plain` made.
+    """Build a record of a type from the result of `to_plain`.
 
     Raises:
-        TypeError: A field without a default is missing, or the shape is
-            another.
-        ValueError: A word isn't one of an enumeration.
+        TypeError: A field without a default is missing, or the structure
+            differs.
+        ValueError: A value is not in its enumeration.
     """
     return cast('Record', _build(kind, plain))
 
 
 def knows(known: Any, whole: Any) -> bool:
-    """Tell whether plain data has no field that another one lacks.
+    """Return whether all fields of some plain data were read.
 
     Args:
-        known: What `to_plain` made of a record that was read.
-        whole: What the record was read from.
+        known: The result of `to_plain` for the record that was read.
+        whole: The plain data from which the record was read.
     """
     if isinstance(whole, Mapping):
         return all(
-            name in known and knows(known[name], part)
-            for name, part in whole.items()
+            name in known and knows(known[name], item)
+            for name, item in whole.items()
         )
     if isinstance(whole, list):
         return all(map(knows, known, whole))
@@ -55,7 +55,7 @@
         return _build_record(kind, plain)
     arguments = get_args(kind)
     if arguments and Ellipsis in arguments:
-        return tuple(_build(arguments[0], part) for part in plain)
+        return tuple(_build(arguments[0], item) for item in plain)
     if isinstance(kind, type) and issubclass(kind, enum.Enum):
         return kind(plain)
     return plain
@@ -63,12 +63,12 @@
 
 def _build_record(kind: Any, plain: Any) -> Any:
     if not isinstance(plain, Mapping):
-        raise TypeError(f'{kind.__name__} needs an object')
+        raise TypeError(f'{kind.__name__} must be an object')
     hints = _hints(kind)
     return kind(
         **{
-            name: _build(hints[name], part)
-            for name, part in plain.items()
+            name: _build(hints[name], item)
+            for name, item in plain.items()
             if name in hints
         }
     )
--- a/beryllug/core/refusal.py
+++ b/beryllug/core/refusal.py
@@ -1,8 +1,8 @@
 """Refusals: why a request got no answer, and whether it ran.
 
-A caller may repeat a request that was `not_run` without risk. It must not
-repeat one whose run is `unknown`, so `not_run` is said only where no byte of
-the request can have reached a backend server, or the server itself said so.
+A caller may safely repeat a request that was `not_run`, but must not repeat
+one whose run is `unknown`. So `not_run` is reported only if no byte of the
+request can have reached a backend server, or if the server itself stated it.
 """
 
 import types
@@ -19,7 +19,7 @@
 
 
 class Code(StrEnum):
-    """Stable machine-readable reasons."""
+    """Stable machine-readable reasons for a refusal."""
 
     BAD_REQUEST = 'bad_request'
     UNAUTHENTICATED = 'unauthenticated'
@@ -66,9 +66,10 @@
 
     Attributes:
         code: Machine-readable reason.
-        message: What a person should know.
+        message: Explanation for people.
         run: Whether it ran.
-        retry_after_s: When asking again can help; None where it can't.
+        retry_after_s: Seconds after which a retry can succeed; None if a
+            retry cannot help.
     """
 
     code: Code
@@ -78,10 +79,10 @@
 
 
 class RefusedError(Exception):
-    """Carries a refusal up to where the answer is written."""
+    """Carries a refusal to the code that writes the response."""
 
     def __init__(self, refusal: Refusal) -> None:
-        """Keep the refusal."""
+        """Store the refusal; its message is the exception's text."""
         super().__init__(refusal.message)
         self.refusal = refusal
 
@@ -99,7 +100,7 @@
 
 
 def body_of(refusal: Refusal, request_id: str) -> dict[str, Any]:
-    """Return the JSON body, in the shape that OpenAI clients expect."""
+    """Return the JSON body, in the form that OpenAI clients expect."""
     return {
         'error': {
             'code': refusal.code.value,
--- a/beryllug/core/request_data.py
+++ b/beryllug/core/request_data.py
@@ -1,7 +1,7 @@
-"""What a decision needs to know of one request.
+"""What the decision functions need to know about a request.
 
-The entry builds a `Facts` when a request has been read and hands it to every
-deciding function, so that none of them sees HTTP, a socket or the prompt.
+The entry builds a `Facts` when a request has been read and passes it to every
+decision function, so that none of them depends on HTTP, sockets or the prompt.
 """
 
 from enum import IntEnum
@@ -15,7 +15,7 @@
 
 
 class Priority(IntEnum):
-    """Order in which engines serve what waits; lower goes first."""
+    """Priority of queued requests in the engines; lower is served first."""
 
     URGENT = 0
     NORMAL = 1
@@ -23,19 +23,19 @@
 
 
 class Facts(NamedTuple):
-    """One request, as the deciding functions see it.
+    """One request, as the decision functions see it.
 
     Attributes:
         request_id: Unique id of the request.
         account_id: The client account.
-        request_class: Class whose targets hold, as ``lookup``.
+        request_class: Class whose targets apply, such as ``lookup``.
         asked: Model, cascade or service that the caller named.
         session_key: Session of the caller, or the request id without one.
         prefix_key: Digest of the start of the prompt, or empty.
         tokens_in: Estimated tokens of the prompt.
-        tokens_out: Most tokens of the answer.
+        tokens_out: Maximum tokens of the answer.
         repeatable: False for a request that is not idempotent.
-        arrived_at: Second of the process's clock at which it was read.
+        arrived_at: Time of the process's clock at which it was read.
         targets: Service targets of its class.
     """
 
@@ -53,10 +53,10 @@
 
 
 def priority(targets: config_data.Targets) -> Priority:
-    """Return the priority that a class's targets call for.
+    """Return the priority that follows from the targets of a class.
 
-    It follows from the declared targets and not from the name of the class,
-    so operators can add classes without a change here.
+    It depends on the declared targets and not on the name of the class, so
+    operators can add classes without a change here.
     """
     if targets.total_ms <= URGENT_TOTAL_MS:
         return Priority.URGENT
@@ -66,10 +66,10 @@
 
 
 def first_token_by(facts: Facts) -> float:
-    """Return the second by which the first token is owed."""
+    """Return the time by which the first token is due."""
     return facts.arrived_at + facts.targets.first_token_ms / MS
 
 
 def complete_by(facts: Facts) -> float:
-    """Return the second by which the whole answer is owed."""
+    """Return the time by which the whole answer is due."""
     return facts.arrived_at + facts.targets.total_ms / MS
--- a/beryllug/core/session_token.py
+++ b/beryllug/core/session_token.py
@@ -1,8 +1,9 @@
-"""Session tokens: the version a session is pinned to, signed.
+"""Session tokens: the signed version to which a session is pinned.
 
-The token travels with the caller, so the pin outlives every entry host and a
-changed roll-out share. It is ``v1.<key id>.<payload>.<mac>``; two keys are
-valid while a key is rotated, and the first of the list signs.
+The caller keeps the token, so the pin survives the loss of any entry host and
+a change of the roll-out's share. Its format is
+``v1.<key id>.<payload>.<mac>``. Two keys are valid while a key is rotated, and
+the first of the list signs.
 """
 
 import base64
@@ -17,17 +18,17 @@
 from beryllug.core import config_data, rpc_data
 
 FORMAT = 'v1'
-PARTS = 4
+PART_COUNT = 4
 MAX_LENGTH = 1024
 
 
 class Pin(NamedTuple):
-    """What a token states.
+    """The content of a token.
 
     Attributes:
-        account_id: The client account it was given to.
+        account_id: The client account for which it was issued.
         session_id: The caller's name of the session.
-        model: What the caller asked for: a model or a cascade.
+        model: The model or cascade that the caller named.
         version: The version that answered first.
     """
 
@@ -38,7 +39,7 @@
 
 
 def sign(pin: Pin, keys: Sequence[rpc_data.TokenKey]) -> str:
-    """Return the token of a pin, or an empty string without a key."""
+    """Return the token of a pin; empty if there is no key."""
     if not keys:
         return ''
     payload = _to_text(msgspec.msgpack.encode(pin))
@@ -47,9 +48,13 @@
 
 
 def verify(token: str, keys: Sequence[rpc_data.TokenKey]) -> Pin | None:
-    """Return the pin of a token, or None where it isn't ours."""
+    """Return the pin of a token, or None if the token is not valid."""
     parts = token.split('.')
-    if len(token) > MAX_LENGTH or len(parts) != PARTS or parts[0] != FORMAT:
+    if (
+        len(token) > MAX_LENGTH
+        or len(parts) != PART_COUNT
+        or parts[0] != FORMAT
+    ):
         return None
     _, key_id, payload, mac = parts
     for key in keys:
--- a/beryllug/core/session_token_test.py
+++ b/beryllug/core/session_token_test.py
@@ -23,7 +23,7 @@
 
 
 class SessionTokenTest(unittest.TestCase):
-    """A token is taken only under a valid key and unchanged."""
+    """A token is accepted only unchanged and with a valid key."""
 
     def test_keys(self) -> None:
         """Two keys are valid while one is rotated."""
@@ -36,10 +36,10 @@
     def test_changed(self) -> None:
         """A token with any one character changed is refused."""
         token = session_token.sign(PIN, (OLD,))
-        for place, letter in enumerate(token):
-            swapped = 'B' if letter == 'A' else 'A'
-            changed = token[:place] + swapped + token[place + 1 :]
-            with self.subTest(place):
+        for index, character in enumerate(token):
+            swapped = 'B' if character == 'A' else 'A'
+            changed = token[:index] + swapped + token[index + 1 :]
+            with self.subTest(index):
                 pin = session_token.verify(changed, (OLD,))
                 self.assertIsNone(pin)
 
--- a/beryllug/core/settings_data.py
+++ b/beryllug/core/settings_data.py
@@ -1,7 +1,7 @@
-"""The records of a process's settings file.
+"""Records of a process's settings file.
 
-`parsing.settings` builds them from INI and reports every broken key. All
-durations are in seconds, all addresses ``ip:port``.
+`parsing.settings` builds them from INI and reports every invalid key. Durations
+are in seconds unless the name says otherwise, addresses are ``ip:port``.
 """
 
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class Role(StrEnum):
-    """What a process does."""
+    """Role of a process."""
 
     ENTRY = 'entry'
     CONTROL = 'control'
@@ -17,14 +17,14 @@
 
 
 class Process(NamedTuple):
-    """Section ``[process]``: who this process is.
+    """Section ``[process]``: identity of this process.
 
     Attributes:
         name: Unique name of the process in the fleet.
-        role: Entry or control.
+        role: Entry, control or router.
         host: Name of the entry host it runs on.
         zone: Availability zone of that host.
-        log_level: Least level that is logged.
+        log_level: Minimum level that is logged.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
     Attributes:
         listen: Address of the operators' interface.
-        keys: Bearer keys that are valid; two while a key is rotated.
+        keys: Valid bearer keys; two while a key is rotated.
     """
 
     listen: str
@@ -47,7 +47,7 @@
 
 
 class Fleet(NamedTuple):
-    """Section ``[fleet]``: how processes know one another.
+    """Section ``[fleet]``: authentication between processes.
 
     Attributes:
         keys: Keys that sign calls between processes; two while a key is
@@ -58,21 +58,21 @@
 
 
 class Entry(NamedTuple):
-    """Section ``[entry]``: the callers' side.
+    """Section ``[entry]``: the interface for callers.
 
     Attributes:
-        listen: Address that callers reach through the balancer.
-        controls: Control processes, the own host's first.
-        max_in_flight: Requests served at once; more are refused.
-        header_bytes: Most bytes of a request's head.
-        body_bytes: Most bytes of a request's body.
-        read_s: Seconds in which a request must have come whole.
-        idle_s: Seconds a connection may wait for its next request.
-        balancer_lag_s: On a stop, how long requests are still accepted
+        listen: Address that callers reach through the load balancer.
+        controls: Control processes, that of the own host first.
+        max_in_flight: Maximum concurrent requests; more are refused.
+        header_bytes: Maximum size of a request's header.
+        body_bytes: Maximum size of a request's body.
+        read_s: Timeout for reading a whole request.
+        idle_s: Timeout of a connection without a next request.
+        balancer_lag_s: When stopping, how long requests are still accepted
             after the health check began to fail.
-        drain_s: On a stop, how long requests in flight may still take.
-        blind_s: How long new work is taken without any control process.
-        rating: Address of the rating service, or empty for none.
+        drain_s: When stopping, how long requests in flight may continue.
+        blind_s: How long new work is accepted without any control process.
+        rating: Address of the rating service; empty for none.
     """
 
     listen: str
@@ -89,23 +89,23 @@
 
 
 class Control(NamedTuple):
-    """Section ``[control]``: the platform's and the peers' side.
+    """Section ``[control]``: connections to the platform and peers.
 
     Attributes:
         listen: Address for entry processes and peers.
-        peers: Control processes of the other hosts, to join by.
+        peers: Control processes of other hosts, contacted to join the fleet.
         platform: Address of the object API.
         host_list: Address of the host list.
         weight_store: Address of the weight store, or empty.
         watchers: How many control processes of a zone watch the platform;
-            the others take changes from them. 0 means all.
+            the others get changes from them. 0 means all.
         shards: Shards of the request journal; the same for the whole fleet.
-        commits_per_s: Most platform writes a second of one shard.
-        lease_s: How long a lease holds without renewal.
-        heartbeat_s: Time between two heartbeats to a peer.
-        cut_off_s: How long new work is taken while neither the platform nor
-            a peer can be reached.
-        drain_s: On a stop, how long rows may take to be flushed.
+        commits_per_s: Maximum platform writes per second of one shard.
+        lease_s: How long a lease is valid without renewal.
+        heartbeat_s: Interval between heartbeats to a peer.
+        cut_off_s: How long new work is accepted while neither the platform
+            nor a peer can be reached.
+        drain_s: When stopping, how long flushing of rows may take.
         retention_s: How long sealed journal segments are kept.
     """
 
@@ -127,28 +127,29 @@
 class Router(NamedTuple):
     """Section ``[router]``: callers, backend servers, the platform's store.
 
-    Durations that a platform states in milliseconds are kept so, since its
-    template can't compute.
+    A duration that the platform states in milliseconds stays in milliseconds,
+    since the platform's template cannot compute.
 
     Attributes:
-        listen: Address that callers reach through the balancer.
-        ready: Address at which the balancer asks for readiness.
-        peer_listen: Address for processes of this role.
-        notes_listen: Address of their datagrams, over UDP.
+        listen: Address that callers reach through the load balancer.
+        ready: Address of the readiness check of the load balancer.
+        peer_listen: Address for other processes of this role.
+        notes_listen: UDP address for datagrams from these processes.
         store: Address of the platform's store.
-        seeds: Processes of this role to join by.
-        drain_ms: Within which a backend server that leaves gets no new work.
-        grace_s: From the order to stop until the process is killed.
-        session_s: Within which requests of a session belong together.
-        retry_ratio: Repeats that the fleet may send, by requests.
-        retry_slack: Repeats that the fleet may send beyond that.
-        retry_window_s: The time over which both hold.
-        trial_share: Share of its service's requests that a bad version may
+        seeds: Processes of this role, contacted to join the fleet.
+        drain_ms: Time within which a leaving backend server must no longer
+            get new work.
+        grace_s: Time from the stop signal until the process is killed.
+        session_s: Time within which requests of a session belong together.
+        retry_ratio: Repeats that the fleet may send, as a ratio of requests.
+        retry_slack: Repeats that the fleet may send in addition.
+        retry_window_s: The window in which both apply.
+        trial_share: Fraction of its service's requests that a bad version may
             get, fleet-wide.
-        trial_slack: Requests that it may get beyond that.
-        regions: The region of each availability zone.
-        start_wait_s: For which a process that is no seed leaves the store to
-            the seeds as it starts; 0 except where a whole fleet starts.
+        trial_slack: Requests that it may get in addition.
+        regions: The region of each availability zone, as ``zone:region``.
+        start_wait_s: Time after its start for which a process that is not a
+            seed leaves the store to the seeds; 0 unless a whole fleet starts.
     """
 
     listen: str
@@ -176,7 +177,7 @@
 
 
 class Settings(NamedTuple):
-    """A whole settings file; the sections of other roles are None."""
+    """A complete settings file; sections of other roles are None."""
 
     process: Process
     operators: Operators
--- a/beryllug/core/stamps.py
+++ b/beryllug/core/stamps.py
@@ -1,37 +1,39 @@
-"""Stamps: revisions of a store that may return from an older copy.
+"""Stamps: revisions of a store that may be restored from an older copy.
 
-A stamp is a revision with the era of the store before it, in one number: all
-of an era are higher than all of the era before, though its revisions begin
-again at a lower one. Where the store tells no era, a stamp is its revision.
+A stamp combines the era of the store (high bits) with a revision in one number.
+All stamps of an era are higher than those of the previous era, although the
+revisions restart at a lower value. If the store reports no era, the stamp
+equals the revision.
 """
 
 REVISION_BITS = 40
-_REVISIONS = 1 << REVISION_BITS
-# Seconds from the return of a store for which what it had acknowledged before
-# holds against its word: what others wrote there is written again by then.
+_REVISION_COUNT = 1 << REVISION_BITS
+# Seconds after a store was restored for which the state it had acknowledged
+# before takes precedence over what it reports: by then the other processes
+# have written their entries again.
 HELD_S = 10.0
 
 
 def stamp(era: int, revision: int) -> int:
-    """Return the stamp of a revision."""
-    return era * _REVISIONS + revision
+    """Return the stamp of a revision in an era."""
+    return era * _REVISION_COUNT + revision
 
 
 def era(stamped: int) -> int:
     """Return the era of a stamp."""
-    return stamped // _REVISIONS
+    return stamped // _REVISION_COUNT
 
 
 def revision(stamped: int) -> int:
-    """Return the revision of a stamp, as the store has it."""
-    return stamped % _REVISIONS
+    """Return the revision of a stamp, as the store reports it."""
+    return stamped % _REVISION_COUNT
 
 
 def is_return(stamped: int, before: int) -> bool:
-    """Tell whether a store has returned from a copy since a known stamp."""
+    """Return whether a store was restored after a known stamp."""
     return before > 0 and era(stamped) > era(before)
 
 
 def shown(stamped: int) -> str:
-    """Return a stamp for people: ``ERA/REVISION``."""
+    """Format a stamp for people as ``ERA/REVISION``."""
     return f'{era(stamped)}/{revision(stamped)}'
--- a/beryllug/core/token_keys.py
+++ b/beryllug/core/token_keys.py
@@ -1,9 +1,10 @@
-"""The keys that sign session tokens, and their rotation.
+"""Keys that sign session tokens, and their rotation.
 
-All control processes hold the same list, kept in the platform. A new key is
-added long before it signs: were it used at once, a process that hasn't heard
-of it yet would take the session's token for a forgery and forget its version.
-Which key signs follows from the list and the time, so one write rotates.
+All control processes use the same list, which is stored in the platform. A new
+key is added long before it signs. If it signed at once, a process that does
+not have it yet would reject the session's token as forged and lose the pinned
+version. The signing key follows from the list and the time, so one write
+rotates the keys.
 """
 
 from typing import NamedTuple
@@ -17,11 +18,12 @@
 
 
 class Key(NamedTuple):
-    """One key.
+    """A signing key.
 
     Attributes:
-        secret: Its hex digits; the first ones are its public id.
-        made_at: When it was made, in seconds of the wall clock.
+        secret: Hex digits; the first 8 are its public id, the others the
+            secret.
+        made_at: When it was created, in seconds of the wall clock.
     """
 
     secret: str
@@ -29,23 +31,23 @@
 
 
 class KeyList(NamedTuple):
-    """The keys in the platform, oldest first; two at most."""
+    """The stored keys, oldest first; at most two."""
 
     keys: tuple[Key, ...] = ()
 
 
 def is_due(listed: KeyList, now: float) -> bool:
-    """Tell whether a new key must be made."""
+    """Return whether a new key must be created."""
     if not listed.keys:
         return True
     return now - listed.keys[-1].made_at >= SIGNS_S
 
 
 def renewed(listed: KeyList, secret: str, now: float) -> KeyList:
-    """Return the list with a new key; of the old ones the latest stays.
+    """Return a list of the latest old key and a new one.
 
     Args:
-        listed: The present keys.
+        listed: The current keys.
         secret: Hex digits of the new key, from a random source.
         now: Seconds of the wall clock.
     """
@@ -53,15 +55,15 @@
 
 
 def in_use(listed: KeyList, now: float) -> tuple[rpc_data.TokenKey, ...]:
-    """Return the keys that verify, the one that signs first.
+    """Return the valid keys, the signing one first.
 
     Args:
         listed: The keys.
         now: Seconds of the wall clock.
     """
-    spread = [key for key in listed.keys if now - key.made_at >= SPREAD_S]
-    # Before any key had its time to spread, the oldest is known to most.
-    signing = spread[-1:] or list(listed.keys[:1])
+    distributed = [key for key in listed.keys if now - key.made_at >= SPREAD_S]
+    # Until a key has been distributed, the oldest is known to most processes.
+    signing = distributed[-1:] or list(listed.keys[:1])
     others = [key for key in listed.keys if key not in signing]
     return tuple(_token_key(key) for key in (*signing, *others))
 
--- a/beryllug/core/usage.py
+++ b/beryllug/core/usage.py
@@ -1,8 +1,8 @@
-"""Sums of what client accounts used, from the outcome rows of the journal.
+"""Usage totals of client accounts, from the outcome rows of the journal.
 
-The sum of a shard stands in the platform with the number of the last segment
-it counts, and both change in one conditional update: however often owners
-change or writes are repeated, a segment is counted once.
+The platform stores the totals of a shard together with the number of the last
+segment that they include. Both change in one conditional update, so a segment
+is counted once, however often owners change or writes are repeated.
 """
 
 from collections.abc import Iterable
@@ -13,12 +13,12 @@
 
 @dataclass(slots=True)
 class Totals:
-    """Running sums.
+    """Running totals.
 
     Attributes:
         accounts: Requests and cost by account.
-        versions: Stages, tokens in and out, and cost by account, model and
-            version.
+        versions: Stages, input and output tokens, and cost by account, model
+            and version.
     """
 
     accounts: dict[str, tuple[int, int]] = field(default_factory=dict)
@@ -28,7 +28,7 @@
 
 
 def add_row(totals: Totals, row: journal_data.Row) -> None:
-    """Count a row of the log; only outcomes of what ran are bills."""
+    """Add a row of the journal; only outcomes of runs are billed."""
     if row.kind is not journal_data.RowKind.OUTCOME:
         return
     if row.state is journal_data.OutcomeState.NOT_RUN:
@@ -42,7 +42,7 @@
 
 
 def add(totals: Totals, usage: usage_data.Usage) -> None:
-    """Add stored sums."""
+    """Add stored totals."""
     for account in usage.accounts:
         _add_account(
             totals, account.account_id, account.requests, account.cost_micro
@@ -57,7 +57,7 @@
 
 
 def of_rows(rows: Iterable[journal_data.Row]) -> Totals:
-    """Sum up rows."""
+    """Return the totals of some rows."""
     totals = Totals()
     for row in rows:
         add_row(totals, row)
@@ -65,7 +65,7 @@
 
 
 def stored(totals: Totals, folded: int) -> usage_data.Usage:
-    """Return sums as they are stored, in a stable order."""
+    """Return totals in the stored form, in a stable order."""
     return usage_data.Usage(
         folded,
         tuple(
@@ -82,17 +82,17 @@
 def fold(
     before: usage_data.Usage, segments: dict[int, Totals], upto: int
 ) -> usage_data.Usage:
-    """Add whole segments to a shard's sum, each once.
+    """Add complete segments to the totals of a shard, each once.
 
     Args:
-        before: The sum as it stands in the platform.
-        segments: Sums of single segments by their numbers.
-        upto: The last segment to count; all up to it must be complete.
+        before: The totals that the platform stores.
+        segments: Totals of single segments by segment number.
+        upto: The last segment to add; all up to it must be complete.
     """
     totals = Totals()
     add(totals, before)
     for seq, segment in segments.items():
-        # Another owner may have counted some meanwhile.
+        # Another owner may have added some in the meantime.
         if before.folded < seq <= upto:
             add(totals, stored(segment, seq))
     return stored(totals, max(before.folded, upto))
@@ -101,13 +101,15 @@
 def _add_account(
     totals: Totals, account_id: str, requests: int, cost: int
 ) -> None:
-    known = totals.accounts.get(account_id, (0, 0))
-    totals.accounts[account_id] = (known[0] + requests, known[1] + cost)
+    previous = totals.accounts.get(account_id, (0, 0))
+    totals.accounts[account_id] = (previous[0] + requests, previous[1] + cost)
 
 
 def _add_version(
     totals: Totals, key: tuple[str, str, str], use: tuple[int, int, int, int]
 ) -> None:
-    known = totals.versions.get(key, (0, 0, 0, 0))
-    stages, tokens_in, tokens_out, cost = map(sum, zip(known, use, strict=True))
+    previous = totals.versions.get(key, (0, 0, 0, 0))
+    stages, tokens_in, tokens_out, cost = map(
+        sum, zip(previous, use, strict=True)
+    )
     totals.versions[key] = (stages, tokens_in, tokens_out, cost)
--- a/beryllug/core/usage_data.py
+++ b/beryllug/core/usage_data.py
@@ -1,10 +1,10 @@
-"""Records of what client accounts used."""
+"""Records of the usage of client accounts."""
 
 from typing import NamedTuple
 
 
 class AccountUse(NamedTuple):
-    """What one account used: each request counts once."""
+    """Usage of one account; each request counts once."""
 
     account_id: str
     requests: int
@@ -12,10 +12,10 @@
 
 
 class VersionUse(NamedTuple):
-    """What one account used of one version.
+    """Usage of one model version by one account.
 
-    A request of a cascade uses several versions, so `stages` may sum up to
-    more than the account's requests.
+    A request to a cascade may use several versions, so the sum of `stages` may
+    exceed the account's requests.
     """
 
     account_id: str
@@ -28,12 +28,12 @@
 
 
 class Usage(NamedTuple):
-    """Usage summed up over segments of one shard, or of all.
+    """Usage totals over segments of one shard or of all shards.
 
     Attributes:
-        folded: Number of the last segment that is counted.
-        accounts: By account.
-        versions: By account and version.
+        folded: Number of the last segment that is included.
+        accounts: Usage by account.
+        versions: Usage by account and version.
     """
 
     folded: int = 0
--- a/beryllug/core/view_data.py
+++ b/beryllug/core/view_data.py
@@ -1,6 +1,6 @@
-"""The view: what an entry process knows of the world at one moment.
+"""The view: a consistent snapshot of the state that an entry routes by.
 
-Control processes push whole views to entries. A view is never changed in
+Control processes send its parts to the entries. A view is never changed in
 place, so a decision reads one consistent state.
 """
 
@@ -11,18 +11,18 @@
 
 
 class ServerState(StrEnum):
-    """State of a backend server by the host list."""
+    """State of a backend server in the host list."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
 
 
 class BackendServer(NamedTuple):
-    """A backend server, as the platform's host list shows it.
+    """A backend server in the platform's host list.
 
     Attributes:
         server_id: Stable name of the server.
-        address: ``ip:port`` to which requests go.
+        address: ``ip:port`` to which requests are sent.
         zone: Availability zone.
         pool: Name of the pool it belongs to.
         state: Live or leaving.
@@ -36,14 +36,14 @@
 
 
 class ServerLoad(NamedTuple):
-    """Load that a model engine reported, always some time ago.
+    """Load that a model engine reported; always somewhat outdated.
 
     Attributes:
-        server_id: The server that reported.
+        server_id: The server that reported it.
         running: Requests in its batch.
-        queued: Requests that wait for a place in the batch.
+        queued: Requests that are waiting for a slot in the batch.
         reported_at: When it was measured, in seconds of the wall clock.
-        loaded: Versions that it has loaded.
+        loaded: Model versions that it has loaded.
     """
 
     server_id: str
@@ -54,7 +54,7 @@
 
 
 class Verdict(StrEnum):
-    """Judgement on the candidate of a roll-out."""
+    """Result of the evaluation of a roll-out's candidate."""
 
     RUNNING = 'running'
     PROMOTED = 'promoted'
@@ -62,15 +62,15 @@
 
 
 class RolloutStatus(NamedTuple):
-    """State of one roll-out, kept in the platform.
+    """State of one roll-out, stored in the platform.
 
     Attributes:
         model: The model that is rolled out.
-        candidate: The version it is about.
+        candidate: The version that is being rolled out.
         stage: Index into the stages of the declared roll-out.
-        verdict: Whether it runs, was promoted or was stopped as bad.
-        judged: Answers of the candidate that were judged so far.
-        reason: Why the verdict fell, for operators.
+        verdict: Whether it is running, was promoted or was stopped as bad.
+        judged: Number of evaluated answers of the candidate.
+        reason: Reason for the verdict, for operators.
         version: Version of its record in the platform; higher is newer.
     """
 
@@ -84,13 +84,13 @@
 
 
 class View(NamedTuple):
-    """All that routing reads besides its own counts.
+    """All data that routing uses besides its own counts.
 
     Attributes:
-        revision: Revision of the accepted document; it only ever rises.
+        revision: Revision of the accepted document; it never decreases.
         document: The accepted document.
         rollouts: State of each roll-out.
-        servers: Backend servers by the host list.
+        servers: Backend servers in the host list.
         loads: Reported loads.
     """
 
--- a/beryllug/core/view_index.py
+++ b/beryllug/core/view_index.py
@@ -1,7 +1,7 @@
-"""Lookup tables over a view, made once for each new view.
+"""Lookup tables of a view, built once for each new view.
 
-A request must not search the document: with many accounts a linear search
-on each request would cost more than the forwarding itself.
+A request must not search the document: with many accounts, a linear search for
+each request would cost more than forwarding it.
 """
 
 import hashlib
@@ -11,11 +11,11 @@
 
 
 class ViewIndex(NamedTuple):
-    """A view with its tables.
+    """A view with its lookup tables.
 
     Attributes:
         view: The view itself.
-        accounts: Client accounts by hash of bearer key.
+        accounts: Client accounts by the hash of a bearer key.
         models: Models by name.
         cascades: Cascades by name.
         versions: Versions by reference.
@@ -23,7 +23,7 @@
         services: Plain services by name.
         servers: Backend servers by pool, live and leaving.
         loads: Reported loads by server.
-        targets: Targets by class of request.
+        targets: Service targets by request class.
     """
 
     view: view_data.View
@@ -39,7 +39,7 @@
 
 
 def build(view: view_data.View) -> ViewIndex:
-    """Make the tables of a view."""
+    """Build the lookup tables of a view."""
     document = view.document
     return ViewIndex(
         view=view,
@@ -60,7 +60,7 @@
 
 
 def account_of(index: ViewIndex, bearer: str) -> config_data.Account | None:
-    """Return the client account of a bearer key."""
+    """Return the client account of a bearer key, or None."""
     digest = hashlib.sha256(bearer.encode()).hexdigest()
     return index.accounts.get(digest)
 
--- a/beryllug/core/view_merge.py
+++ b/beryllug/core/view_merge.py
@@ -1,8 +1,8 @@
-"""Merge updates of the view, never backwards.
+"""Merges updates into the view; the document never becomes older.
 
-A control process that restarted in an outage or reads a stale replica may
-send an older document. Taking it would bring a withdrawn version back, so a
-document is taken only with a higher revision.
+A control process that restarted during an outage or reads a stale replica may
+send an older document. Accepting it would restore a withdrawn version, so a
+document is accepted only with a higher revision.
 """
 
 from typing import NamedTuple, TypeVar
@@ -13,14 +13,14 @@
 
 
 class Known(NamedTuple):
-    """All that an entry holds of what control processes sent.
+    """The state that an entry received from control processes.
 
     Attributes:
         view: The view for routing.
-        suspects: Requests under suspicion, by fingerprint.
+        suspects: Requests suspected of crashing servers, by fingerprint.
         token_keys: Keys for session tokens.
         budgets: Exposure shares.
-        accept: Whether control says that new work may be taken.
+        accept: Whether new work may be accepted, by the control process.
     """
 
     view: view_data.View = view_data.EMPTY_VIEW
@@ -31,25 +31,25 @@
 
 
 def merge(known: Known, update: rpc_data.ViewUpdate) -> Known:
-    """Return what is known after an update."""
+    """Return the state after an update."""
     view = known.view
     if update.document is not None and update.revision > view.revision:
         view = view._replace(revision=update.revision, document=update.document)
     view = view._replace(
         rollouts=_newer_rollouts(view.rollouts, update.rollouts),
-        servers=_newer(view.servers, update.servers),
-        loads=_newer(view.loads, update.loads),
+        servers=_new_or_old(view.servers, update.servers),
+        loads=_new_or_old(view.loads, update.loads),
     )
     return Known(
         view=view,
-        suspects=_newer(known.suspects, update.suspects),
-        token_keys=_newer(known.token_keys, update.token_keys),
-        budgets=_newer(known.budgets, update.budgets),
+        suspects=_new_or_old(known.suspects, update.suspects),
+        token_keys=_new_or_old(known.token_keys, update.token_keys),
+        budgets=_new_or_old(known.budgets, update.budgets),
         accept=update.accept,
     )
 
 
-def _newer(old: Part, new: Part | None) -> Part:
+def _new_or_old(old: Part, new: Part | None) -> Part:
     return old if new is None else new
 
 
@@ -57,10 +57,10 @@
 
 
 def _newer_rollouts(old: Rollouts, new: Rollouts | None) -> Rollouts:
-    """Take each roll-out's state unless the one that is known is newer.
+    """Accept each roll-out's state unless the known one is newer.
 
-    The next control process may lag behind the one that was lost. Taking its
-    older state would bring a candidate back that was stopped.
+    After the loss of a control process the next one may be behind it.
+    Accepting its older state would restore a stopped candidate.
     """
     if new is None:
         return old
@@ -78,5 +78,5 @@
 ) -> bool:
     if known is None or offered.version > known.version:
         return False
-    stopped = known.verdict is view_data.Verdict.STOPPED
-    return offered.version < known.version or stopped
+    is_stopped = known.verdict is view_data.Verdict.STOPPED
+    return offered.version < known.version or is_stopped
--- a/beryllug/core/view_parts.py
+++ b/beryllug/core/view_parts.py
@@ -1,7 +1,7 @@
 """The parts of the view that a control process sends to its entries.
 
-Each part is replaced as a whole and never changed in place, so whether a
-stream has already sent it is a question of identity and costs nothing.
+Each part is replaced as a whole and never changed in place, so an identity
+comparison shows, at no cost, whether a stream has already sent it.
 """
 
 from collections.abc import Mapping
@@ -14,17 +14,17 @@
 
 
 class ViewParts(NamedTuple):
-    """All parts as they are now.
+    """All current parts.
 
     Attributes:
         revision: Revision of the document.
         document: The accepted document; None before the first.
         rollouts: State of every roll-out.
-        servers: Backend servers by the host list.
+        servers: Backend servers in the host list.
         loads: Loads that engines reported.
-        suspects: Requests under suspicion.
+        suspects: Requests suspected of crashing servers.
         token_keys: Keys for session tokens, the signing one first.
-        budgets: Exposure shares by name of the entry process.
+        budgets: Exposure shares by the name of the entry process.
     """
 
     revision: int = 0
@@ -46,12 +46,12 @@
     """Return the fields of an update for one entry.
 
     Args:
-        sent: What its stream has sent so far; `NOTHING` at its start.
-        present: The parts as they are now.
+        sent: The parts that its stream has sent; `NOTHING` at its start.
+        present: The current parts.
         entry: Name of the entry process.
 
     Returns:
-        Fields of `rpc_data.ViewUpdate`; a part that was sent is left out.
+        Fields of `rpc_data.ViewUpdate`, without the parts already sent.
     """
     names = ('document', 'rollouts', 'servers', 'loads', 'suspects')
     fields: dict[str, object] = {'revision': present.revision}
