--- a/beryllug/core/balance.py
+++ b/beryllug/core/balance.py
@@ -164,11 +164,11 @@
     for member in usable:
         stats = server_load.track(state, member.server.server_id)
         load = server_load.load_of(stats, now, policy.others)
-        first_token_cost = policy.cached if member is owner else 1
+        first_token_cost = policy.cached_cost if member is owner else 1
         cost = _expected_cost(
             first_token_cost, load, pool.pool.concurrency, policy
         )
-        slow_factor = max(stats.slowness / policy.lenience, 1)
+        slow_factor = max(stats.slowness / policy.slowness_tolerance, 1)
         costs.append(slow_factor * cost + policy.remote * member.remote)
     return costs
 
@@ -180,8 +180,11 @@
     policy: balance_data.LeastCost,
 ) -> float:
     """Return the expected time to the first token, in the policy's unit."""
-    waiting = max(0, load + 1 - policy.knee * slot_count)
-    return first_token_cost * (1 + load / slot_count) + policy.queue * waiting
+    waiting = max(0, load + 1 - policy.queueing_threshold * slot_count)
+    return (
+        first_token_cost * (1 + load / slot_count)
+        + policy.queueing_cost * waiting
+    )
 
 
 def _prefix_owner(
--- a/beryllug/core/balance_data.py
+++ b/beryllug/core/balance_data.py
@@ -104,25 +104,25 @@
     a cached prefix.
 
     Attributes:
-        cached: Cost where the prompt's prefix is probably cached.
-        queue: Cost of each request above the knee.
-        knee: Fraction of a server's slots above which a request may have to
+        cached_cost: Cost where the prompt's prefix is probably cached.
+        queueing_cost: Cost of each request above the threshold.
+        queueing_threshold: Fraction of a server's slots above which a request may have to
             wait for a slot. Below 1 because reports are late.
         remote: Cost of another availability zone.
         others: Assumed requests of other entry processes for each request of
             this one since a server's last report. They read the same report
             and prefer the same server; set to half of their number.
-        lenience: Slowness that is treated as random variation. Below it the
+        slowness_tolerance: Slowness that is treated as random variation. Below it the
             times of single answers tell less about a server than the count of
             this process's own requests.
     """
 
-    cached: float = 0.3
-    queue: float = 1.0
-    knee: float = 0.9
+    cached_cost: float = 0.3
+    queueing_cost: float = 1.0
+    queueing_threshold: float = 0.9
     remote: float = 0.02
     others: float = 3.0
-    lenience: float = 2.0
+    slowness_tolerance: float = 2.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/beryllug/core/edits.py
+++ b/beryllug/core/edits.py
@@ -147,7 +147,7 @@
 
 
 def _prefer(allowed: tuple[Ref, ...], new: Ref, old: Ref) -> tuple[Ref, ...]:
-    """Put the new version first in a list that allows both versions."""
+    """Move the new version ahead of the old one in a list with both."""
     every = config_data.VersionRef(new.model, config_data.ANY_VERSION)
     if new in allowed or every not in allowed:
         return tuple(_move_ahead(list(allowed), new, old))
--- a/beryllug/core/limits_test.py
+++ b/beryllug/core/limits_test.py
@@ -32,7 +32,7 @@
             (REPORT, 50, True),
             (REPORT, 60, False),
         )
-        for targets, load, taken in cases:
+        for targets, load, admitted in cases:
             with self.subTest(targets=targets, load=load):
                 decision = limits.admit(
                     limits.LimitState(),
@@ -41,7 +41,7 @@
                     _ask(targets),
                     0,
                 )
-                self.assertEqual(isinstance(decision, limits.Ticket), taken)
+                self.assertEqual(isinstance(decision, limits.Ticket), admitted)
                 if isinstance(decision, limits.Refused):
                     self.assertGreater(decision.retry_after_s, 0)
 
@@ -87,18 +87,18 @@
         """
         state = limits.LimitState()
         room = ROOM._replace(load=78)
-        taken = {'flood': 0, 'small': 0}
-        asked = {'flood': 0, 'small': 0}
+        admitted = {'flood': 0, 'small': 0}
+        sent = {'flood': 0, 'small': 0}
         for step in range(2000):
             account = 'small' if step % 20 == 0 else 'flood'
-            asked[account] += 1
+            sent[account] += 1
             ask = limits.Ask(account, LOOKUP, 0.2, 0.2)
             decision = limits.admit(state, {}, room, ask, step / 100)
             if isinstance(decision, limits.Ticket):
                 limits.release(state, decision, step / 100)
-                taken[account] += 1
-        self.assertGreater(taken['small'], 0.98 * asked['small'])
-        self.assertLess(taken['flood'], 0.4 * asked['flood'])
+                admitted[account] += 1
+        self.assertGreater(admitted['small'], 0.98 * sent['small'])
+        self.assertLess(admitted['flood'], 0.4 * sent['flood'])
 
 
 class SharesTest(unittest.TestCase):
@@ -114,11 +114,11 @@
             ({'a': 2, 'b': 20}, {}, 10, 8),
             ({'a': 20, 'b': 20}, {'a': 3}, 10, 2.5),
         )
-        for asked, weights, slots, level in cases:
-            with self.subTest(asked=asked, weights=weights):
+        for demands, weights, slots, level in cases:
+            with self.subTest(asked=demands, weights=weights):
                 use = shares.PoolUse()
-                for name, much in asked.items():
-                    use.accounts[name] = shares.AccountLoad(demand=much)
+                for name, demand in demands.items():
+                    use.accounts[name] = shares.AccountLoad(demand=demand)
                 found = shares.fair_level(use, weights, slots, 0)
                 self.assertAlmostEqual(found, level)
 
--- a/beryllug/core/part_delta.py
+++ b/beryllug/core/part_delta.py
@@ -37,7 +37,7 @@
     try:
         content = decompressor.decompress(delta, MAX_BYTES)
     except zlib.error as exc:
-        raise ValueError(f'invalid compressed part: {exc}') from exc
+        raise ValueError(f'not a compressed form of a part: {exc}') from exc
     if decompressor.unconsumed_tail:
         raise ValueError('the part is too large')
     return content
--- a/beryllug/core/server_load.py
+++ b/beryllug/core/server_load.py
@@ -111,7 +111,7 @@
 
 
 def smoothed(stats: balance_data.Track, now: float) -> float:
-    """Return the mean of this process's requests on a server."""
+    """Return the recent mean of this process's requests on a server."""
     decay = math.exp(-max(now - stats.smoothed_at, 0) / SMOOTHING_S)
     return decay * stats.smoothed + (1 - decay) * stats.in_flight
 
