--- a/beryllug/core/balance_data.py
+++ b/beryllug/core/balance_data.py
@@ -106,15 +106,15 @@
     Attributes:
         cached_cost: Cost where the prompt's prefix is probably cached.
         queueing_cost: Cost of each request above the threshold.
-        queueing_threshold: Fraction of a server's slots above which a request may have to
-            wait for a slot. Below 1 because reports are late.
+        queueing_threshold: Fraction of a server's slots above which a request
+            may have to wait for a slot. Below 1 because reports are late.
         remote: Cost of another availability zone.
         others: Assumed requests of other entry processes for each request of
             this one since a server's last report. They read the same report
             and prefer the same server; set to half of their number.
-        slowness_tolerance: Slowness that is treated as random variation. Below it the
-            times of single answers tell less about a server than the count of
-            this process's own requests.
+        slowness_tolerance: Slowness that is treated as random variation.
+            Below it the times of single answers tell less about a server than
+            the count of this process's own requests.
     """
 
     cached_cost: float = 0.3
