--- a/beryllug/core/balance.py
+++ b/beryllug/core/balance.py
@@ -2,11 +2,11 @@
 
 Servers that are leaving get no requests. Each process considers a bounded
 subset of the live servers of a pool, without the ejected ones. `LeastCost`
-takes the server with the lowest expected time to the first token, in which a
-probably cached prefix of the prompt, the load, the server's slowness and its
-zone count. Each dispatch is added to the load at once: many entry hosts that
-all read the same report would otherwise overload the least loaded server
-until its next report.
+takes the server with the lowest expected time to the first token, which
+depends on the load, the server's slowness, its zone and whether it probably
+has the prompt's prefix cached. Many entry hosts read the same load report, so
+all of them taking the least loaded server would overload it until the next
+report; the load therefore includes an estimate of dispatches since then.
 """
 
 import random
--- a/beryllug/core/balance_test.py
+++ b/beryllug/core/balance_test.py
@@ -117,7 +117,7 @@
         self.assertNotEqual(self.choose(pick), owner)
 
     def test_loaded_version(self) -> None:
-        """A server that has the version loaded goes before the others."""
+        """Servers that have the version loaded are preferred."""
         loads = [view_data.ServerLoad('s2', 3, 0, 1, (VERSION,))]
         server_load.report(self.state, loads, clock_offset=0)
         pick = PICK._replace(version=VERSION)
