--- a/beryllug/entry/admission.py
+++ b/beryllug/entry/admission.py
@@ -36,9 +36,9 @@
 )
 
 # Learnt times are used for so long after the last answer of their kind.
-KNOWN_S = 5.0
+ESTIMATE_VALID_S = 5.0
 # Part of its target that a request is hoped to take while nothing is known.
-HOPED_PART = 0.25
+OPTIMISTIC_TARGET_SHARE = 0.25
 MS = 1000
 
 
@@ -65,7 +65,7 @@
         self._observed_at: dict[estimates.Key, float] = {}
         self._document = link.known.view.document
         self._weights: dict[str, int] = {}
-        link.listen(self._take_view)
+        link.listen(self._on_view)
 
     async def start(self) -> None:
         """Do nothing: the link's updates drive this service."""
@@ -80,8 +80,8 @@
                 'total': use.total,
                 'bulk': use.bulk,
                 'accounts': {
-                    account_id: one.in_flight
-                    for account_id, one in use.accounts.items()
+                    account_id: usage.in_flight
+                    for account_id, usage in use.accounts.items()
                 },
             }
             for name, use in self._limits.pools.items()
@@ -121,8 +121,8 @@
             RefusedError: It is refused, at once and not run.
         """
         now = time.monotonic()
-        first_token_s, service_s = self._expected(name, call.facts, now)
-        ask = limits.Ask(
+        first_token_s, service_s = self._expected_times(name, call.facts, now)
+        request = limits.Ask(
             account_id=call.account.account_id,
             targets=call.facts.targets,
             first_token_s=first_token_s,
@@ -130,9 +130,9 @@
             elapsed_s=now - call.facts.arrived_at,
         )
         room = self._routing.room(pool, self._entries, now)
-        decision = limits.admit(self._limits, self._weights, room, ask, now)
+        decision = limits.admit(self._limits, self._weights, room, request, now)
         if isinstance(decision, limits.Refused):
-            raise _refused(decision)
+            raise _refusal_error(decision)
         return decision
 
     def release(self, ticket: limits.Ticket) -> None:
@@ -158,7 +158,7 @@
         self._observed_at[key] = time.monotonic()
         estimates.observe(self._estimates, key, *times, load_share)
 
-    def _expected(
+    def _expected_times(
         self, name: str, facts: request_data.Facts, now: float
     ) -> tuple[float, float]:
         """Return the times to expect; hopeful ones while none are known.
@@ -170,13 +170,13 @@
         key = estimates.Key(name, facts.request_class)
         known = estimates.get(self._estimates, key)
         age_s = now - self._observed_at.get(key, float('-inf'))
-        if age_s <= KNOWN_S and known.quiet_samples:
+        if age_s <= ESTIMATE_VALID_S and known.quiet_samples:
             return known.first_token_s, known.service_s
-        first_s = HOPED_PART * facts.targets.first_token_ms / MS
-        whole_s = HOPED_PART * facts.targets.total_ms / MS
+        first_s = OPTIMISTIC_TARGET_SHARE * facts.targets.first_token_ms / MS
+        whole_s = OPTIMISTIC_TARGET_SHARE * facts.targets.total_ms / MS
         return min(known.first_token_s, first_s), min(known.service_s, whole_s)
 
-    def _take_view(self, known: view_merge.Known) -> None:
+    def _on_view(self, known: view_merge.Known) -> None:
         document = known.view.document
         if document is not self._document:
             self._document = document
@@ -187,7 +187,7 @@
     return {account.account_id: account.weight for account in document.accounts}
 
 
-def _refused(decision: limits.Refused) -> refusal.RefusedError:
+def _refusal_error(decision: limits.Refused) -> refusal.RefusedError:
     return refusal.RefusedError(
         refusal.Refusal(
             CODES[decision.why],
--- a/beryllug/entry/answers.py
+++ b/beryllug/entry/answers.py
@@ -16,9 +16,9 @@
 from beryllug.entry import control_calls
 
 INLINE_BYTES = 4096
-STORE_S = 3.0
-FETCH_S = 3.0
-RESEND_S = 0.5
+STORE_TIMEOUT_S = 3.0
+FETCH_TIMEOUT_S = 3.0
+RESEND_INTERVAL_S = 0.5
 MAX_OWED_BYTES = 16777216
 
 
@@ -28,27 +28,27 @@
     def __init__(self, calls: control_calls.ControlCalls) -> None:
         """Bind the calls to control processes."""
         self._calls = calls
-        self._owed: dict[str, bytes] = {}
+        self._pending: dict[str, bytes] = {}
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Start storing again what could not be stored."""
-        self._task = asyncio.create_task(self._resend())
+        self._task = asyncio.create_task(self._resend_loop())
 
     async def stop(self, grace_s: float) -> None:
         """Store what is owed within the grace time."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + grace_s
-        while self._owed and loop.time() < deadline:
-            await self._store_owed()
-            await asyncio.sleep(RESEND_S if self._owed else 0)
+        while self._pending and loop.time() < deadline:
+            await self._store_pending()
+            await asyncio.sleep(RESEND_INTERVAL_S if self._pending else 0)
         if self._task is not None:
             self._task.cancel()
 
     def dump(self) -> dict[str, Any]:
         """Return the number and size of answers that are not stored yet."""
-        size = sum(len(body) for body in self._owed.values())
-        return {'owed': len(self._owed), 'owed_bytes': size}
+        size = sum(len(body) for body in self._pending.values())
+        return {'owed': len(self._pending), 'owed_bytes': size}
 
     async def keep(
         self,
@@ -62,47 +62,51 @@
             return journal_data.StoredAnswer(status, content_type, body)
         name = answer_name.make(request_id, time.time())
         if not await self._store(name, body):
-            self._owe(name, body)
+            self._add_pending(name, body)
         return journal_data.StoredAnswer(status, content_type, b'', name)
 
     async def fetch(self, answer: journal_data.StoredAnswer) -> bytes | None:
         """Return the body of a kept answer; None when it can't be read now."""
         if not answer.object_key:
             return answer.body
-        owed = self._owed.get(answer.object_key)
-        if owed is not None:
-            return owed
-        ask = answer_data.AnswerKey(answer.object_key)
+        pending = self._pending.get(answer.object_key)
+        if pending is not None:
+            return pending
+        request = answer_data.AnswerKey(answer.object_key)
         try:
-            reply = await self._calls.call(methods.FETCH_ANSWER, ask, FETCH_S)
+            reply = await self._calls.call(
+                methods.FETCH_ANSWER, request, FETCH_TIMEOUT_S
+            )
         except rpc.RpcError:
             return None
         return reply.body if reply.found else None
 
     async def _store(self, name: str, body: bytes) -> bool:
-        ask = answer_data.AnswerBody(name, body)
+        request = answer_data.AnswerBody(name, body)
         try:
-            reply = await self._calls.call(methods.STORE_ANSWER, ask, STORE_S)
+            reply = await self._calls.call(
+                methods.STORE_ANSWER, request, STORE_TIMEOUT_S
+            )
         except rpc.RpcError as exc:
             logging.warning('event=answer_store_failed error=%s', exc)
             return False
         return reply.ok
 
-    def _owe(self, name: str, body: bytes) -> None:
+    def _add_pending(self, name: str, body: bytes) -> None:
         """Keep a body here until the platform takes it, within a bound."""
-        size = sum(len(owed) for owed in self._owed.values())
+        size = sum(len(pending) for pending in self._pending.values())
         if size + len(body) > MAX_OWED_BYTES:
             logging.error('event=answer_dropped name=%s', name)
             return
-        self._owed[name] = body
+        self._pending[name] = body
 
-    async def _resend(self) -> None:
+    async def _resend_loop(self) -> None:
         while True:
-            await asyncio.sleep(RESEND_S)
-            await self._store_owed()
+            await asyncio.sleep(RESEND_INTERVAL_S)
+            await self._store_pending()
 
-    async def _store_owed(self) -> None:
-        for name, body in list(self._owed.items()):
+    async def _store_pending(self) -> None:
+        for name, body in list(self._pending.items()):
             if not await self._store(name, body):
                 return
-            self._owed.pop(name, None)
+            self._pending.pop(name, None)
--- a/beryllug/entry/attempts.py
+++ b/beryllug/entry/attempts.py
@@ -32,7 +32,7 @@
 RETRY_AFTER_S = 1.0
 
 Send = Callable[[view_data.BackendServer], Awaitable[http_client.Incoming]]
-Barred = Callable[[], refusal.Code | None]
+RefusalCheck = Callable[[], refusal.Code | None]
 
 
 class Order(NamedTuple):
@@ -47,7 +47,7 @@
 
     pick: balance_data.Pick
     send: Send
-    barred: Barred
+    refusal_check: RefusalCheck
     probe: probe.Probe
 
 
@@ -87,14 +87,14 @@
             RefusedError: No server answered; says whether one may have run it.
         """
         excluded: set[str] = set()
-        surely_not_run = True
+        definitely_not_run = True
         crashed = False
         number = 0
         self._routing.first_try(order.pick.pool)
         while True:
             number += 1
             failed = await self._try(
-                call, order, frozenset(excluded), surely_not_run
+                call, order, frozenset(excluded), definitely_not_run
             )
             if isinstance(failed, Opened):
                 return failed
@@ -102,15 +102,15 @@
             crashed = crashed or failed.crashed
             failed = failed._replace(crashed=crashed)
             if not retry.ran_for_sure_not(failed.failure):
-                surely_not_run = False
+                definitely_not_run = False
             await self._wait_or_refuse(
-                call, order, failed, (number, surely_not_run)
+                call, order, failed, (number, definitely_not_run)
             )
 
     def close(self, call: call_data.Call, opened: Opened) -> None:
         """End an attempt: give its connection back or cut it."""
         attempt = opened.attempt
-        running = self._routing.running_on(attempt.server.server_id)
+        running = self._routing.fingerprints_on(attempt.server.server_id)
         opened.incoming.close()
         self._routing.end(call, attempt, time.monotonic())
         if opened.incoming.is_whole:
@@ -124,16 +124,16 @@
         call: call_data.Call,
         order: Order,
         excluded: frozenset[str],
-        surely_not_run: bool,
+        definitely_not_run: bool,
     ) -> Opened | _Failed:
         try:
             return await self._attempt(call, order, excluded)
         except refusal.RefusedError as exc:
-            if surely_not_run:
+            if definitely_not_run:
                 raise
             # Refused now, but an earlier attempt may have run it.
-            told = exc.refusal._replace(run=refusal.Run.UNKNOWN)
-            raise refusal.RefusedError(told) from exc
+            amended = exc.refusal._replace(run=refusal.Run.UNKNOWN)
+            raise refusal.RefusedError(amended) from exc
 
     async def _attempt(
         self, call: call_data.Call, order: Order, excluded: frozenset[str]
@@ -146,7 +146,7 @@
             attempt = self._may_dispatch(order, place)
         except refusal.RefusedError:
             if place.trial_id:
-                self._crashes.drop_trial(call, place.trial_id)
+                self._crashes.abandon_trial(call, place.trial_id)
             raise
         self._routing.begin(call, attempt)
         order.probe.begin()
@@ -154,7 +154,7 @@
             return await self._send(call, order, attempt)
         except BaseException:
             order.probe.drop()
-            running = self._routing.running_on(attempt.server.server_id)
+            running = self._routing.fingerprints_on(attempt.server.server_id)
             self._routing.end(call, attempt, time.monotonic())
             self._crashes.watch(call, attempt, running)
             raise
@@ -162,9 +162,9 @@
     def _may_dispatch(
         self, order: Order, place: trials.Place
     ) -> routing.Attempt:
-        code = order.barred()
+        code = order.refusal_check()
         if code is not None:
-            raise _barred(code, order.pick.version)
+            raise _unusable_error(code, order.pick.version)
         if place.server is None:
             raise _no_server(order.pick.pool)
         attempt = self._routing.attempt(
@@ -185,13 +185,13 @@
         except TimeoutError:
             failure = retry.Failure.TIMED_OUT
         else:
-            outcome = _outcome(call, incoming)
+            outcome = _failure_of(call, incoming)
             if outcome is None:
                 self._crashes.answers(call, attempt)
                 return Opened(incoming, attempt, time.monotonic())
-            await _drop(incoming)
+            await _discard_body(incoming)
             failure = outcome
-        found = await self._note_failure(call, attempt, failure)
+        found = await self._record_failure(call, attempt, failure)
         if retry.ran_for_sure_not(failure):
             order.probe.drop()
         else:
@@ -200,7 +200,7 @@
         crashed = found is not liveness.Found.LIVES
         return _Failed(failure, attempt.server.server_id, crashed)
 
-    async def _note_failure(
+    async def _record_failure(
         self,
         call: call_data.Call,
         attempt: routing.Attempt,
@@ -210,7 +210,7 @@
         now = time.monotonic()
         if failure is not retry.Failure.DECLINED:
             self._routing.failed(attempt, now)
-        running = self._routing.running_on(attempt.server.server_id)
+        running = self._routing.fingerprints_on(attempt.server.server_id)
         self._routing.end(call, attempt, now)
         match failure:
             case retry.Failure.BROKEN:
@@ -230,9 +230,9 @@
         call: call_data.Call,
         order: Order,
         failed: _Failed,
-        so_far: tuple[int, bool],
+        progress: tuple[int, bool],
     ) -> None:
-        number, surely_not_run = so_far
+        number, definitely_not_run = progress
         attempt = retry.Attempt(
             pool=order.pick.pool,
             failure=failed.failure,
@@ -248,7 +248,7 @@
             case retry.Again(delay_s):
                 await asyncio.sleep(delay_s)
             case _:
-                raise _given_up(failed.failure, surely_not_run)
+                raise _final_error(failed.failure, definitely_not_run)
 
 
 def is_error(status: int) -> bool:
@@ -256,7 +256,7 @@
     return status >= SERVER_ERROR
 
 
-def _outcome(
+def _failure_of(
     call: call_data.Call, incoming: http_client.Incoming
 ) -> retry.Failure | None:
     """Return how an answer's head counts as a failure, or None.
@@ -271,7 +271,7 @@
     return None
 
 
-async def _drop(incoming: http_client.Incoming) -> None:
+async def _discard_body(incoming: http_client.Incoming) -> None:
     try:
         await incoming.read()
     except http_data.BrokenError:
@@ -280,7 +280,7 @@
         incoming.close()
 
 
-def _barred(
+def _unusable_error(
     code: refusal.Code, version: config_data.VersionRef | None
 ) -> Exception:
     name = f'{version.model}@{version.version}' if version else 'it'
@@ -303,11 +303,11 @@
     )
 
 
-def _given_up(failure: retry.Failure, surely_not_run: bool) -> Exception:
+def _final_error(failure: retry.Failure, definitely_not_run: bool) -> Exception:
     """Say what became of a call whose last attempt has failed."""
     timed_out = failure is retry.Failure.TIMED_OUT
     code = refusal.Code.DEADLINE if timed_out else refusal.Code.BACKEND_FAILED
-    if surely_not_run:
+    if definitely_not_run:
         return refusal.RefusedError(
             refusal.Refusal(
                 refusal.Code.NO_SERVER,
--- a/beryllug/entry/batcher.py
+++ b/beryllug/entry/batcher.py
@@ -12,7 +12,7 @@
 Item = TypeVar('Item')
 Reply = TypeVar('Reply')
 
-GAP_S = 0.004
+MIN_CALL_INTERVAL_S = 0.004
 MAX_BATCH = 256
 
 
@@ -36,14 +36,14 @@
             Exception: Whatever the call raised.
         """
         loop = asyncio.get_running_loop()
-        fut: asyncio.Future[Reply] = loop.create_future()
-        self._waiting.append((item, fut))
+        future: asyncio.Future[Reply] = loop.create_future()
+        self._waiting.append((item, future))
         if len(self._waiting) >= MAX_BATCH:
             self._flush()
         elif self._timer is None:
-            due = max(loop.time(), self._sent_at + GAP_S)
+            due = max(loop.time(), self._sent_at + MIN_CALL_INTERVAL_S)
             self._timer = loop.call_at(due, self._flush)
-        return await fut
+        return await future
 
     async def stop(self) -> None:
         """Wait for the calls under way."""
@@ -68,14 +68,14 @@
         try:
             replies = await self._send([item for item, _ in batch])
         except Exception as exc:
-            for _, fut in batch:
-                _settle(fut, exc)
+            for _, future in batch:
+                _fail_future(future, exc)
             return
-        for (_, fut), reply in zip(batch, replies, strict=True):
-            if not fut.done():
-                fut.set_result(reply)
+        for (_, future), reply in zip(batch, replies, strict=True):
+            if not future.done():
+                future.set_result(reply)
 
 
-def _settle(fut: 'asyncio.Future[Reply]', exc: Exception) -> None:
-    if not fut.done():
-        fut.set_exception(exc)
+def _fail_future(future: 'asyncio.Future[Reply]', exc: Exception) -> None:
+    if not future.done():
+        future.set_exception(exc)
--- a/beryllug/entry/bills.py
+++ b/beryllug/entry/bills.py
@@ -17,10 +17,10 @@
 )
 from beryllug.entry import begun, call_data, outbox
 
-FINISH_S = 2.0
+OUTCOME_TIMEOUT_S = 2.0
 RUNNING_RETRY_S = 1.0
 MS = 1000
-STATES = types.MappingProxyType(
+STATE_BY_RUN = types.MappingProxyType(
     {
         refusal.Run.NOT_RUN: journal_data.OutcomeState.NOT_RUN,
         refusal.Run.RAN: journal_data.OutcomeState.FAILED,
@@ -63,7 +63,7 @@
         """
         total_s = call.facts.targets.total_ms / MS
         row = self._row(call, journal_data.RowKind.INTENT, note)._replace(
-            longest_s=total_s + FINISH_S
+            longest_s=total_s + OUTCOME_TIMEOUT_S
         )
         grant = await self._outbox.begin(row)
         match grant.kind:
@@ -78,7 +78,7 @@
             case _:
                 raise refusal.RefusedError(_refusal(grant))
 
-    async def finish_first(
+    async def finish_for_lost_entry(
         self,
         intent: journal_data.Row,
         use: journal_data.StageUse,
@@ -99,7 +99,7 @@
             stages=(use,),
             answer=answer,
         )
-        await self._outbox.finish(row, FINISH_S)
+        await self._outbox.finish(row, OUTCOME_TIMEOUT_S)
         return row
 
     async def finish(
@@ -114,13 +114,13 @@
         row = self._row(call, journal_data.RowKind.OUTCOME, '')._replace(
             state=state, stages=tuple(stages), answer=answer
         )
-        return await self._outbox.finish(row, FINISH_S)
+        return await self._outbox.finish(row, OUTCOME_TIMEOUT_S)
 
     async def refuse(
         self,
         call: call_data.Call,
         refused: refusal.Refusal,
-        earlier: Sequence[journal_data.StageUse] = (),
+        earlier_stages: Sequence[journal_data.StageUse] = (),
     ) -> None:
         """Write the outcome of a call that was refused after its intent.
 
@@ -132,13 +132,13 @@
             refused: What its caller is told.
             earlier: What stages of a cascade used before it was refused.
         """
-        state = STATES[refused.run]
+        state = STATE_BY_RUN[refused.run]
         not_run = state is journal_data.OutcomeState.NOT_RUN
-        if not_run and earlier:
+        if not_run and earlier_stages:
             state = journal_data.OutcomeState.FAILED
         elif not_run and call.facts.repeatable:
             return
-        await self.finish(call, state, earlier)
+        await self.finish(call, state, earlier_stages)
 
     def _row(
         self, call: call_data.Call, kind: journal_data.RowKind, note: str
--- a/beryllug/entry/callers.py
+++ b/beryllug/entry/callers.py
@@ -129,16 +129,16 @@
         elif path.startswith(fetches.PREFIX) and req.method == GET:
             await self._flows.fetch.serve(req, index, exchange)
         else:
-            await self._take_work(path, req, exchange)
+            await self._dispatch(path, req, exchange)
 
-    async def _take_work(
+    async def _dispatch(
         self,
         path: str,
         req: http_data.Request,
         exchange: http_server.Exchange,
     ) -> None:
         clock = intake.Clock(time.monotonic(), time.time())
-        self._refuse_if_closed(clock.monotonic)
+        self._check_accepting(clock.monotonic)
         index = self._link.index
         if path == intake.CHAT_PATH and req.method == POST:
             call = intake.read_chat(req, index, clock)
@@ -172,7 +172,7 @@
         else:
             self._count('answered')
 
-    def _refuse_if_closed(self, now: float) -> None:
+    def _check_accepting(self, now: float) -> None:
         if not self._link.may_accept(now):
             raise refusal.RefusedError(
                 refusal.Refusal(
--- a/beryllug/entry/cascade_flow.py
+++ b/beryllug/entry/cascade_flow.py
@@ -36,7 +36,7 @@
 MIN_RATING_S = 0.05
 
 
-class _Case(NamedTuple):
+class _CascadeCall(NamedTuple):
     """One call of a cascade on its way."""
 
     call: call_data.Call
@@ -57,13 +57,13 @@
 class CascadeFlow:
     """Takes one call of a cascade to its bill."""
 
-    def __init__(self, wired: parts.Parts) -> None:
+    def __init__(self, deps: parts.Parts) -> None:
         """Bind the services."""
-        self._parts = wired
-        self._state = wired.cascades
-        self._seats = seats.Seats(wired)
-        self._runner = turn_runner.TurnRunner(wired)
-        self._bill = chat_bill.ChatBill(wired)
+        self._deps = deps
+        self._state = deps.cascades
+        self._turn_admission = seats.TurnAdmission(deps)
+        self._runner = turn_runner.TurnRunner(deps)
+        self._bill = chat_bill.ChatBill(deps)
         self._rng = random.Random(0)
 
     async def serve(
@@ -79,46 +79,57 @@
             RefusedError: It got no answer; says whether it ran.
         """
         assert plan.cascade is not None
-        case = _Case(call, session, plan, plan.cascade)
+        cascade_call = _CascadeCall(call, session, plan, plan.cascade)
         now = time.monotonic()
-        begin = cascade.begin(POLICY, self._state, self._ask(case, now), now)
+        begin = cascade.begin(
+            POLICY, self._state, self._question(cascade_call, now), now
+        )
         if begin.checked:
-            await self._checked(case, begin.stage, exchange)
+            await self._serve_checked(cascade_call, begin.stage, exchange)
         else:
-            await self._straight(case, begin.stage, (), exchange)
+            await self._serve_unchecked(cascade_call, begin.stage, (), exchange)
 
-    async def _checked(
-        self, case: _Case, number: int, exchange: http_server.Exchange
+    async def _serve_checked(
+        self,
+        cascade_call: _CascadeCall,
+        number: int,
+        exchange: http_server.Exchange,
     ) -> None:
-        seat = self._seats.take(
-            case.call, case.session, case.plan.stages[number]
+        admitted = self._turn_admission.take(
+            cascade_call.call,
+            cascade_call.session,
+            cascade_call.plan.stages[number],
         )
         try:
-            if not await self._seats.may_run(seat.turn, exchange):
+            if not await self._turn_admission.may_run(admitted.turn, exchange):
                 return
-            checked = await self._run_checked(case, number, seat.turn)
+            checked = await self._run_checked(
+                cascade_call, number, admitted.turn
+            )
         finally:
-            self._seats.give_back(seat)
+            self._turn_admission.give_back(admitted)
         now = time.monotonic()
-        question = self._ask(case, now)
+        question = self._question(cascade_call, now)
         decision = cascade.after(
             POLICY, self._state, question, (checked.answer,)
         )
         cascade.learn(self._state, question, checked.answer, escalated=False)
         match decision:
             case cascade_data.Begin(stage=stage):
-                use = chat_bill.use_of_body(
+                use = chat_bill.stage_use_of_body(
                     checked.turn, checked.opened.attempt, checked.body
                 )
-                await self._straight(case, stage, (use,), exchange)
+                await self._serve_unchecked(
+                    cascade_call, stage, (use,), exchange
+                )
             case cascade_data.GiveOut():
                 cascade.given_out(
                     self._state, question, checked.answer, escalated=False
                 )
-                await self._give_out(checked, exchange)
+                await self._deliver(checked, exchange)
 
     async def _run_checked(
-        self, case: _Case, number: int, turn: chat_data.Turn
+        self, cascade_call: _CascadeCall, number: int, turn: chat_data.Turn
     ) -> _Checked:
         staged = turn._replace(run_suffix=f'.{number}')
         opened, body = await self._runner.answer(staged)
@@ -128,33 +139,35 @@
         answer = cascade_data.Answer(number, rated)
         return _Checked(staged, opened, body, answer)
 
-    async def _straight(
+    async def _serve_unchecked(
         self,
-        case: _Case,
+        cascade_call: _CascadeCall,
         number: int,
         earlier: tuple[journal_data.StageUse, ...],
         exchange: http_server.Exchange,
     ) -> None:
         """Run a stage whose answer goes out as it comes."""
-        seat = self._seats.take(
-            case.call, case.session, case.plan.stages[number]
+        admitted = self._turn_admission.take(
+            cascade_call.call,
+            cascade_call.session,
+            cascade_call.plan.stages[number],
         )
-        turn = seat.turn._replace(earlier=earlier)
+        turn = admitted.turn._replace(earlier=earlier)
         try:
-            if earlier or await self._seats.may_run(turn, exchange):
+            if earlier or await self._turn_admission.may_run(turn, exchange):
                 await self._runner.run(turn, exchange)
         finally:
-            self._seats.give_back(seat)
+            self._turn_admission.give_back(admitted)
         answer = cascade_data.Answer(number, None)
-        question = self._ask(case, time.monotonic())
+        question = self._question(cascade_call, time.monotonic())
         cascade.given_out(
             self._state, question, answer, escalated=bool(earlier)
         )
 
-    async def _give_out(
+    async def _deliver(
         self, checked: _Checked, exchange: http_server.Exchange
     ) -> None:
-        await self._bill.whole_body(checked.turn, checked.opened, checked.body)
+        await self._bill.finish_body(checked.turn, checked.opened, checked.body)
         fields = await self._runner.headers(checked.turn)
         fields[headers.CONTENT_TYPE] = checked.opened.incoming.headers.get(
             headers.CONTENT_TYPE, headers.JSON_TYPE
@@ -168,12 +181,12 @@
         judge = self._state.judge
         longest_s = max(rating_health.longest_s(judge), MIN_RATING_S)
         started = time.monotonic()
-        ask = rating.RatingAsk(
+        request = rating.RatingAsk(
             turn.call.request_id,
             turn.version.ref,
             chat_answer.text_of(body),
         )
-        rated = await self._parts.ratings.ask(ask, longest_s)
+        rated = await self._deps.ratings.ask(request, longest_s)
         now = time.monotonic()
         if rated is None:
             rating_health.missed(judge, now - started, now)
@@ -181,23 +194,30 @@
             rating_health.rated(judge, now - started)
         return rated
 
-    def _ask(self, case: _Case, now: float) -> cascade_data.Question:
+    def _question(
+        self, cascade_call: _CascadeCall, now: float
+    ) -> cascade_data.Question:
         """Return the question as it stands now, with the time left."""
-        facts = case.call.facts
-        offers = (self._offer(case, stage) for stage in case.plan.stages)
+        facts = cascade_call.call.facts
+        offers = (
+            self._stage_offer(cascade_call, stage)
+            for stage in cascade_call.plan.stages
+        )
         return cascade_data.Question(
             account_id=facts.account_id,
             kind=facts.request_class,
-            cascade=case.declared,
+            cascade=cascade_call.declared,
             offers=tuple(offers),
             first_token_left_s=request_data.first_token_by(facts) - now,
-            whole_left_s=case.call.deadline - now,
+            whole_left_s=cascade_call.call.deadline - now,
         )
 
-    def _offer(self, case: _Case, stage: versions.Stage) -> cascade_data.Offer:
+    def _stage_offer(
+        self, cascade_call: _CascadeCall, stage: versions.Stage
+    ) -> cascade_data.Offer:
         version = stage.versions[0]
-        facts = case.call.facts
-        known = self._parts.admission.estimate(
+        facts = cascade_call.call.facts
+        known = self._deps.admission.estimate(
             chat_data.name_of(version.ref), facts.request_class
         )
         tokens = facts.tokens_in + facts.tokens_out
@@ -206,5 +226,5 @@
             cost=chat_bill.cost_micro(version, tokens),
             first_token_s=known.first_token_s,
             whole_s=known.first_token_s + known.service_s,
-            open=self._parts.admission.has_room(version.pool),
+            open=self._deps.admission.has_room(version.pool),
         )
--- a/beryllug/entry/catching_up.py
+++ b/beryllug/entry/catching_up.py
@@ -15,7 +15,7 @@
 from beryllug.drivers import methods, rpc
 from beryllug.entry import control_calls, suspicions
 
-ASK_S = 0.3
+SYNC_TIMEOUT_S = 0.3
 
 
 class Ticks(Protocol):
@@ -25,45 +25,45 @@
         """Return when the process last went on after it stood still."""
 
 
-class CatchingUp:
+class SuspectSync:
     """Asks a control process once after each standstill."""
 
     def __init__(
         self,
         calls: control_calls.ControlCalls,
-        known: suspicions.Suspicions,
+        known: suspicions.KnownSuspects,
         ticks: Ticks,
     ) -> None:
         """Bind the link to control, what is known, and the clock."""
         self._calls = calls
         self._known = known
         self._ticks = ticks
-        self._done_at = 0.0
-        self._gate = asyncio.Lock()
+        self._synced_at = 0.0
+        self._lock = asyncio.Lock()
 
     async def catch_up(self) -> None:
         """Wait until this process knows what it missed; for a bounded time."""
         if self._is_current():
             return
-        async with self._gate:
+        async with self._lock:
             if self._is_current():
                 return
             now = time.monotonic()
-            await self._ask()
-            self._done_at = now
+            await self._fetch()
+            self._synced_at = now
 
     def _is_current(self) -> bool:
-        return self._ticks.stood_until(time.monotonic()) <= self._done_at
+        return self._ticks.stood_until(time.monotonic()) <= self._synced_at
 
-    async def _ask(self) -> None:
-        wanted = suspects_data.Notes(wants=True)
+    async def _fetch(self) -> None:
+        request = suspects_data.Notes(wants=True)
         try:
             # One time for all control processes that are tried in turn.
-            async with asyncio.timeout(ASK_S):
-                told: suspects_data.Notes = await self._calls.call(
-                    methods.TELL_SUSPECTS, wanted, ASK_S
+            async with asyncio.timeout(SYNC_TIMEOUT_S):
+                reply: suspects_data.Notes = await self._calls.call(
+                    methods.TELL_SUSPECTS, request, SYNC_TIMEOUT_S
                 )
         except (rpc.RpcError, TimeoutError) as exc:
             logging.warning('event=suspects_not_learnt error=%r', exc)
             return
-        self._known.learnt(told.notes, time.time())
+        self._known.learnt(reply.notes, time.time())
--- a/beryllug/entry/catching_up_test.py
+++ b/beryllug/entry/catching_up_test.py
@@ -17,20 +17,20 @@
 REQUESTS = 20
 
 
-class _Process:
+class _FakeControl:
     """A clock, and a control process that knows one suspected request."""
 
     def __init__(self, *, answers: bool, silent: bool = False) -> None:
-        self.stood_at = 0.0
+        self.resumed_at = 0.0
         self.asked = 0
         self._answers = answers
         self._silent = silent
 
     def stood_until(self, now: float) -> float:
-        return self.stood_at
+        return self.resumed_at
 
     async def call(
-        self, method: Any, ask: suspects_data.Notes, timeout_s: float
+        self, method: Any, request: suspects_data.Notes, timeout_s: float
     ) -> suspects_data.Notes:
         self.asked += 1
         await asyncio.sleep(0)
@@ -43,46 +43,46 @@
         return suspects_data.Notes((note,))
 
 
-class CatchingUpTest(unittest.IsolatedAsyncioTestCase):
+class SuspectSyncTest(unittest.IsolatedAsyncioTestCase):
     """Many requests at once, after the process went on."""
 
     async def test_catch_up(self) -> None:
         """A request that has crashed a server is taken for an ordinary one."""
         for answers in (True, False):
             with self.subTest(answers=answers):
-                process = _Process(answers=answers)
+                process = _FakeControl(answers=answers)
                 known = _suspicions(process)
-                made = catching_up.CatchingUp(
+                sync = catching_up.SuspectSync(
                     cast('Any', process), known, process
                 )
-                await self._send(made)
+                await self._send(sync)
                 self.assertEqual(process.asked, 0)
                 for number in (1, 2):
-                    process.stood_at = time.monotonic()
-                    await self._send(made)
+                    process.resumed_at = time.monotonic()
+                    await self._send(sync)
                     self.assertEqual(process.asked, number)
                 self.assertIs(known.needs_trial(_call()), answers)
 
     async def test_silent(self) -> None:
         """Requests wait for each of the silent control processes in turn."""
-        process = _Process(answers=True, silent=True)
+        process = _FakeControl(answers=True, silent=True)
         known = _suspicions(process)
-        made = catching_up.CatchingUp(cast('Any', process), known, process)
-        process.stood_at = time.monotonic()
-        await self._send(made)
-        waited_s = time.monotonic() - process.stood_at
-        self.assertLess(waited_s, 2 * catching_up.ASK_S)
-
-    async def _send(self, made: catching_up.CatchingUp) -> None:
-        waiting = (made.catch_up() for _ in range(REQUESTS))
+        sync = catching_up.SuspectSync(cast('Any', process), known, process)
+        process.resumed_at = time.monotonic()
+        await self._send(sync)
+        waited_s = time.monotonic() - process.resumed_at
+        self.assertLess(waited_s, 2 * catching_up.SYNC_TIMEOUT_S)
+
+    async def _send(self, sync: catching_up.SuspectSync) -> None:
+        waiting = (sync.catch_up() for _ in range(REQUESTS))
         await asyncio.gather(*waiting)
 
 
-def _suspicions(process: _Process) -> suspicions.Suspicions:
-    ask = rpc_data.ViewAsk('e', 'zone-1')
+def _suspicions(process: _FakeControl) -> suspicions.KnownSuspects:
+    request = rpc_data.ViewAsk('e', 'zone-1')
     calls = cast('Any', process)
-    link = control_link.ControlLink(ask, cast('Any', None), calls)
-    return suspicions.Suspicions(link)
+    link = control_link.ControlLink(request, cast('Any', None), calls)
+    return suspicions.KnownSuspects(link)
 
 
 def _call() -> Any:
--- a/beryllug/entry/chat.py
+++ b/beryllug/entry/chat.py
@@ -24,12 +24,12 @@
 class ChatFlow:
     """Takes one chat call from its plan to its bill."""
 
-    def __init__(self, wired: parts.Parts) -> None:
+    def __init__(self, deps: parts.Parts) -> None:
         """Bind the services."""
-        self._parts = wired
-        self._seats = seats.Seats(wired)
-        self._runner = turn_runner.TurnRunner(wired)
-        self._cascade = cascade_flow.CascadeFlow(wired)
+        self._deps = deps
+        self._turn_admission = seats.TurnAdmission(deps)
+        self._runner = turn_runner.TurnRunner(deps)
+        self._cascade = cascade_flow.CascadeFlow(deps)
 
     async def serve(
         self, call: call_data.Call, exchange: http_server.Exchange
@@ -39,28 +39,28 @@
         Raises:
             RefusedError: It got no answer; says whether it ran.
         """
-        self._parts.crashes.refuse_suspect(call)
-        session = await self._parts.sessions.find(call)
+        self._deps.crashes.refuse_suspect(call)
+        session = await self._deps.sessions.find(call)
         plan = self._plan(call, session)
         if plan.cascade is not None:
             await self._cascade.serve(call, session, plan, exchange)
             return
-        seat = self._seats.take(call, session, plan.stages[0])
+        admitted = self._turn_admission.take(call, session, plan.stages[0])
         try:
-            if await self._seats.may_run(seat.turn, exchange):
-                await self._runner.run(seat.turn, exchange)
+            if await self._turn_admission.may_run(admitted.turn, exchange):
+                await self._runner.run(admitted.turn, exchange)
         finally:
-            self._seats.give_back(seat)
+            self._turn_admission.give_back(admitted)
 
     def _plan(
         self, call: call_data.Call, session: versions.Session
     ) -> versions.Plan:
         plan = versions.candidates(
-            self._parts.link.known.view,
+            self._deps.link.known.view,
             call.account,
             call.facts.asked,
             session,
-            self._parts.exposure.budgets(),
+            self._deps.exposure.budgets(),
         )
         if isinstance(plan, versions.Refusal):
             message = f'{plan.model}: {plan.reason.value}'
--- a/beryllug/entry/chat_bill.py
+++ b/beryllug/entry/chat_bill.py
@@ -25,11 +25,11 @@
 class ChatBill:
     """Writes down what became of a chat answer."""
 
-    def __init__(self, wired: parts.Parts) -> None:
+    def __init__(self, deps: parts.Parts) -> None:
         """Bind the services."""
-        self._parts = wired
+        self._deps = deps
 
-    async def whole_stream(
+    async def finish_stream(
         self,
         turn: chat_data.Turn,
         attempt: routing.Attempt,
@@ -40,25 +40,25 @@
         tokens = (turn.call.facts.tokens_in, relay.events)
         if usage is not None:
             tokens = (usage.tokens_in, usage.tokens_out)
-        self._learn(turn, attempt, relay.first_at or time.monotonic())
+        self._record_times(turn, attempt, relay.first_at or time.monotonic())
         answer = None
         if not turn.call.facts.repeatable:
-            answer = await self._parts.answers.keep(
+            answer = await self._deps.answers.keep(
                 turn.call.request_id,
                 OK,
                 headers.EVENTS_TYPE,
                 bytes(relay.kept),
             )
-        self._judge(turn, relay.first_at, failed=False)
-        self._rate(turn, bytes(relay.kept))
-        await self._parts.bills.finish(
+        self._record_evidence(turn, relay.first_at, failed=False)
+        self._submit_rating(turn, bytes(relay.kept))
+        await self._deps.bills.finish(
             turn.call,
             journal_data.OutcomeState.DONE,
-            (*turn.earlier, use_of(turn, attempt, tokens)),
+            (*turn.earlier, stage_use(turn, attempt, tokens)),
             answer,
         )
 
-    async def cut_stream(
+    async def finish_partial_stream(
         self,
         turn: chat_data.Turn,
         attempt: routing.Attempt,
@@ -68,24 +68,24 @@
         """Bill a stream that was cut, by the engine or by its caller."""
         failed = state is journal_data.OutcomeState.FAILED
         if failed:
-            self._judge(turn, relay.first_at, failed=True)
+            self._record_evidence(turn, relay.first_at, failed=True)
         tokens = (turn.call.facts.tokens_in, relay.events)
-        await self._parts.bills.finish(
-            turn.call, state, (*turn.earlier, use_of(turn, attempt, tokens))
+        await self._deps.bills.finish(
+            turn.call, state, (*turn.earlier, stage_use(turn, attempt, tokens))
         )
 
-    async def whole_body(
+    async def finish_body(
         self, turn: chat_data.Turn, opened: attempts.Opened, body: bytes
     ) -> None:
         """Bill an answer that was read whole."""
         status = opened.incoming.status
         failed = attempts.is_error(status)
         if failed:
-            self._parts.routing.failed(opened.attempt, time.monotonic())
+            self._deps.routing.failed(opened.attempt, time.monotonic())
         else:
-            self._learn(turn, opened.attempt, opened.head_at)
-            self._rate(turn, body)
-        self._judge(turn, opened.head_at, failed)
+            self._record_times(turn, opened.attempt, opened.head_at)
+            self._submit_rating(turn, body)
+        self._record_evidence(turn, opened.head_at, failed)
         state = journal_data.OutcomeState.DONE
         if status != OK:
             state = journal_data.OutcomeState.FAILED
@@ -94,15 +94,15 @@
             content_type = opened.incoming.headers.get(
                 headers.CONTENT_TYPE, headers.JSON_TYPE
             )
-            answer = await self._parts.answers.keep(
+            answer = await self._deps.answers.keep(
                 turn.call.request_id, status, content_type, body
             )
-        use = use_of_body(turn, opened.attempt, body)
-        await self._parts.bills.finish(
+        use = stage_use_of_body(turn, opened.attempt, body)
+        await self._deps.bills.finish(
             turn.call, state, (*turn.earlier, use), answer
         )
 
-    def _judge(
+    def _record_evidence(
         self,
         turn: chat_data.Turn,
         first_at: float | None,
@@ -114,13 +114,13 @@
         late = first_at is None or first_at > due
         turn.probe.end(evidence_book.Answer(failed=failed, late=late))
 
-    def _rate(self, turn: chat_data.Turn, answer: bytes) -> None:
+    def _submit_rating(self, turn: chat_data.Turn, answer: bytes) -> None:
         subject = evidence_book.Subject(
             turn.version.ref, turn.call.account.account_id
         )
-        self._parts.exposure.rate(subject, turn.call.request_id, answer)
+        self._deps.exposure.rate(subject, turn.call.request_id, answer)
 
-    def _learn(
+    def _record_times(
         self,
         turn: chat_data.Turn,
         attempt: routing.Attempt,
@@ -130,37 +130,37 @@
         name = chat_data.name_of(turn.version.ref)
         facts = turn.call.facts
         first_s = first_at - attempt.started
-        known = self._parts.admission.estimate(name, facts.request_class)
+        known = self._deps.admission.estimate(name, facts.request_class)
         ratio = first_s / max(known.first_token_s, MIN_EXPECTED_S)
-        self._parts.routing.answered(attempt, ratio, now)
+        self._deps.routing.answered(attempt, ratio, now)
         times = (first_s, now - first_at)
-        self._parts.admission.observe(name, facts, times, attempt.load_share)
+        self._deps.admission.observe(name, facts, times, attempt.load_share)
 
 
-def use_of(
+def stage_use(
     turn: chat_data.Turn, attempt: routing.Attempt, tokens: tuple[int, int]
 ) -> journal_data.StageUse:
     """Return the detail of a bill for one stage."""
-    return _use(turn.version, attempt.server.server_id, tokens)
+    return _make_stage_use(turn.version, attempt.server.server_id, tokens)
 
 
-def use_of_body(
+def stage_use_of_body(
     turn: chat_data.Turn, attempt: routing.Attempt, body: bytes
 ) -> journal_data.StageUse:
     """Return the detail for an answer that was read whole."""
-    return use_of_kept(turn.version, attempt.server.server_id, body)
+    return stage_use_of_stored(turn.version, attempt.server.server_id, body)
 
 
-def use_of_kept(
+def stage_use_of_stored(
     version: config_data.Version, server_id: str, body: bytes
 ) -> journal_data.StageUse:
     """Return the detail for a whole answer of a version."""
     usage = _usage_in(body)
     tokens = (usage.tokens_in, usage.tokens_out) if usage else (0, 0)
-    return _use(version, server_id, tokens)
+    return _make_stage_use(version, server_id, tokens)
 
 
-def _use(
+def _make_stage_use(
     version: config_data.Version, server_id: str, tokens: tuple[int, int]
 ) -> journal_data.StageUse:
     tokens_in, tokens_out = tokens
--- a/beryllug/entry/chat_order.py
+++ b/beryllug/entry/chat_order.py
@@ -13,9 +13,9 @@
 from beryllug.entry import attempts, chat_data, parts
 
 
-def make(wired: parts.Parts, turn: chat_data.Turn) -> attempts.Order:
+def make(deps: parts.Parts, turn: chat_data.Turn) -> attempts.Order:
     """Return the order of a turn for the attempts."""
-    ask = engine_data.ChatAsk(
+    request = engine_data.ChatAsk(
         request_id=turn.run_id,
         account_id=turn.call.account.account_id,
         version=turn.version.ref,
@@ -27,7 +27,7 @@
     async def send(  # noqa: WPS430
         server: view_data.BackendServer,
     ) -> http_client.Incoming:
-        return await wired.engine.chat(server.address, ask)
+        return await deps.engine.chat(server.address, request)
 
     return attempts.Order(
         pick=balance_data.Pick(
@@ -36,20 +36,22 @@
             turn.call.facts.prefix_key,
         ),
         send=send,
-        barred=lambda: _barred(wired, turn),
+        refusal_check=lambda: _refusal_code(deps, turn),
         probe=turn.probe,
     )
 
 
-def _barred(wired: parts.Parts, turn: chat_data.Turn) -> refusal.Code | None:
+def _refusal_code(
+    deps: parts.Parts, turn: chat_data.Turn
+) -> refusal.Code | None:
     """Tell why the turn's version may not get its work now, if so.
 
     A process that was frozen since the call was admitted may not have heard
     of a withdrawal; it sends nothing on a view that it knows to be old.
     """
-    if not wired.link.may_accept(time.monotonic()):
+    if not deps.link.may_accept(time.monotonic()):
         return refusal.Code.CUT_OFF
-    view = wired.link.known.view
+    view = deps.link.known.view
     account = turn.call.account
     for declared in view.document.accounts:
         if declared.account_id == account.account_id:
--- a/beryllug/entry/control_calls.py
+++ b/beryllug/entry/control_calls.py
@@ -19,7 +19,7 @@
 
 # A control process that is frozen keeps its connection open and says
 # nothing; silence for this long means that the next one is tried.
-SILENCE_S = 5.0
+STREAM_SILENCE_TIMEOUT_S = 5.0
 
 
 class ControlCalls:
@@ -38,7 +38,7 @@
         return self._clients[self._current].address
 
     async def call(
-        self, method: rpc.Method[Ask, Reply], ask: Ask, timeout_s: float
+        self, method: rpc.Method[Ask, Reply], request: Ask, timeout_s: float
     ) -> Reply:
         """Call a method of the first control process that answers.
 
@@ -46,25 +46,25 @@
             RpcError: None answered.
         """
         failure = rpc.RpcError('UNAVAILABLE', 'no control process')
-        for client in self._in_order():
+        for client in self._failover_order():
             try:
-                return await client.call(method, ask, timeout_s)
+                return await client.call(method, request, timeout_s)
             except rpc.RpcError as exc:
                 failure = exc
         raise failure
 
     async def updates(
-        self, ask: rpc_data.ViewAsk
+        self, request: rpc_data.ViewAsk
     ) -> AsyncIterator[rpc_data.ViewUpdate]:
         """Yield view updates of the current control process until it fails.
 
         Afterwards the next control process is the current one.
         """
         client = self._clients[self._current]
-        stream = client.stream(methods.WATCH_VIEW, ask)
+        stream = client.stream(methods.WATCH_VIEW, request)
         try:
             while True:
-                async with asyncio.timeout(SILENCE_S):
+                async with asyncio.timeout(STREAM_SILENCE_TIMEOUT_S):
                     update = await anext(stream, None)
                 if update is None:
                     break
@@ -80,5 +80,5 @@
         for client in self._clients:
             await client.close()
 
-    def _in_order(self) -> list[rpc.RpcClient]:
+    def _failover_order(self) -> list[rpc.RpcClient]:
         return self._clients[self._current :] + self._clients[: self._current]
--- a/beryllug/entry/control_link.py
+++ b/beryllug/entry/control_link.py
@@ -21,8 +21,8 @@
 from beryllug.drivers import methods, rpc
 from beryllug.entry import control_calls
 
-RETRY_S = 0.2
-SEEN_S = 1.0
+RECONNECT_DELAY_S = 0.2
+CONFIRM_TIMEOUT_S = 1.0
 
 Listener = Callable[[view_merge.Known], None]
 
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        ask: rpc_data.ViewAsk,
+        request: rpc_data.ViewAsk,
         cfg: settings_data.Entry,
         calls: control_calls.ControlCalls,
     ) -> None:
@@ -51,12 +51,12 @@
         self.known = view_merge.Known()
         self.index = view_index.build(self.known.view)
         self._cfg = cfg
-        self._ask = ask
+        self._watch_request = request
         self._calls = calls
-        self._heard_at = float('-inf')
+        self._fresh_at = float('-inf')
         self._task: asyncio.Task[None] | None = None
         self._listeners: list[Listener] = []
-        self._seen: set[asyncio.Task[None]] = set()
+        self._confirm_tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
         """Start following the view."""
@@ -64,7 +64,7 @@
 
     async def stop(self, grace_s: float) -> None:
         """Stop following and disconnect."""
-        for task in self._seen:
+        for task in self._confirm_tasks:
             task.cancel()
         if self._task is not None:
             self._task.cancel()
@@ -98,23 +98,23 @@
         Args:
             now: Seconds of the monotonic clock.
         """
-        blind = now - self._heard_at > self._cfg.blind_s
+        is_stale = now - self._fresh_at > self._cfg.blind_s
         configured = self.known.view.revision > 0
-        return configured and self.known.accept and not blind
+        return configured and self.known.accept and not is_stale
 
     async def _follow(self) -> None:
         while True:
-            async for update in self._calls.updates(self._ask):
-                self._take(update)
-            await asyncio.sleep(RETRY_S)
+            async for update in self._calls.updates(self._watch_request):
+                self._apply_update(update)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
-    def _take(self, update: rpc_data.ViewUpdate) -> None:
+    def _apply_update(self, update: rpc_data.ViewUpdate) -> None:
         # A process that was frozen finds messages in its socket that are as
         # old as the freeze. Taking them for fresh would let it dispatch on a
         # version that was withdrawn meanwhile; their age is what counts.
         age_s = max(0, time.time() - update.sent_at)
-        heard_at = time.monotonic() - age_s
-        self._heard_at = max(self._heard_at, heard_at)
+        fresh_at = time.monotonic() - age_s
+        self._fresh_at = max(self._fresh_at, fresh_at)
         before = self.known
         self.known = view_merge.merge(before, update)
         if self.known.view != before.view:
@@ -122,14 +122,14 @@
         for listener in self._listeners:
             listener(self.known)
         if update.suspects is not None:
-            seen = suspects_data.Seen(self._ask.entry, update.number)
+            seen = suspects_data.Seen(self._watch_request.entry, update.number)
             task = asyncio.create_task(self._confirm(seen))
-            self._seen.add(task)
-            task.add_done_callback(self._seen.discard)
+            self._confirm_tasks.add(task)
+            task.add_done_callback(self._confirm_tasks.discard)
 
     async def _confirm(self, seen: suspects_data.Seen) -> None:
         try:
-            await self._calls.call(methods.VIEW_SEEN, seen, SEEN_S)
+            await self._calls.call(methods.VIEW_SEEN, seen, CONFIRM_TIMEOUT_S)
         except rpc.RpcError as exc:
             # The control process that waits for it has a bound.
             logging.warning('event=suspects_not_confirmed error=%s', exc)
--- a/beryllug/entry/crashes.py
+++ b/beryllug/entry/crashes.py
@@ -28,10 +28,10 @@
 
 # Seconds in which a report is known on all hosts: a control process waits
 # one for its peers.
-REPORT_S = 2.0
+REPORT_TIMEOUT_S = 2.0
 ID_BYTES = 8
 # Seconds that a server takes at least to start again after a crash.
-RESTART_S = 0.3
+MIN_RESTART_S = 0.3
 RETRY_AFTER_S = 1.0
 
 
@@ -59,14 +59,14 @@
         ticks: Ticks,
     ) -> None:
         """Bind the link to control, the client for probes and the clock."""
-        self.known = suspicions.Suspicions(link)
-        self.catching_up = catching_up.CatchingUp(calls, self.known, ticks)
+        self.known = suspicions.KnownSuspects(link)
+        self.suspect_sync = catching_up.SuspectSync(calls, self.known, ticks)
         self._entry = entry
         self._calls = calls
         self._client = client
         self._ticks = ticks
         self._counts = {'reported': 0, 'unknown': 0, 'trials': 0}
-        self._watched: set[str] = set()
+        self._inspecting: set[str] = set()
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def start(self) -> None:
@@ -75,7 +75,7 @@
     async def stop(self, grace_s: float) -> None:
         """Send what is still to be told, for a bounded time."""
         if self._tasks:
-            _, late = await asyncio.wait(self._tasks, timeout=REPORT_S)
+            _, late = await asyncio.wait(self._tasks, timeout=REPORT_TIMEOUT_S)
             for task in late:
                 task.cancel()
 
@@ -104,14 +104,16 @@
         Raises:
             RefusedError: It is refused, or nobody could decide.
         """
-        ask = suspects_data.TrialAsk(
+        request = suspects_data.TrialAsk(
             call.fingerprint,
             server_id,
             trial_id,
             max(call.deadline - time.monotonic(), 0),
         )
         try:
-            reply = await self._calls.call(methods.TRY_SUSPECT, ask, REPORT_S)
+            reply = await self._calls.call(
+                methods.TRY_SUSPECT, request, REPORT_TIMEOUT_S
+            )
         except rpc.RpcError as exc:
             raise suspicions.refused(RETRY_AFTER_S) from exc
         match reply.verdict:
@@ -147,7 +149,7 @@
             end = suspects_data.TrialEnd(
                 fingerprint, attempt.trial_id, answered
             )
-            self._spawn(self._end(end))
+            self._start_task(self._report_trial_end(end))
 
     def answers(self, call: call_data.Call, attempt: routing.Attempt) -> None:
         """Tell that an attempt's answer has begun.
@@ -157,12 +159,12 @@
         be lost after all, the report still names this trial.
         """
         if attempt.trial_id:
-            self.drop_trial(call, attempt.trial_id)
+            self.abandon_trial(call, attempt.trial_id)
 
-    def drop_trial(self, call: call_data.Call, trial_id: str) -> None:
+    def abandon_trial(self, call: call_data.Call, trial_id: str) -> None:
         """End a trial, without saying how."""
         end = suspects_data.TrialEnd(call.fingerprint, trial_id, answered=False)
-        self._spawn(self._end(end))
+        self._start_task(self._report_trial_end(end))
 
     def watch(
         self,
@@ -184,12 +186,12 @@
             cut: The server's side closed the connection.
         """
         server_id = attempt.server.server_id
-        if server_id in self._watched and not attempt.trial_id:
+        if server_id in self._inspecting and not attempt.trial_id:
             return
-        self._watched.add(server_id)
-        looking = self._inspect(call, attempt, tuple(fingerprints), cut=cut)
-        self._spawn(looking).add_done_callback(
-            lambda _: self._watched.discard(server_id)
+        self._inspecting.add(server_id)
+        inspection = self._inspect(call, attempt, tuple(fingerprints), cut=cut)
+        self._start_task(inspection).add_done_callback(
+            lambda _: self._inspecting.discard(server_id)
         )
 
     async def _inspect(
@@ -200,32 +202,32 @@
         *,
         cut: bool,
     ) -> liveness.Found:
-        found = await self._look(attempt, cut=cut)
+        found = await self._check_server(attempt, cut=cut)
         if found is liveness.Found.LIVES:
             self.ended(call, attempt, answered=False)
         else:
             await self._report(call, attempt, fingerprints)
         return found
 
-    async def _look(
+    async def _check_server(
         self, attempt: routing.Attempt, *, cut: bool
     ) -> liveness.Found:
         now = time.monotonic()
-        lived_at = max(attempt.started, self._ticks.ran_before(now))
-        look = await liveness.look(self._client, attempt.server.address)
-        if look.gone:
+        last_alive_at = max(attempt.started, self._ticks.ran_before(now))
+        check = await liveness.look(self._client, attempt.server.address)
+        if check.gone:
             return liveness.Found.GONE
         # The process may have stood still before the look, or within it.
-        unseen_s = look.at - lived_at
+        unobserved_s = check.at - last_alive_at
         stood_until = self._ticks.stood_until(time.monotonic())
-        is_late = unseen_s > RESTART_S or stood_until > look.at
+        is_late = unobserved_s > MIN_RESTART_S or stood_until > check.at
         if not cut or not is_late:
             return liveness.Found.LIVES
         self._counts['unknown'] += 1
         logging.warning(
             'event=server_seen_late server=%s unseen_s=%.3f',
             attempt.server.server_id,
-            unseen_s,
+            unobserved_s,
         )
         return liveness.Found.UNKNOWN
 
@@ -247,23 +249,23 @@
         )
         self.known.reported(report)
         try:
-            await self._calls.call(methods.CRASH, report, REPORT_S)
+            await self._calls.call(methods.CRASH, report, REPORT_TIMEOUT_S)
         except rpc.RpcError as exc:
             logging.warning('event=crash_report_failed error=%s', exc)
 
-    async def _end(self, end: suspects_data.TrialEnd) -> None:
+    async def _report_trial_end(self, end: suspects_data.TrialEnd) -> None:
         try:
-            await self._calls.call(methods.END_SUSPECT, end, REPORT_S)
+            await self._calls.call(methods.END_SUSPECT, end, REPORT_TIMEOUT_S)
         except rpc.RpcError as exc:
             logging.warning('event=trial_end_not_told error=%s', exc)
 
-    def _spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    def _start_task(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
 
-def new_trial() -> str:
+def new_trial_id() -> str:
     """Return the id of a trial."""
     return os.urandom(ID_BYTES).hex()
--- a/beryllug/entry/crashes_test.py
+++ b/beryllug/entry/crashes_test.py
@@ -21,17 +21,17 @@
 Found = liveness.Found
 
 
-class _Calls:
+class _FakeControl:
     """A control process that keeps what it is told."""
 
     def __init__(self) -> None:
-        self.told: list[Any] = []
+        self.received: list[Any] = []
 
     async def call(self, method: Any, message: Any, timeout_s: float) -> Any:
-        self.told.append(message)
+        self.received.append(message)
 
 
-class _Process:
+class _FakeServer:
     """Reaches a server that answers or refuses, and stands still at times."""
 
     def __init__(self, case: 'Case') -> None:
@@ -39,7 +39,7 @@
         self._stood_until = 0.0
 
     async def call(self, address: str, outgoing: http_data.Outgoing) -> None:
-        await asyncio.sleep(self._case.answers_s)
+        await asyncio.sleep(self._case.answer_delay_s)
         if self._case.stalls:
             self._stood_until = time.monotonic()
         if self._case.refuses:
@@ -68,10 +68,10 @@
     title: str
     found: Found
     ago_s: float = 0.1
-    sent_s: float = 5.0
+    sent_ago_s: float = 5.0
     refuses: bool = False
     stalls: bool = False
-    answers_s: float = 0.0
+    answer_delay_s: float = 0.0
 
 
 CASES = (
@@ -79,9 +79,9 @@
     Case('seen at once, it refuses', Found.GONE, refuses=True),
     Case('seen late, it answers', Found.UNKNOWN, ago_s=0.8),
     Case('seen late, it refuses', Found.GONE, ago_s=0.8, refuses=True),
-    Case('stalled in the look', Found.UNKNOWN, stalls=True, answers_s=0.4),
-    Case('the server answers late', Found.LIVES, answers_s=0.4),
-    Case('sent after the stall', Found.LIVES, ago_s=0.8, sent_s=0.1),
+    Case('stalled in the look', Found.UNKNOWN, stalls=True, answer_delay_s=0.4),
+    Case('the server answers late', Found.LIVES, answer_delay_s=0.4),
+    Case('sent after the stall', Found.LIVES, ago_s=0.8, sent_ago_s=0.1),
 )
 
 
@@ -92,13 +92,14 @@
         """A server that restarted before it was looked at counts as lost."""
         for case in CASES:
             with self.subTest(case.title):
-                calls = _Calls()
+                calls = _FakeControl()
                 reports = _reports(calls, case)
                 call, attempt = _attempt(case)
                 found = await reports.suspect(call, attempt, ('a:bad',))
                 self.assertEqual(found, case.found)
                 self.assertEqual(
-                    _lost(calls), [] if found is Found.LIVES else ['s0']
+                    _reported_servers(calls),
+                    [] if found is Found.LIVES else ['s0'],
                 )
 
     async def test_streams(self) -> None:
@@ -106,34 +107,38 @@
         for title, cut in (('the server cut it', True), ('left', False)):
             for case in CASES:
                 with self.subTest(title, case=case.title):
-                    calls = _Calls()
+                    calls = _FakeControl()
                     reports = _reports(calls, case)
                     call, attempt = _attempt(case)
                     reports.watch(call, attempt, ('a:bad',), cut=cut)
                     await reports.stop(0)
                     known = case.refuses or cut
                     lost = known and case.found is not Found.LIVES
-                    self.assertEqual(_lost(calls), ['s0'] if lost else [])
+                    self.assertEqual(
+                        _reported_servers(calls), ['s0'] if lost else []
+                    )
 
 
-def _reports(calls: _Calls, case: Case) -> crashes.Crashes:
-    ask = rpc_data.ViewAsk('e', 'zone-1')
-    link = control_link.ControlLink(ask, cast('Any', None), cast('Any', calls))
-    process = cast('Any', _Process(case))
+def _reports(calls: _FakeControl, case: Case) -> crashes.Crashes:
+    request = rpc_data.ViewAsk('e', 'zone-1')
+    link = control_link.ControlLink(
+        request, cast('Any', None), cast('Any', calls)
+    )
+    process = cast('Any', _FakeServer(case))
     return crashes.Crashes('e', cast('Any', calls), link, process, process)
 
 
 def _attempt(case: Case) -> tuple[Any, routing.Attempt]:
     call = delivery_test.make_call('bad', repeatable=False, within_s=1.0)
-    sent_at = time.monotonic() - case.sent_s
+    sent_at = time.monotonic() - case.sent_ago_s
     return call, routing.Attempt(SERVER, 'booking', None, sent_at, 0.0)
 
 
-def _lost(calls: _Calls) -> list[str]:
+def _reported_servers(calls: _FakeControl) -> list[str]:
     return [
-        told.server_id
-        for told in calls.told
-        if isinstance(told, rpc_data.CrashReport)
+        received.server_id
+        for received in calls.received
+        if isinstance(received, rpc_data.CrashReport)
     ]
 
 
--- a/beryllug/entry/delivery.py
+++ b/beryllug/entry/delivery.py
@@ -12,8 +12,8 @@
 from beryllug.drivers import engine_stream, http_client, http_server
 from beryllug.entry import call_data, headers
 
-DONE = b'data: [DONE]'
-EVENT = b'data: '
+END_MARKER = b'data: [DONE]'
+EVENT_PREFIX = b'data: '
 
 
 class StreamRelay:
@@ -50,11 +50,11 @@
         self._keep = keep or not call.facts.repeatable
 
     @property
-    def unwanted(self) -> bool:
+    def is_abandoned(self) -> bool:
         """Tell whether nobody will ever read the rest of the answer."""
         return self.caller_gone and self._call.facts.repeatable
 
-    async def pump(self, incoming: http_client.Incoming) -> None:
+    async def forward(self, incoming: http_client.Incoming) -> None:
         """Pass on what an engine sends, to its end or until unwanted.
 
         Raises:
@@ -63,8 +63,8 @@
         """
         async with asyncio.timeout_at(self._call.deadline):
             async for chunk in incoming.chunks():
-                await self._pass(self._take(chunk))
-                if self.unwanted:
+                await self._send(self._hold_back_end(chunk))
+                if self.is_abandoned:
                     return
 
     async def finish(self) -> None:
@@ -79,22 +79,22 @@
         read events, the cut for all others.
         """
         if not self.caller_gone:
-            await self._pass(event)
+            await self._send(event)
             self._exchange.abort()
 
-    def _take(self, chunk: bytes) -> bytes:
+    def _hold_back_end(self, chunk: bytes) -> bytes:
         if self.first_at is None:
             self.first_at = time.monotonic()
-        self.events += chunk.count(EVENT)
+        self.events += chunk.count(EVENT_PREFIX)
         self.tail.feed(chunk)
         if self._keep:
             self.kept += chunk
         pending = self.held + chunk if self.held else chunk
-        place = _find_end(pending)
-        self.held = pending[place:]
-        return pending[:place]
+        position = _end_marker_start(pending)
+        self.held = pending[position:]
+        return pending[:position]
 
-    async def _pass(self, ready: bytes) -> None:
+    async def _send(self, ready: bytes) -> None:
         if self.caller_gone or not ready:
             return
         try:
@@ -134,12 +134,12 @@
     )
 
 
-def _find_end(pending: bytes) -> int:
+def _end_marker_start(pending: bytes) -> int:
     """Return where the end marker begins, or a part of one cut by a chunk."""
-    place = pending.find(DONE)
-    if place >= 0:
-        return place
-    for length in range(min(len(DONE) - 1, len(pending)), 0, -1):
-        if pending.endswith(DONE[:length]):
+    position = pending.find(END_MARKER)
+    if position >= 0:
+        return position
+    for length in range(min(len(END_MARKER) - 1, len(pending)), 0, -1):
+        if pending.endswith(END_MARKER[:length]):
             return len(pending) - length
     return len(pending)
--- a/beryllug/entry/delivery_test.py
+++ b/beryllug/entry/delivery_test.py
@@ -56,7 +56,7 @@
         for place in CUTS:
             with self.subTest(place):
                 relay, exchange = _relay(repeatable=True)
-                await relay.pump(_incoming((TEXT[:place], TEXT[place:])))
+                await relay.forward(_incoming((TEXT[:place], TEXT[place:])))
                 self.assertEqual(exchange.sent, TEXT[:BODY_END])
                 await relay.finish()
                 self.assertEqual(exchange.sent, TEXT)
@@ -64,7 +64,7 @@
     async def test_single_bytes(self) -> None:
         """Chunks of one byte pass too."""
         relay, exchange = _relay(repeatable=True)
-        await relay.pump(_incoming([bytes([byte]) for byte in TEXT]))
+        await relay.forward(_incoming([bytes([byte]) for byte in TEXT]))
         self.assertTrue(relay.tail.is_whole())
         await relay.finish()
         self.assertEqual(exchange.sent, TEXT)
@@ -75,9 +75,9 @@
             with self.subTest(place):
                 relay, exchange = _relay(repeatable=True)
                 with self.assertRaises(http_data.BrokenError):
-                    await relay.pump(_incoming((TEXT[:place],), broken=True))
+                    await relay.forward(_incoming((TEXT[:place],), broken=True))
                 self.assertEqual(relay.tail.size, place)
-                await relay.pump(_incoming((TEXT[place:],)))
+                await relay.forward(_incoming((TEXT[place:],)))
                 await relay.finish()
                 self.assertEqual(exchange.sent, TEXT)
 
@@ -91,15 +91,15 @@
         for repeatable, kept in ((True, b''), (False, TEXT)):
             with self.subTest(repeatable=repeatable):
                 relay, _ = _relay(repeatable, gone_after=10)
-                await relay.pump(_incoming(PIECES))
+                await relay.forward(_incoming(PIECES))
                 self.assertTrue(relay.caller_gone)
-                self.assertEqual(relay.unwanted, repeatable)
+                self.assertEqual(relay.is_abandoned, repeatable)
                 self.assertEqual(bytes(relay.kept), kept)
 
     async def test_broken_is_cut(self) -> None:
         """An answer that broke off never looks whole to its caller."""
         relay, exchange = _relay(repeatable=True)
-        await relay.pump(_incoming((TEXT[:20],)))
+        await relay.forward(_incoming((TEXT[:20],)))
         await relay.fail(b'data: {"error":{}}\n\n')
         self.assertTrue(exchange.aborted)
         self.assertFalse(exchange.ended)
--- a/beryllug/entry/exposure.py
+++ b/beryllug/entry/exposure.py
@@ -23,12 +23,12 @@
 from beryllug.parsing import chat_answer
 from beryllug.entry import control_calls, control_link, ratings
 
-REPORT_EVERY_S = 0.25
-REPORT_S = 3.0
-QUIET_S = 5.0
-RATED_SHARE = 0.25
+REPORT_INTERVAL_S = 0.25
+REPORT_TIMEOUT_S = 3.0
+MAX_REPORT_GAP_S = 5.0
+INCUMBENT_RATED_SHARE = 0.25
 
-Roles = dict[config_data.VersionRef, config_data.Rollout]
+RolloutsByVersion = dict[config_data.VersionRef, config_data.Rollout]
 
 
 class Exposure:
@@ -51,18 +51,18 @@
         """
         self._calls = calls
         self._ratings = rated
-        self._book = evidence_book.Book(boot)
-        self._brakes: dict[config_data.VersionRef, brake.Brake] = {}
-        self._rolling: Roles = {}
+        self._evidence = evidence_book.Book(boot)
+        self._breakers: dict[config_data.VersionRef, brake.Brake] = {}
+        self._rollouts_by_version: RolloutsByVersion = {}
         self._document = link.known.view.document
         self._task: asyncio.Task[None] | None = None
         self._reported_at = float('-inf')
         self._rng = random.Random(boot)
-        link.listen(self._take_view)
+        link.listen(self._on_view)
 
     async def start(self) -> None:
         """Start reporting."""
-        self._task = asyncio.create_task(self._run())
+        self._task = asyncio.create_task(self._report_loop())
 
     async def stop(self, grace_s: float) -> None:
         """Report what is left, then stop."""
@@ -73,19 +73,19 @@
     def dump(self) -> dict[str, Any]:
         """Return the brakes and what is unreported."""
         now = time.monotonic()
-        brakes = {
-            _name(ref): {
+        breakers = {
+            _version_name(ref): {
                 'total': state.total,
                 'given': state.given,
                 'open': state.open,
                 'held': brake.is_held(state, now),
             }
-            for ref, state in self._brakes.items()
+            for ref, state in self._breakers.items()
         }
         return {
-            'brakes': brakes,
-            'sequence': self._book.sequence,
-            'unreported': len(self._book.counts),
+            'brakes': breakers,
+            'sequence': self._evidence.sequence,
+            'unreported': len(self._evidence.counts),
         }
 
     def budgets(self) -> Mapping[config_data.VersionRef, int]:
@@ -93,14 +93,14 @@
         now = time.monotonic()
         return {
             ref: brake.remaining(state, now)
-            for ref, state in self._brakes.items()
+            for ref, state in self._breakers.items()
         }
 
     def begin(self, subject: evidence_book.Subject) -> None:
         """Count a dispatch."""
-        if subject.version in self._rolling:
-            evidence_book.start(self._book, subject)
-        state = self._brakes.get(subject.version)
+        if subject.version in self._rollouts_by_version:
+            evidence_book.start(self._evidence, subject)
+        state = self._breakers.get(subject.version)
         if state is not None:
             brake.give(state)
 
@@ -108,35 +108,35 @@
         self, subject: evidence_book.Subject, answer: evidence_book.Answer
     ) -> None:
         """Take in how a dispatch ended; each `begin` has one `end`."""
-        if subject.version in self._rolling:
-            evidence_book.end(self._book, subject, answer)
+        if subject.version in self._rollouts_by_version:
+            evidence_book.end(self._evidence, subject, answer)
         outcome = _outcome(answer)
-        state = self._brakes.get(subject.version)
+        state = self._breakers.get(subject.version)
         if state is None:
             return
         if brake.end(state, outcome, time.monotonic()):
             logging.warning(
                 'event=brake version=%s outcome=%s',
-                _name(subject.version),
+                _version_name(subject.version),
                 outcome.value,
             )
 
     def drop(self, subject: evidence_book.Subject) -> None:
         """End a dispatch that says nothing of its version."""
-        if subject.version in self._rolling:
-            evidence_book.drop(self._book, subject)
-        state = self._brakes.get(subject.version)
+        if subject.version in self._rollouts_by_version:
+            evidence_book.drop(self._evidence, subject)
+        state = self._breakers.get(subject.version)
         if state is not None:
             state.open = max(0, state.open - 1)
 
     def moved(self, subject: evidence_book.Subject) -> None:
         """Count a session that had to leave its version."""
-        if subject.version in self._rolling:
-            evidence_book.move(self._book, subject)
+        if subject.version in self._rollouts_by_version:
+            evidence_book.move(self._evidence, subject)
 
-    def wants_text(self, ref: config_data.VersionRef) -> bool:
+    def needs_answer_text(self, ref: config_data.VersionRef) -> bool:
         """Tell whether answers of a version may have to be rated."""
-        return ref in self._rolling
+        return ref in self._rollouts_by_version
 
     def rate(
         self, subject: evidence_book.Subject, request_id: str, answer: bytes
@@ -146,78 +146,83 @@
         All answers of a candidate are, and a share of the incumbent's: the
         candidate is compared with what is rated at the same time.
         """
-        declared = self._rolling.get(subject.version)
-        if declared is None:
+        rollout = self._rollouts_by_version.get(subject.version)
+        if rollout is None:
             return
-        is_candidate = subject.version.version == declared.candidate
-        wanted = is_candidate or self._rng.random() < RATED_SHARE
-        ask = rating.RatingAsk(
+        is_candidate = subject.version.version == rollout.candidate
+        wanted = is_candidate or self._rng.random() < INCUMBENT_RATED_SHARE
+        request = rating.RatingAsk(
             request_id, subject.version, chat_answer.text_of(answer)
         )
 
-        def take(rated: float | None) -> None:  # noqa: WPS430
+        def record(rated: float | None) -> None:  # noqa: WPS430
             if rated is None:
-                evidence_book.skip_rating(self._book, subject)
+                evidence_book.skip_rating(self._evidence, subject)
             else:
                 evidence_book.rate(
-                    self._book, subject, rated, declared.min_rating
+                    self._evidence, subject, rated, rollout.min_rating
                 )
 
-        if not wanted or not self._ratings.submit(ask, take):
-            take(None)
+        if not wanted or not self._ratings.submit(request, record):
+            record(None)
 
-    def _take_view(self, known: view_merge.Known) -> None:
+    def _on_view(self, known: view_merge.Known) -> None:
         for share in known.budgets:
-            state = self._brakes.setdefault(share.version, brake.Brake())
+            state = self._breakers.setdefault(share.version, brake.Brake())
             brake.deal(state, share.total)
         if known.view.document is not self._document:
             self._document = known.view.document
-            self._rolling = _rolling(self._document)
+            self._rollouts_by_version = _rollouts_by_version(self._document)
 
-    async def _run(self) -> None:
+    async def _report_loop(self) -> None:
         while True:
-            await asyncio.sleep(REPORT_EVERY_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             await self._report()
 
     async def _report(self) -> None:
-        if not self._has_news(time.monotonic()):
+        if not self._is_report_due(time.monotonic()):
             return
         now = time.monotonic()
-        braked = tuple(
+        blocked_versions = tuple(
             ref
-            for ref, state in self._brakes.items()
+            for ref, state in self._breakers.items()
             if brake.is_held(state, now)
         )
-        report = evidence_book.report(self._book, braked)
+        report = evidence_book.report(self._evidence, blocked_versions)
         try:
-            reply = await self._calls.call(methods.EVIDENCE, report, REPORT_S)
+            reply = await self._calls.call(
+                methods.EVIDENCE, report, REPORT_TIMEOUT_S
+            )
         except rpc.RpcError as exc:
             logging.warning('event=evidence_report_failed error=%s', exc)
             return
         if not reply.ok:
             return
-        evidence_book.acknowledge(self._book, report.sequence)
+        evidence_book.acknowledge(self._evidence, report.sequence)
         self._reported_at = now
 
-    def _has_news(self, now: float) -> bool:
+    def _is_report_due(self, now: float) -> bool:
         """Tell whether to report; a quiet entry does so now and then.
 
         An entry that is not heard of is dealt no share, and without a share
         it never has an answer to report.
         """
-        book = self._book
-        quiet = now - self._reported_at < QUIET_S
-        if not self._rolling:
-            return bool(book.pending)
-        return bool(book.counts or book.running or book.pending) or not quiet
+        evidence = self._evidence
+        recently_reported = now - self._reported_at < MAX_REPORT_GAP_S
+        if not self._rollouts_by_version:
+            return bool(evidence.pending)
+        return (
+            bool(evidence.counts or evidence.running or evidence.pending)
+            or not recently_reported
+        )
 
 
-def _rolling(document: config_data.Document) -> Roles:
+def _rollouts_by_version(document: config_data.Document) -> RolloutsByVersion:
     """Return the roll-out of each version that takes part in one."""
     return {
-        config_data.VersionRef(declared.model, version): declared
-        for declared in document.rollouts
-        for version in (declared.incumbent, declared.candidate)
+        config_data.VersionRef(rollout.model, version): rollout
+        for rollout in document.rollouts
+        for version in (rollout.incumbent, rollout.candidate)
     }
 
 
@@ -227,5 +232,5 @@
     return brake.Outcome.FAILED if answer.failed else brake.Outcome.GOOD
 
 
-def _name(ref: config_data.VersionRef) -> str:
+def _version_name(ref: config_data.VersionRef) -> str:
     return f'{ref.model}@{ref.version}'
--- a/beryllug/entry/fetches.py
+++ b/beryllug/entry/fetches.py
@@ -24,10 +24,10 @@
 class FetchFlow:
     """Serves ``GET /v1/requests/ID``."""
 
-    def __init__(self, wired: parts.Parts) -> None:
+    def __init__(self, deps: parts.Parts) -> None:
         """Bind the services."""
-        self._parts = wired
-        self._recovery = recovery.Recovery(wired)
+        self._deps = deps
+        self._recovery = recovery.Recovery(deps)
 
     async def serve(
         self,
@@ -41,51 +41,51 @@
             RefusedError: There is none, it is running, or it is unknown.
         """
         account = intake.authenticate(req, index)
-        wanted = req.target[len(PREFIX) :].partition('?')[0]
-        if not request_id.is_valid(wanted):
-            raise _not_found(wanted)
-        row = await self._find(account.account_id, wanted)
+        wanted_id = req.target[len(PREFIX) :].partition('?')[0]
+        if not request_id.is_valid(wanted_id):
+            raise _not_found(wanted_id)
+        row = await self._find(account.account_id, wanted_id)
         # Another account's id must look just like one that never was.
         if row is None or row.account_id != account.account_id:
-            raise _not_found(wanted)
-        await replays.replay_first(self._parts.answers, row, exchange)
+            raise _not_found(wanted_id)
+        await replays.replay_first(self._deps.answers, row, exchange)
 
     async def _find(
-        self, account_id: str, wanted: str
+        self, account_id: str, wanted_id: str
     ) -> journal_data.Row | None:
-        outcome = await self._look(
-            account_id, wanted, journal_data.RowKind.OUTCOME
+        outcome = await self._lookup(
+            account_id, wanted_id, journal_data.RowKind.OUTCOME
         )
         if outcome is not None:
             return outcome
-        intent = await self._look(
-            account_id, wanted, journal_data.RowKind.INTENT
+        intent = await self._lookup(
+            account_id, wanted_id, journal_data.RowKind.INTENT
         )
         if intent is None:
             return None
         deadline = asyncio.get_running_loop().time() + RECOVERY_S
-        found = await self._recovery.find(account_id, wanted, deadline)
+        found = await self._recovery.find(account_id, wanted_id, deadline)
         if found is None:
-            raise _unfinished(wanted)
+            raise _unfinished(wanted_id)
         return found
 
-    async def _look(
-        self, account_id: str, wanted: str, kind: journal_data.RowKind
+    async def _lookup(
+        self, account_id: str, wanted_id: str, kind: journal_data.RowKind
     ) -> journal_data.Row | None:
-        family = request_id.family_of(wanted)
-        ask = rpc_data.LookupAsk(account_id, family, kind)
-        reply = await self._parts.outbox.lookup(ask)
+        family = request_id.family_of(wanted_id)
+        request = rpc_data.LookupAsk(account_id, family, kind)
+        reply = await self._deps.outbox.lookup(request)
         if not reply.available:
             raise _unavailable()
         row = reply.row
-        return row if row and row.request_id == wanted else None
+        return row if row and row.request_id == wanted_id else None
 
 
-def _unfinished(wanted: str) -> refusal.RefusedError:
+def _unfinished(wanted_id: str) -> refusal.RefusedError:
     return refusal.RefusedError(
         refusal.Refusal(
             refusal.Code.IN_PROGRESS,
-            f'{wanted} has no outcome yet',
+            f'{wanted_id} has no outcome yet',
             refusal.Run.RAN,
             RETRY_AFTER_S,
         )
@@ -103,7 +103,7 @@
     )
 
 
-def _not_found(wanted: str) -> refusal.RefusedError:
+def _not_found(wanted_id: str) -> refusal.RefusedError:
     return refusal.RefusedError(
-        refusal.Refusal(refusal.Code.NOT_FOUND, f'no request {wanted!r}')
+        refusal.Refusal(refusal.Code.NOT_FOUND, f'no request {wanted_id!r}')
     )
--- a/beryllug/entry/intake.py
+++ b/beryllug/entry/intake.py
@@ -47,7 +47,7 @@
     wall: float
 
 
-class _Common(NamedTuple):
+class _CommonFields(NamedTuple):
     """What every kind of request has in its headers."""
 
     account: config_data.Account
@@ -65,9 +65,11 @@
     Raises:
         RefusedError: There is no key, or it is not valid.
     """
-    sent = req.headers.get(headers.AUTHORIZATION, '')
-    if sent[: len(BEARER)].lower() == BEARER:
-        account = view_index.account_of(index, sent[len(BEARER) :].strip())
+    credentials = req.headers.get(headers.AUTHORIZATION, '')
+    if credentials[: len(BEARER)].lower() == BEARER:
+        account = view_index.account_of(
+            index, credentials[len(BEARER) :].strip()
+        )
         if account is not None:
             return account
     raise refusal.RefusedError(
@@ -90,10 +92,10 @@
     body, findings = chat.parse(req.body)
     if body is None:
         raise _malformed(findings)
-    keyed = bool(req.headers.get(headers.IDEMPOTENCY_KEY))
-    by_default = REPORT if keyed else DRAFT
-    request_class = req.headers.get(headers.REQUEST_CLASS, by_default)
-    common = _common(req, index, account, request_class, clock)
+    has_key = bool(req.headers.get(headers.IDEMPOTENCY_KEY))
+    default_class = REPORT if has_key else DRAFT
+    request_class = req.headers.get(headers.REQUEST_CLASS, default_class)
+    common = _common_fields(req, index, account, request_class, clock)
     facts = request_data.Facts(
         request_id=common.request_id,
         account_id=account.account_id,
@@ -103,11 +105,11 @@
         prefix_key=body.prefix_key,
         tokens_in=body.prompt_chars // CHARS_PER_TOKEN + 1,
         tokens_out=body.max_tokens or DEFAULT_TOKENS_OUT,
-        repeatable=not keyed and request_class != REPORT,
+        repeatable=not has_key and request_class != REPORT,
         arrived_at=clock.monotonic,
         targets=common.targets,
     )
-    return _call(req, common, facts, body.stream, clock)
+    return _make_call(req, common, facts, body.stream, clock)
 
 
 def read_plain(
@@ -127,7 +129,7 @@
     repeatable = _is_repeatable(service, req.method, target)
     request_class = LOOKUP if repeatable else HOLD
     request_class = req.headers.get(headers.REQUEST_CLASS, request_class)
-    common = _common(req, index, account, request_class, clock)
+    common = _common_fields(req, index, account, request_class, clock)
     facts = request_data.Facts(
         request_id=common.request_id,
         account_id=account.account_id,
@@ -141,24 +143,24 @@
         arrived_at=clock.monotonic,
         targets=common.targets,
     )
-    made = _call(req, common, facts, stream=False, clock=clock)
-    return made._replace(target=target)
+    call = _make_call(req, common, facts, stream=False, clock=clock)
+    return call._replace(target=target)
 
 
-def _common(
+def _common_fields(
     req: http_data.Request,
     index: view_index.ViewIndex,
     account: config_data.Account,
     request_class: str,
     clock: Clock,
-) -> _Common:
-    key = _short(req, headers.IDEMPOTENCY_KEY)
+) -> _CommonFields:
+    key = _bounded_header(req, headers.IDEMPOTENCY_KEY)
     targets = index.targets.get(request_class)
     if targets is None:
         targets = DEFAULT_TARGETS._replace(request_class=request_class)
     total_ms = min(targets.total_ms, _deadline_ms(req, targets.total_ms))
     random_hex = os.urandom(RANDOM_BYTES).hex()
-    return _Common(
+    return _CommonFields(
         account=account,
         key=key,
         request_id=request_id.make(account.account_id, key, random_hex),
@@ -167,9 +169,9 @@
     )
 
 
-def _call(
+def _make_call(
     req: http_data.Request,
-    common: _Common,
+    common: _CommonFields,
     facts: request_data.Facts,
     stream: bool,
     clock: Clock,
@@ -209,20 +211,20 @@
     return max(matching, key=lambda found: len(found.path)).repeatable
 
 
-def _deadline_ms(req: http_data.Request, longest_ms: int) -> int:
+def _deadline_ms(req: http_data.Request, max_ms: int) -> int:
     text = req.headers.get(headers.DEADLINE_MS)
     if text is None:
-        return longest_ms
+        return max_ms
     if not text.isascii() or not text.isdigit() or int(text) == 0:
         raise _bad_header(headers.DEADLINE_MS, 'needs whole milliseconds')
     return int(text)
 
 
 def _session_id(req: http_data.Request) -> str:
-    return _short(req, headers.SESSION)
+    return _bounded_header(req, headers.SESSION)
 
 
-def _short(req: http_data.Request, name: str) -> str:
+def _bounded_header(req: http_data.Request, name: str) -> str:
     text = req.headers.get(name, '')
     if len(text) > MAX_HEADER_TEXT:
         raise _bad_header(name, f'takes at most {MAX_HEADER_TEXT} characters')
--- a/beryllug/entry/liveness.py
+++ b/beryllug/entry/liveness.py
@@ -7,12 +7,12 @@
 
 from beryllug.drivers import http_client, http_data
 
-PROBE_S = 2.0
-PROBES = 3
-PROBE_GAP_S = 0.02
+PROBE_TIMEOUT_S = 2.0
+MAX_PROBES = 3
+PROBE_INTERVAL_S = 0.02
 # A model engine reports its load; a plain service answers 404 or whatever it
 # likes. Each is an answer, and says that the server lives.
-PROBE = http_data.Outgoing('GET', '/v1/load', {}, fresh=True)
+PROBE_REQUEST = http_data.Outgoing('GET', '/v1/load', {}, fresh=True)
 
 
 class Found(enum.Enum):
@@ -42,16 +42,16 @@
     One that accepts and says nothing is frozen and not lost. One that was
     restarted before it is asked cannot be told from one that lived.
     """
-    for _ in range(PROBES):
+    for _ in range(MAX_PROBES):
         at = time.monotonic()
         try:
-            async with asyncio.timeout(PROBE_S):
-                await client.call(address, PROBE)
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
+                await client.call(address, PROBE_REQUEST)
         except http_data.NotSentError:
             return Look(gone=True, at=at)
         except http_data.BrokenError:
             # Cut as the server goes down, before its port is closed.
-            await asyncio.sleep(PROBE_GAP_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
         except TimeoutError:
             break
         else:
--- a/beryllug/entry/outbox.py
+++ b/beryllug/entry/outbox.py
@@ -15,10 +15,10 @@
 from beryllug.drivers import methods, rpc
 from beryllug.entry import batcher, control_calls
 
-CALL_S = 5.0
-BEGIN_S = 8.0
-RESEND_S = 0.5
-POLL_S = 0.05
+CALL_TIMEOUT_S = 5.0
+INTENT_TIMEOUT_S = 8.0
+RESEND_INTERVAL_S = 0.5
+STOP_POLL_S = 0.05
 MAX_RESEND = 512
 RETRY_AFTER_S = 2.0
 
@@ -29,34 +29,34 @@
     def __init__(self, calls: control_calls.ControlCalls) -> None:
         """Make an empty outbox over the calls to control processes."""
         self._calls = calls
-        self._owed: dict[str, journal_data.Row] = {}
+        self._pending: dict[str, journal_data.Row] = {}
         self._task: asyncio.Task[None] | None = None
-        self._begins = batcher.Batcher(self._send_begins)
-        self._finishes = batcher.Batcher(self._send_finishes)
+        self._intent_batcher = batcher.Batcher(self._send_intents)
+        self._outcome_batcher = batcher.Batcher(self._send_outcomes)
 
     async def start(self) -> None:
         """Start resending what is owed."""
-        self._task = asyncio.create_task(self._resend())
+        self._task = asyncio.create_task(self._resend_loop())
 
     async def stop(self, grace_s: float) -> None:
         """Hand over what is owed within the grace time."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + grace_s
-        while self._owed and loop.time() < deadline:
-            await asyncio.sleep(POLL_S)
-        if self._owed:
-            logging.error('event=outcomes_lost rows=%d', len(self._owed))
+        while self._pending and loop.time() < deadline:
+            await asyncio.sleep(STOP_POLL_S)
+        if self._pending:
+            logging.error('event=outcomes_lost rows=%d', len(self._pending))
         if self._task is not None:
             self._task.cancel()
 
     def dump(self) -> dict[str, Any]:
         """Return the number of rows that are owed, and the oldest."""
-        oldest = min((row.at for row in self._owed.values()), default=None)
-        return {'owed': len(self._owed), 'oldest_at': oldest}
+        oldest = min((row.at for row in self._pending.values()), default=None)
+        return {'owed': len(self._pending), 'oldest_at': oldest}
 
     async def begin(self, row: journal_data.Row) -> journal_data.Grant:
         """Ask the shard's owner to make an intent durable."""
-        return await self._begins.submit(row)
+        return await self._intent_batcher.submit(row)
 
     async def finish(self, row: journal_data.Row, wait_s: float) -> bool:
         """Make an outcome durable; keep it and go on when that takes long.
@@ -64,39 +64,43 @@
         Returns:
             Whether it is durable. When not, it is owed and sent again.
         """
-        self._owed[row.request_id] = row
+        self._pending[row.request_id] = row
         try:
             async with asyncio.timeout(wait_s):
-                durable = await self._finishes.submit(row)
+                durable = await self._outcome_batcher.submit(row)
         except (rpc.RpcError, TimeoutError):
             return False
         if durable:
-            self._owed.pop(row.request_id, None)
+            self._pending.pop(row.request_id, None)
         return durable
 
-    async def lookup(self, ask: rpc_data.LookupAsk) -> rpc_data.LookupReply:
+    async def lookup(self, request: rpc_data.LookupAsk) -> rpc_data.LookupReply:
         """Ask for the latest row of a kind under a key."""
         try:
-            return await self._calls.call(methods.LOOKUP, ask, CALL_S)
+            return await self._calls.call(
+                methods.LOOKUP, request, CALL_TIMEOUT_S
+            )
         except rpc.RpcError:
             return rpc_data.LookupReply(None, available=False)
 
-    async def _send_begins(
+    async def _send_intents(
         self, rows: Sequence[journal_data.Row]
     ) -> Sequence[journal_data.Grant]:
         batch = rpc_data.IntentBatch(tuple(rows))
         try:
-            reply = await self._calls.call(methods.BEGIN, batch, BEGIN_S)
+            reply = await self._calls.call(
+                methods.BEGIN, batch, INTENT_TIMEOUT_S
+            )
         except rpc.RpcError as exc:
             logging.warning('event=begin_failed error=%s', exc)
             return [self._withdraw(row) for row in rows]
         return reply.grants
 
-    async def _send_finishes(
+    async def _send_outcomes(
         self, rows: Sequence[journal_data.Row]
     ) -> Sequence[bool]:
         batch = rpc_data.OutcomeBatch(tuple(rows))
-        ack = await self._calls.call(methods.FINISH, batch, CALL_S)
+        ack = await self._calls.call(methods.FINISH, batch, CALL_TIMEOUT_S)
         return ack.durable
 
     def _withdraw(self, row: journal_data.Row) -> journal_data.Grant:
@@ -106,7 +110,7 @@
         every resend under its key would be told "unknown"; this process
         knows that it was not run and says so in the journal.
         """
-        self._owed[row.request_id] = row._replace(
+        self._pending[row.request_id] = row._replace(
             kind=journal_data.RowKind.OUTCOME,
             state=journal_data.OutcomeState.NOT_RUN,
         )
@@ -116,18 +120,18 @@
             retry_after_s=RETRY_AFTER_S,
         )
 
-    async def _resend(self) -> None:
+    async def _resend_loop(self) -> None:
         while True:
-            await asyncio.sleep(RESEND_S)
-            rows = list(self._owed.values())[:MAX_RESEND]
+            await asyncio.sleep(RESEND_INTERVAL_S)
+            rows = list(self._pending.values())[:MAX_RESEND]
             if rows:
                 await self._resend_rows(rows)
 
     async def _resend_rows(self, rows: list[journal_data.Row]) -> None:
         try:
-            durable = await self._send_finishes(rows)
+            durable = await self._send_outcomes(rows)
         except rpc.RpcError:
             return
         for row, done in zip(rows, durable, strict=True):
             if done:
-                self._owed.pop(row.request_id, None)
+                self._pending.pop(row.request_id, None)
--- a/beryllug/entry/plain.py
+++ b/beryllug/entry/plain.py
@@ -27,9 +27,9 @@
 class PlainFlow:
     """Takes one call of a plain service from admission to its bill."""
 
-    def __init__(self, wired: parts.Parts) -> None:
+    def __init__(self, deps: parts.Parts) -> None:
         """Bind the services."""
-        self._parts = wired
+        self._deps = deps
 
     async def serve(
         self, call: call_data.Call, exchange: http_server.Exchange
@@ -39,42 +39,42 @@
         Raises:
             RefusedError: It got no answer; says whether it ran.
         """
-        wired = self._parts
-        index = wired.link.index
+        deps = self._deps
+        index = deps.link.index
         pool = index.services[call.facts.asked].pool
-        ticket = wired.admission.admit(call, pool, call.facts.asked)
+        ticket = deps.admission.admit(call, pool, call.facts.asked)
         try:
             await self._admitted(call, pool, exchange)
         finally:
-            wired.admission.release(ticket)
+            deps.admission.release(ticket)
 
     async def _admitted(
         self, call: call_data.Call, pool: str, exchange: http_server.Exchange
     ) -> None:
-        wired = self._parts
+        deps = self._deps
         if not call.facts.repeatable:
-            found = await wired.bills.begin(call, call.facts.asked)
-            if not isinstance(found, begun.MayRun):
-                await self._first_try(found, exchange)
+            first = await deps.bills.begin(call, call.facts.asked)
+            if not isinstance(first, begun.MayRun):
+                await self._answer_from_first(first, exchange)
                 return
         try:
-            opened = await wired.attempts.open(call, self._order(call, pool))
+            opened = await deps.attempts.open(call, self._order(call, pool))
         except refusal.RefusedError as exc:
-            await wired.bills.refuse(call, exc.refusal)
+            await deps.bills.refuse(call, exc.refusal)
             raise
         try:
             await self._deliver(call, opened, exchange)
         finally:
-            wired.attempts.close(call, opened)
+            deps.attempts.close(call, opened)
 
-    async def _first_try(
+    async def _answer_from_first(
         self,
-        found: begun.Finished | begun.Unfinished,
+        first: begun.Finished | begun.Unfinished,
         exchange: http_server.Exchange,
     ) -> None:
-        match found:
+        match first:
             case begun.Finished(row=row):
-                await replays.replay_first(self._parts.answers, row, exchange)
+                await replays.replay_first(self._deps.answers, row, exchange)
             case begun.Unfinished(refused=refused):
                 raise refusal.RefusedError(refused)
 
@@ -89,15 +89,15 @@
         try:
             body = await delivery.read_whole(call, incoming)
         except (http_data.BrokenError, TimeoutError):
-            self._parts.routing.failed(opened.attempt, time.monotonic())
+            self._deps.routing.failed(opened.attempt, time.monotonic())
             broken = refusal.Refusal(
                 refusal.Code.BACKEND_FAILED,
                 'the service broke off its answer',
                 refusal.Run.UNKNOWN,
             )
-            await self._parts.bills.refuse(call, broken)
+            await self._deps.bills.refuse(call, broken)
             raise refusal.RefusedError(broken)
-        self._learn(call, opened.attempt, first_at)
+        self._record_times(call, opened.attempt, first_at)
         await self._finish(call, opened, body)
         await exchange.respond(
             incoming.status,
@@ -116,10 +116,10 @@
         state = journal_data.OutcomeState.DONE
         if failed:
             state = journal_data.OutcomeState.FAILED
-            self._parts.routing.failed(opened.attempt, time.monotonic())
+            self._deps.routing.failed(opened.attempt, time.monotonic())
         answer = None
         if not call.facts.repeatable:
-            answer = await self._parts.answers.keep(
+            answer = await self._deps.answers.keep(
                 call.request_id, incoming.status, _content_type(incoming), body
             )
         use = journal_data.StageUse(
@@ -130,19 +130,19 @@
             tokens_out=0,
             cost_micro=0,
         )
-        await self._parts.bills.finish(call, state, (use,), answer)
+        await self._deps.bills.finish(call, state, (use,), answer)
 
-    def _learn(
+    def _record_times(
         self, call: call_data.Call, attempt: routing.Attempt, first_at: float
     ) -> None:
         now = time.monotonic()
         first_s = first_at - attempt.started
-        known = self._parts.admission.estimate(
+        known = self._deps.admission.estimate(
             call.facts.asked, call.facts.request_class
         )
         ratio = first_s / max(known.first_token_s, MIN_EXPECTED_S)
-        self._parts.routing.answered(attempt, ratio, now)
-        self._parts.admission.observe(
+        self._deps.routing.answered(attempt, ratio, now)
+        self._deps.admission.observe(
             call.facts.asked,
             call.facts,
             (first_s, now - first_at),
@@ -150,25 +150,25 @@
         )
 
     def _order(self, call: call_data.Call, pool: str) -> attempts.Order:
-        ask = _ask(call)
+        request = _service_request(call)
 
         async def send(  # noqa: WPS430
             server: view_data.BackendServer,
         ) -> http_client.Incoming:
-            return await self._parts.plain.call(server.address, ask)
+            return await self._deps.plain.call(server.address, request)
 
         return attempts.Order(
             pick=balance_data.Pick(pool),
             send=send,
-            barred=lambda: self._barred(call),
-            probe=probe.NoProbe(),
+            refusal_check=lambda: self._refusal_code(call),
+            probe=probe.NullObserver(),
         )
 
-    def _barred(self, call: call_data.Call) -> refusal.Code | None:
+    def _refusal_code(self, call: call_data.Call) -> refusal.Code | None:
         """Tell why the service may not be called now, if so."""
-        if not self._parts.link.may_accept(time.monotonic()):
+        if not self._deps.link.may_accept(time.monotonic()):
             return refusal.Code.CUT_OFF
-        view = self._parts.link.known.view
+        view = self._deps.link.known.view
         asked = call.facts.asked
         allowed = any(
             account.account_id == call.account.account_id
@@ -178,7 +178,7 @@
         return None if allowed else refusal.Code.NOT_ALLOWED
 
 
-def _ask(call: call_data.Call) -> plain_service.PlainAsk:
+def _service_request(call: call_data.Call) -> plain_service.PlainAsk:
     return plain_service.PlainAsk(
         request_id=call.request_id,
         account_id=call.account.account_id,
--- a/beryllug/entry/probe.py
+++ b/beryllug/entry/probe.py
@@ -19,36 +19,38 @@
         """End it without saying anything of the version."""
 
 
-class VersionProbe:
+class VersionObserver:
     """Tells the exposure service of attempts on one version."""
 
     def __init__(
-        self, told: exposure.Exposure, subject: evidence_book.Subject
+        self,
+        exposure_service: exposure.Exposure,
+        subject: evidence_book.Subject,
     ) -> None:
         """Bind the service and what the attempts are about."""
-        self._told = told
+        self._exposure = exposure_service
         self._subject = subject
         self._open = False
 
     def begin(self) -> None:
         """Count a dispatch."""
         self._open = True
-        self._told.begin(self._subject)
+        self._exposure.begin(self._subject)
 
     def end(self, answer: evidence_book.Answer) -> None:
         """Take in how the dispatch ended; once."""
         if self._open:
             self._open = False
-            self._told.end(self._subject, answer)
+            self._exposure.end(self._subject, answer)
 
     def drop(self) -> None:
         """End the dispatch, if it is open, without evidence."""
         if self._open:
             self._open = False
-            self._told.drop(self._subject)
+            self._exposure.drop(self._subject)
 
 
-class NoProbe:
+class NullObserver:
     """For plain services, which have no versions."""
 
     def begin(self) -> None:
--- a/beryllug/entry/recovery.py
+++ b/beryllug/entry/recovery.py
@@ -20,12 +20,12 @@
 class Recovery:
     """Finds answers at the engines by request id."""
 
-    def __init__(self, wired: parts.Parts) -> None:
+    def __init__(self, deps: parts.Parts) -> None:
         """Bind the services."""
-        self._parts = wired
+        self._deps = deps
 
     async def find(
-        self, account_id: str, wanted: str, deadline: float
+        self, account_id: str, wanted_id: str, deadline: float
     ) -> journal_data.Row | None:
         """Find the answer of a try that has an intent and no outcome.
 
@@ -37,42 +37,42 @@
         Returns:
             Its outcome, written now; None where no engine has its answer.
         """
-        intent = await self._intent(account_id, wanted)
+        intent = await self._find_intent(account_id, wanted_id)
         version = self._version(intent) if intent else None
         if intent is None or version is None:
             return None
-        index = self._parts.link.index
+        index = self._deps.link.index
         for server in index.servers.get(version.pool, ()):
-            found = await self._take_up(server.address, wanted, deadline)
+            found = await self._read_from(server.address, wanted_id, deadline)
             if found is not None:
                 return await self._finish(
                     intent, version, server.server_id, found
                 )
         return None
 
-    async def _intent(
-        self, account_id: str, wanted: str
+    async def _find_intent(
+        self, account_id: str, wanted_id: str
     ) -> journal_data.Row | None:
-        ask = rpc_data.LookupAsk(
+        request = rpc_data.LookupAsk(
             account_id,
-            request_id.family_of(wanted),
+            request_id.family_of(wanted_id),
             journal_data.RowKind.INTENT,
         )
-        reply = await self._parts.outbox.lookup(ask)
+        reply = await self._deps.outbox.lookup(request)
         row = reply.row
-        return row if row and row.request_id == wanted else None
+        return row if row and row.request_id == wanted_id else None
 
     def _version(self, intent: journal_data.Row) -> config_data.Version | None:
         """Return the version that the try runs on, by its note."""
-        index = self._parts.link.index
+        index = self._deps.link.index
         return index.versions.get(chat_data.parse_name(intent.note))
 
-    async def _take_up(
-        self, address: str, wanted: str, deadline: float
+    async def _read_from(
+        self, address: str, wanted_id: str, deadline: float
     ) -> tuple[str, bytes] | None:
         """Read a kept answer whole; returns its media type and its body."""
         try:
-            incoming = await self._parts.engine.resume(address, wanted, 0)
+            incoming = await self._deps.engine.resume(address, wanted_id, 0)
         except (http_data.NotSentError, http_data.BrokenError):
             return None
         if incoming is None:
@@ -95,12 +95,12 @@
         found: tuple[str, bytes],
     ) -> journal_data.Row:
         media_type, body = found
-        answer = await self._parts.answers.keep(
+        answer = await self._deps.answers.keep(
             intent.request_id, OK, media_type, body
         )
-        use = chat_bill.use_of_kept(version, server_id, body)
+        use = chat_bill.stage_use_of_stored(version, server_id, body)
         logging.info('event=recovered request_id=%s', intent.request_id)
-        return await self._parts.bills.finish_first(intent, use, answer)
+        return await self._deps.bills.finish_for_lost_entry(intent, use, answer)
 
 
 def _is_whole(incoming: http_client.Incoming, body: bytes) -> bool:
--- a/beryllug/entry/replays.py
+++ b/beryllug/entry/replays.py
@@ -8,8 +8,8 @@
 
 
 async def replay_first(
-    kept: answers.Answers,
-    first: journal_data.Row,
+    stored_answers: answers.Answers,
+    row: journal_data.Row,
     exchange: http_server.Exchange,
 ) -> None:
     """Answer a resend with the answer of its first try.
@@ -17,25 +17,25 @@
     Raises:
         RefusedError: The first try has no answer to give.
     """
-    if first.answer is None:
+    if row.answer is None:
         run = refusal.Run.UNKNOWN
-        if first.state is journal_data.OutcomeState.FAILED:
+        if row.state is journal_data.OutcomeState.FAILED:
             run = refusal.Run.RAN
         raise refusal.RefusedError(
             refusal.Refusal(
                 refusal.Code.OUTCOME_UNKNOWN,
-                f'the first try, {first.request_id}, ended without an answer',
+                f'the first try, {row.request_id}, ended without an answer',
                 run,
             )
         )
-    body = await kept.fetch(first.answer)
+    body = await stored_answers.fetch(row.answer)
     if body is None:
         raise refusal.RefusedError(
             refusal.Refusal(
                 refusal.Code.JOURNAL_UNAVAILABLE,
-                f'the answer of {first.request_id} can not be read now',
+                f'the answer of {row.request_id} can not be read now',
                 refusal.Run.RAN,
                 RETRY_AFTER_S,
             )
         )
-    await delivery.replay(first, first.answer, body, exchange)
+    await delivery.replay(row, row.answer, body, exchange)
--- a/beryllug/entry/routing.py
+++ b/beryllug/entry/routing.py
@@ -61,7 +61,7 @@
         self._declared = (view_data.EMPTY_VIEW.document, no_servers)
         self._running: dict[str, dict[str, str]] = {}
         self._rng = random.Random(entry)
-        link.listen(self._take_view)
+        link.listen(self._on_view)
 
     async def start(self) -> None:
         """Do nothing: the link's updates drive this service."""
@@ -164,12 +164,12 @@
             server_load.track(self._state, member.server.server_id)
             for member in members
         ]
-        sound = [seen for seen in tracks if not ejection.is_out(seen, now)]
-        slots = pool.pool.concurrency * len(sound) if pool else 0
-        load = sum(server_load.load_of(seen, now) for seen in sound)
+        healthy = [seen for seen in tracks if not ejection.is_out(seen, now)]
+        slots = pool.pool.concurrency * len(healthy) if pool else 0
+        load = sum(server_load.load_of(seen, now) for seen in healthy)
         return limits.Room(pool_name, slots, load, entries)
 
-    def running_on(self, server_id: str) -> tuple[str, ...]:
+    def fingerprints_on(self, server_id: str) -> tuple[str, ...]:
         """Return the fingerprints of our requests on a server."""
         return tuple(self._running.get(server_id, {}).values())
 
@@ -190,7 +190,7 @@
         jitter = self._rng.random()
         return retry.may_retry(self._retries, attempt, now, jitter)
 
-    def _take_view(self, known: view_merge.Known) -> None:
+    def _on_view(self, known: view_merge.Known) -> None:
         view = known.view
         offset = time.monotonic() - time.time()
         server_load.report(self._state, view.loads, offset)
--- a/beryllug/entry/seats.py
+++ b/beryllug/entry/seats.py
@@ -15,27 +15,27 @@
 )
 
 
-class Seat(NamedTuple):
+class AdmittedTurn(NamedTuple):
     """A turn and the ticket that must be given back after it."""
 
     turn: chat_data.Turn
     ticket: limits.Ticket
 
 
-class Seats:
+class TurnAdmission:
     """Admits calls to the versions of a stage."""
 
-    def __init__(self, wired: parts.Parts) -> None:
+    def __init__(self, deps: parts.Parts) -> None:
         """Bind the services."""
-        self._parts = wired
-        self._recovery = recovery.Recovery(wired)
+        self._deps = deps
+        self._recovery = recovery.Recovery(deps)
 
     def take(
         self,
         call: call_data.Call,
         session: versions.Session,
         stage: versions.Stage,
-    ) -> Seat:
+    ) -> AdmittedTurn:
         """Admit a call to the first version of a stage that has room.
 
         Raises:
@@ -47,25 +47,25 @@
         for version in stage.versions:
             name = chat_data.name_of(version.ref)
             try:
-                ticket = self._parts.admission.admit(call, version.pool, name)
+                ticket = self._deps.admission.admit(call, version.pool, name)
             except refusal.RefusedError as exc:
                 refused = exc
                 continue
             subject = evidence_book.Subject(
                 version.ref, call.account.account_id
             )
-            told = probe.VersionProbe(self._parts.exposure, subject)
+            observer = probe.VersionObserver(self._deps.exposure, subject)
             turn = chat_data.Turn(
-                call, session, version, stage.pin_broken, told
+                call, session, version, stage.pin_broken, observer
             )
             if stage.pin_broken:
-                self._note_move(call, session)
-            return Seat(turn, ticket)
+                self._record_session_move(call, session)
+            return AdmittedTurn(turn, ticket)
         raise refused
 
-    def give_back(self, seat: Seat) -> None:
+    def give_back(self, admitted: AdmittedTurn) -> None:
         """Give the place in the pool back."""
-        self._parts.admission.release(seat.ticket)
+        self._deps.admission.release(admitted.ticket)
 
     async def may_run(
         self, turn: chat_data.Turn, exchange: http_server.Exchange
@@ -81,33 +81,33 @@
         if turn.call.facts.repeatable:
             return True
         note = chat_data.name_of(turn.version.ref)
-        match await self._parts.bills.begin(turn.call, note):
+        match await self._deps.bills.begin(turn.call, note):
             case begun.MayRun():
                 return True
             case begun.Finished(row=row):
-                await replays.replay_first(self._parts.answers, row, exchange)
-            case begun.Unfinished(request_id=first, refused=refused):
-                await self._recover(turn.call, first, refused, exchange)
+                await replays.replay_first(self._deps.answers, row, exchange)
+            case begun.Unfinished(request_id=first_id, refused=refused):
+                await self._recover(turn.call, first_id, refused, exchange)
         return False
 
     async def _recover(
         self,
         call: call_data.Call,
-        first: str,
+        first_id: str,
         refused: refusal.Refusal,
         exchange: http_server.Exchange,
     ) -> None:
         """Give the answer of a first try from the engine that runs it."""
         found = await self._recovery.find(
-            call.account.account_id, first, call.deadline
+            call.account.account_id, first_id, call.deadline
         )
         if found is None:
             raise refusal.RefusedError(refused)
-        await replays.replay_first(self._parts.answers, found, exchange)
+        await replays.replay_first(self._deps.answers, found, exchange)
 
-    def _note_move(
+    def _record_session_move(
         self, call: call_data.Call, session: versions.Session
     ) -> None:
         for pin in session.pins:
             subject = evidence_book.Subject(pin, call.account.account_id)
-            self._parts.exposure.moved(subject)
+            self._deps.exposure.moved(subject)
--- a/beryllug/entry/sessions.py
+++ b/beryllug/entry/sessions.py
@@ -20,7 +20,7 @@
 from beryllug.entry import call_data, control_link, outbox
 
 CACHE_SIZE = 4096
-FINISH_S = 2.0
+RECORD_TIMEOUT_S = 2.0
 SEPARATOR = '@'
 
 
@@ -69,8 +69,10 @@
             return ''
         family = _family(call)
         if version not in session.pins:
-            await self._outbox.finish(self._record(call, version), FINISH_S)
-        self._remember(family, version)
+            await self._outbox.finish(
+                self._record(call, version), RECORD_TIMEOUT_S
+            )
+        self._cache_pin(family, version)
         pin = session_token.Pin(
             call.account.account_id,
             call.session_id,
@@ -87,9 +89,9 @@
         )
         if pin is None:
             return None
-        named = (pin.account_id, pin.session_id, pin.model)
-        asked = (call.account.account_id, call.session_id, call.facts.asked)
-        return pin.version if named == asked else None
+        pinned = (pin.account_id, pin.session_id, pin.model)
+        requested = (call.account.account_id, call.session_id, call.facts.asked)
+        return pin.version if pinned == requested else None
 
     async def _from_record(
         self, call: call_data.Call
@@ -123,7 +125,7 @@
             note=f'{version.model}{SEPARATOR}{version.version}',
         )
 
-    def _remember(self, family: str, version: config_data.VersionRef) -> None:
+    def _cache_pin(self, family: str, version: config_data.VersionRef) -> None:
         self._cache[family] = version
         self._cache.move_to_end(family)
         if len(self._cache) > CACHE_SIZE:
--- a/beryllug/entry/suspicions.py
+++ b/beryllug/entry/suspicions.py
@@ -12,7 +12,7 @@
 from beryllug.entry import call_data, control_link
 
 
-class Suspicions:
+class KnownSuspects:
     """The suspects of the view, and those that this process reported.
 
     The view may bring the latter later than the next attempt is made, or
@@ -21,14 +21,14 @@
 
     def __init__(self, link: control_link.ControlLink) -> None:
         """Follow the view."""
-        self._listed: tuple[rpc_data.Suspect, ...] = ()
+        self._view_suspects: tuple[rpc_data.Suspect, ...] = ()
         self._known: dict[str, rpc_data.Suspect] = {}
-        self._own = suspects_data.Table()
-        link.listen(self._take_view)
+        self._local = suspects_data.Table()
+        link.listen(self._on_view)
 
     def dump(self) -> dict[str, int]:
         """Return counts."""
-        return {'known': len(self._known), 'own': len(self._own.notes)}
+        return {'known': len(self._known), 'own': len(self._local.notes)}
 
     def trial_servers(self) -> frozenset[str]:
         """Return the servers where trials of any entry may be running."""
@@ -40,7 +40,7 @@
 
     def reported(self, report: rpc_data.CrashReport) -> None:
         """Take what this process reports."""
-        suspects.reported(self._own, report, report.at)
+        suspects.reported(self._local, report, report.at)
 
     def learnt(self, notes: tuple[suspects_data.Note, ...], now: float) -> None:
         """Take what a control process knows.
@@ -49,12 +49,12 @@
             notes: Its notes.
             now: The present wall-clock second.
         """
-        suspects.merge(self._own, notes, now)
+        suspects.merge(self._local, notes, now)
 
     def forget(self, fingerprint: str) -> bool:
         """Forget a request that is cleared; returns whether it was known."""
-        own = self._own.notes.pop(fingerprint, None)
-        return own is not None or fingerprint in self._known
+        local = self._local.notes.pop(fingerprint, None)
+        return local is not None or fingerprint in self._known
 
     def needs_trial(self, call: call_data.Call) -> bool:
         """Tell whether a call is under suspicion.
@@ -68,17 +68,19 @@
             if known.refused:
                 raise refused(known.until - now)
             return True
-        note = self._own.notes.get(call.fingerprint)
+        note = self._local.notes.get(call.fingerprint)
         if note is None:
             return False
         if suspects.is_refused(note, now):
             raise refused(suspects.kept_until(note) - now)
         return suspects.is_suspect(note, now)
 
-    def _take_view(self, known: view_merge.Known) -> None:
-        if known.suspects is not self._listed:
-            self._listed = known.suspects
-            self._known = {one.fingerprint: one for one in known.suspects}
+    def _on_view(self, known: view_merge.Known) -> None:
+        if known.suspects is not self._view_suspects:
+            self._view_suspects = known.suspects
+            self._known = {
+                suspect.fingerprint: suspect for suspect in known.suspects
+            }
 
 
 def refused(retry_after_s: float) -> refusal.RefusedError:
--- a/beryllug/entry/trials.py
+++ b/beryllug/entry/trials.py
@@ -13,9 +13,9 @@
 from beryllug.core import balance_data, refusal, suspects_data, view_data
 from beryllug.entry import call_data, crashes, routing
 
-MAX_WAIT_S = 10.0
-FIRST_PAUSE_S = 0.02
-MOST_PAUSE_S = 0.2
+MAX_TRIAL_WAIT_S = 10.0
+INITIAL_DELAY_S = 0.02
+MAX_DELAY_S = 0.2
 RETRY_AFTER_S = 1.0
 
 Servers = frozenset[str]
@@ -48,35 +48,35 @@
         Raises:
             RefusedError: It is a suspect and may not run now.
         """
-        await self._crashes.catching_up.catch_up()
+        await self._crashes.suspect_sync.catch_up()
         if not self._crashes.known.needs_trial(call):
-            return self._ordinary(pick)
+            return self._choose_ordinary(pick)
         try:
             async with asyncio.timeout_at(
-                min(call.deadline, time.monotonic() + MAX_WAIT_S)
+                min(call.deadline, time.monotonic() + MAX_TRIAL_WAIT_S)
             ):
-                return await self._suspect(call, pick)
+                return await self._place_suspect(call, pick)
         except TimeoutError:
-            raise _busy()
+            raise _trial_in_progress_error()
 
-    async def _suspect(
+    async def _place_suspect(
         self, call: call_data.Call, pick: balance_data.Pick
     ) -> Place:
-        pause_s = FIRST_PAUSE_S
+        delay_s = INITIAL_DELAY_S
         while True:
-            trial_id = crashes.new_trial()
-            server = self._alone(pick)
+            trial_id = crashes.new_trial_id()
+            server = self._choose_for_trial(pick)
             if server is None:
                 return Place(None)
-            match await self._ask(call, server.server_id, trial_id):
+            match await self._request_trial(call, server.server_id, trial_id):
                 case suspects_data.Verdict.TRY:
                     return Place(server, trial_id)
                 case suspects_data.Verdict.RUN:
-                    return self._ordinary(pick)
-            await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, MOST_PAUSE_S)
+                    return self._choose_ordinary(pick)
+            await asyncio.sleep(delay_s)
+            delay_s = min(2 * delay_s, MAX_DELAY_S)
 
-    async def _ask(
+    async def _request_trial(
         self, call: call_data.Call, server_id: str, trial_id: str
     ) -> suspects_data.Verdict:
         try:
@@ -84,19 +84,21 @@
         except BaseException:
             # The caller went away, and the trial may have been granted: not
             # ended, it would hold up the same request for its whole time.
-            self._crashes.drop_trial(call, trial_id)
+            self._crashes.abandon_trial(call, trial_id)
             raise
 
-    def _ordinary(self, pick: balance_data.Pick) -> Place:
+    def _choose_ordinary(self, pick: balance_data.Pick) -> Place:
         tried = self._crashes.known.trial_servers()
-        return Place(self._first(pick, (tried, frozenset())))
+        return Place(self._choose_avoiding(pick, (tried, frozenset())))
 
-    def _alone(self, pick: balance_data.Pick) -> view_data.BackendServer | None:
+    def _choose_for_trial(
+        self, pick: balance_data.Pick
+    ) -> view_data.BackendServer | None:
         tried = self._crashes.known.trial_servers()
         busy = tried | self._routing.busy()
-        return self._first(pick, (busy, tried, frozenset()))
+        return self._choose_avoiding(pick, (busy, tried, frozenset()))
 
-    def _first(
+    def _choose_avoiding(
         self, pick: balance_data.Pick, avoided: tuple[Servers, ...]
     ) -> view_data.BackendServer | None:
         """Choose, avoiding less and less until there is a server."""
@@ -113,11 +115,11 @@
     failed: Servers, avoided: tuple[Servers, ...]
 ) -> Iterator[Servers]:
     """Yield what to exclude: where it failed before counts for more."""
-    yield from (failed | one for one in avoided)
+    yield from (failed | servers for servers in avoided)
     yield from avoided
 
 
-def _busy() -> refusal.RefusedError:
+def _trial_in_progress_error() -> refusal.RefusedError:
     return refusal.RefusedError(
         refusal.Refusal(
             refusal.Code.SUSPECT,
--- a/beryllug/entry/trials_test.py
+++ b/beryllug/entry/trials_test.py
@@ -29,19 +29,19 @@
 Verdict = suspects_data.Verdict
 
 
-class _Calls:
+class _FakeControl:
     """A control process that gives one verdict, and keeps what is asked."""
 
     def __init__(self, verdict: Verdict) -> None:
         self.verdict = verdict
         self.asked: list[Any] = []
 
-    async def call(self, method: Any, ask: Any, timeout_s: float) -> Any:
-        self.asked.append(ask)
+    async def call(self, method: Any, request: Any, timeout_s: float) -> Any:
+        self.asked.append(request)
         return suspects_data.TrialReply(self.verdict)
 
 
-class _Ticks:
+class _SteadyClock:
     """The clock of a process that never stands still."""
 
     def ran_before(self, noticed: float) -> float:
@@ -56,12 +56,14 @@
 
     async def asyncSetUp(self) -> None:
         """Make the services of an entry, without sockets."""
-        self.calls = _Calls(Verdict.TRY)
-        ask = rpc_data.ViewAsk('e', ZONE)
+        self.calls = _FakeControl(Verdict.TRY)
+        request = rpc_data.ViewAsk('e', ZONE)
         calls = cast('Any', self.calls)
-        self.link = control_link.ControlLink(ask, cast('Any', None), calls)
+        self.link = control_link.ControlLink(request, cast('Any', None), calls)
         self.routing = routing.Routing('e', ZONE, self.link)
-        self.crashes = crashes.Crashes('e', calls, self.link, calls, _Ticks())
+        self.crashes = crashes.Crashes(
+            'e', calls, self.link, calls, _SteadyClock()
+        )
         self.trials = trials.Trials(self.routing, self.crashes)
 
     async def test_ordinary(self) -> None:
@@ -73,20 +75,20 @@
             ('trials everywhere', SERVERS, set(SERVERS)),
         ):
             with self.subTest(title):
-                self._show(tuple(_suspect(name, name) for name in tried))
-                found = {await self._place('other') for _ in range(DRAWS)}
+                self._apply_view(tuple(_suspect(name, name) for name in tried))
+                found = {await self._placed_on('other') for _ in range(DRAWS)}
                 self.assertEqual(found, wanted)
 
     async def test_alone(self) -> None:
         """A suspect runs where nothing of ours runs, if it can."""
-        self._show((_suspect('a:bad', ''),))
+        self._apply_view((_suspect('a:bad', ''),))
         self.assertEqual(
-            {await self._place('bad') for _ in range(DRAWS)}, set(SERVERS)
+            {await self._placed_on('bad') for _ in range(DRAWS)}, set(SERVERS)
         )
         for number, server in enumerate(SERVERS):
-            self._run_on(server)
+            self._start_request_on(server)
             left = set(SERVERS[number + 1 :]) or set(SERVERS)
-            found = {await self._place('bad') for _ in range(DRAWS)}
+            found = {await self._placed_on('bad') for _ in range(DRAWS)}
             self.assertEqual(found, left)
 
     async def test_verdicts(self) -> None:
@@ -98,23 +100,23 @@
             (Verdict.WAIT, True),
         ):
             with self.subTest(verdict):
-                self._show((_suspect('a:bad', ''),))
+                self._apply_view((_suspect('a:bad', ''),))
                 self.calls.verdict = verdict
-                self.assertEqual(await self._place('bad') == '', refused)
+                self.assertEqual(await self._placed_on('bad') == '', refused)
         self.calls.asked.clear()
-        self.assertNotEqual(await self._place('other'), '')
+        self.assertNotEqual(await self._placed_on('other'), '')
         self.assertEqual(self.calls.asked, [])
 
     async def test_refused_at_once(self) -> None:
         """Control is asked about a convict, or "not run" is said too early."""
-        self._show((_suspect('a:bad', '')._replace(refused=True),))
+        self._apply_view((_suspect('a:bad', '')._replace(refused=True),))
         with self.assertRaises(refusal.RefusedError):
             self.crashes.refuse_suspect(_call('bad'))
         self.crashes.refuse_suspect(_call('bad', repeatable=False))
         with self.assertRaises(refusal.RefusedError):
             self.crashes.known.needs_trial(_call('bad', repeatable=False))
 
-    async def _place(self, body_hash: str) -> str:
+    async def _placed_on(self, body_hash: str) -> str:
         """Return the name of the server, empty where it is refused."""
         try:
             place = await self.trials.place(_call(body_hash), PICK)
@@ -122,13 +124,13 @@
             return ''
         return place.server.server_id if place.server else ''
 
-    def _run_on(self, server_id: str) -> None:
+    def _start_request_on(self, server_id: str) -> None:
         attempt = self.routing.attempt(
             PICK, _server(server_id), time.monotonic()
         )
         self.routing.begin(_call(f'on {server_id}'), attempt)
 
-    def _show(self, suspects: tuple[rpc_data.Suspect, ...]) -> None:
+    def _apply_view(self, suspects: tuple[rpc_data.Suspect, ...]) -> None:
         pool = config_data.Pool(POOL, config_data.PoolKind.PLAIN, 4)
         empty = view_data.EMPTY_VIEW.document
         update = rpc_data.ViewUpdate(
@@ -137,7 +139,7 @@
             servers=tuple(map(_server, SERVERS)),
             suspects=suspects,
         )
-        self.link._take(update)
+        self.link._apply_update(update)
 
 
 def _suspect(fingerprint: str, trial_server: str) -> rpc_data.Suspect:
--- a/beryllug/entry/turn_runner.py
+++ b/beryllug/entry/turn_runner.py
@@ -36,10 +36,10 @@
 class TurnRunner:
     """Runs turns from the first attempt to the bill."""
 
-    def __init__(self, wired: parts.Parts) -> None:
+    def __init__(self, deps: parts.Parts) -> None:
         """Bind the services."""
-        self._parts = wired
-        self._bill = chat_bill.ChatBill(wired)
+        self._deps = deps
+        self._bill = chat_bill.ChatBill(deps)
 
     async def run(
         self, turn: chat_data.Turn, exchange: http_server.Exchange
@@ -65,7 +65,7 @@
         """
         opened = await self._open(turn)
         try:
-            body = await self._read(turn, opened)
+            body = await self._read_whole(turn, opened)
         finally:
             self._close(turn, opened)
         return opened, body
@@ -76,7 +76,7 @@
             headers.REQUEST_ID: turn.call.request_id,
             headers.VERSION: chat_data.name_of(turn.version.ref),
         }
-        token = await self._parts.sessions.pin(
+        token = await self._deps.sessions.pin(
             turn.call, turn.session, turn.version.ref
         )
         if token:
@@ -86,16 +86,16 @@
         return fields
 
     async def _open(self, turn: chat_data.Turn) -> attempts.Opened:
-        order = chat_order.make(self._parts, turn)
+        order = chat_order.make(self._deps, turn)
         try:
-            return await self._parts.attempts.open(turn.call, order)
+            return await self._deps.attempts.open(turn.call, order)
         except refusal.RefusedError as exc:
-            await self._parts.bills.refuse(turn.call, exc.refusal, turn.earlier)
+            await self._deps.bills.refuse(turn.call, exc.refusal, turn.earlier)
             raise
 
     def _close(self, turn: chat_data.Turn, opened: attempts.Opened) -> None:
         turn.probe.drop()
-        self._parts.attempts.close(turn.call, opened)
+        self._deps.attempts.close(turn.call, opened)
 
     async def _deliver(
         self,
@@ -104,17 +104,17 @@
         exchange: http_server.Exchange,
     ) -> None:
         if turn.call.stream and opened.incoming.status == OK:
-            await self._stream(turn, opened, exchange)
+            await self._send_stream(turn, opened, exchange)
         else:
-            await self._whole(turn, opened, exchange)
+            await self._send_whole(turn, opened, exchange)
 
-    async def _stream(
+    async def _send_stream(
         self,
         turn: chat_data.Turn,
         opened: attempts.Opened,
         exchange: http_server.Exchange,
     ) -> None:
-        keep = self._parts.exposure.wants_text(turn.version.ref)
+        keep = self._deps.exposure.needs_answer_text(turn.version.ref)
         relay = delivery.StreamRelay(turn.call, exchange, keep)
         fields = await self.headers(turn)
         fields[headers.CONTENT_TYPE] = headers.EVENTS_TYPE
@@ -122,34 +122,34 @@
             await exchange.start(OK, fields)
         except ConnectionError:
             relay.caller_gone = True
-        if await self._pump(turn, opened, relay):
-            await self._bill.whole_stream(turn, opened.attempt, relay)
+        if await self._forward_stream(turn, opened, relay):
+            await self._bill.finish_stream(turn, opened.attempt, relay)
             await relay.finish()
         else:
-            await self._cut(turn, opened, relay)
+            await self._finish_partial(turn, opened, relay)
 
-    async def _cut(
+    async def _finish_partial(
         self,
         turn: chat_data.Turn,
         opened: attempts.Opened,
         relay: delivery.StreamRelay,
     ) -> None:
-        if relay.unwanted:
+        if relay.is_abandoned:
             with contextlib.suppress(engine_data.EngineError):
-                await self._parts.engine.cancel(
+                await self._deps.engine.cancel(
                     opened.attempt.server.address, turn.run_id
                 )
-            await self._bill.cut_stream(
+            await self._bill.finish_partial_stream(
                 turn, opened.attempt, relay, journal_data.OutcomeState.CANCELLED
             )
         else:
-            self._parts.routing.failed(opened.attempt, time.monotonic())
-            await self._bill.cut_stream(
+            self._deps.routing.failed(opened.attempt, time.monotonic())
+            await self._bill.finish_partial_stream(
                 turn, opened.attempt, relay, journal_data.OutcomeState.FAILED
             )
             await relay.fail(BROKEN_EVENT)
 
-    async def _pump(
+    async def _forward_stream(
         self,
         turn: chat_data.Turn,
         opened: attempts.Opened,
@@ -165,7 +165,7 @@
             if incoming is None:
                 return False
             try:
-                await relay.pump(incoming)
+                await relay.forward(incoming)
             except http_data.BrokenError:
                 incoming = await self._resume(turn, opened, relay.tail.size)
             except TimeoutError:
@@ -179,37 +179,37 @@
     ) -> http_client.Incoming | None:
         """Take an answer up at an exact byte, at the engine that made it."""
         try:
-            return await self._parts.engine.resume(
+            return await self._deps.engine.resume(
                 opened.attempt.server.address, turn.run_id, offset
             )
         except (http_data.NotSentError, http_data.BrokenError):
             return None
 
-    async def _whole(
+    async def _send_whole(
         self,
         turn: chat_data.Turn,
         opened: attempts.Opened,
         exchange: http_server.Exchange,
     ) -> None:
-        body = await self._read(turn, opened)
-        await self._bill.whole_body(turn, opened, body)
+        body = await self._read_whole(turn, opened)
+        await self._bill.finish_body(turn, opened, body)
         fields = await self.headers(turn)
         fields[headers.CONTENT_TYPE] = opened.incoming.headers.get(
             headers.CONTENT_TYPE, headers.JSON_TYPE
         )
         await exchange.respond(opened.incoming.status, body, fields)
 
-    async def _read(
+    async def _read_whole(
         self, turn: chat_data.Turn, opened: attempts.Opened
     ) -> bytes:
         try:
             return await delivery.read_whole(turn.call, opened.incoming)
         except (http_data.BrokenError, TimeoutError):
-            self._parts.routing.failed(opened.attempt, time.monotonic())
+            self._deps.routing.failed(opened.attempt, time.monotonic())
         broken = refusal.Refusal(
             refusal.Code.BACKEND_FAILED,
             'the engine broke off its answer',
             refusal.Run.UNKNOWN,
         )
-        await self._parts.bills.refuse(turn.call, broken, turn.earlier)
+        await self._deps.bills.refuse(turn.call, broken, turn.earlier)
         raise refusal.RefusedError(broken)
--- a/beryllug/proofs/mutations.py
+++ b/beryllug/proofs/mutations.py
@@ -64,7 +64,7 @@
     Mutation(
         'withdrawn: a frozen process trusts its old view',
         'entry/chat_order.py',
-        (('if not wired.link.may_accept(time.monotonic()):', 'if False:'),),
+        (('if not deps.link.may_accept(time.monotonic()):', 'if False:'),),
         'proofs.versions_test',
     ),
     Mutation(
@@ -128,8 +128,8 @@
         'entry/outbox.py',
         (
             (
-                'self._owed[row.request_id] = row\n        try:',
-                'self._owed.pop(row.request_id, None)\n        try:',
+                'self._pending[row.request_id] = row\n        try:',
+                'self._pending.pop(row.request_id, None)\n        try:',
             ),
         ),
         'proofs.faults_test',
@@ -208,8 +208,8 @@
         'entry/attempts.py',
         (
             (
-                'told = exc.refusal._replace(run=refusal.Run.UNKNOWN)',
-                'told = exc.refusal',
+                'amended = exc.refusal._replace(run=refusal.Run.UNKNOWN)',
+                'amended = exc.refusal',
             ),
         ),
         'proofs.suspects_test',
