--- a/beryllug/entry/__init__.py
+++ b/beryllug/entry/__init__.py
@@ -1,4 +1,4 @@
 """Services of the ``entry`` role.
 
-They own the sockets of callers and the connections to backend servers.
+They own the client sockets and the connections to backend servers.
 """
--- a/beryllug/entry/admission.py
+++ b/beryllug/entry/admission.py
@@ -1,7 +1,7 @@
-"""Admission: take a request now, or refuse it now.
+"""Admission control: accept or refuse a request at once.
 
-This service owns the counts by client account and the learnt times that the
-limits are decided from.
+This service owns the state behind the decision: requests in flight by client
+account, and latency estimates by version or service.
 """
 
 import time
@@ -30,14 +30,14 @@
     {
         limits.Why.SHARE: 'the account uses more than its share',
         limits.Why.FULL: 'no capacity is free',
-        limits.Why.LATE: 'the target can not be met now',
-        limits.Why.DOWN: 'no backend server takes work now',
+        limits.Why.LATE: 'the latency target can not be met now',
+        limits.Why.DOWN: 'no backend server is available now',
     }
 )
 
-# Learnt times are used for so long after the last answer of their kind.
+# Seconds after the latest answer for which a latency estimate is used.
 ESTIMATE_VALID_S = 5.0
-# Part of its target that a request is hoped to take while nothing is known.
+# Share of its target that a request is assumed to take without an estimate.
 OPTIMISTIC_TARGET_SHARE = 0.25
 MS = 1000
 
@@ -51,12 +51,12 @@
         link: control_link.ControlLink,
         routes: routing.Routing,
     ) -> None:
-        """Make the service.
+        """Initialize the service.
 
         Args:
-            entries: Entry processes that share the pools.
-            link: The view to follow.
-            routes: Loads of the servers.
+            entries: Number of entry processes that share the pools.
+            link: Source of view updates.
+            routes: Source of server loads.
         """
         self._entries = entries
         self._routing = routes
@@ -74,7 +74,7 @@
         """Do nothing: it holds no socket and no task."""
 
     def dump(self) -> dict[str, Any]:
-        """Return use by pool and account, and learnt times."""
+        """Return usage by pool and account, and latency estimates."""
         pools = {
             name: {
                 'total': use.total,
@@ -97,28 +97,30 @@
         return {'pools': pools, 'estimates': times}
 
     def estimate(self, name: str, request_class: str) -> estimates.Estimate:
-        """Return the learnt times of a version or service."""
+        """Return the latency estimate of a version or service."""
         return estimates.get(
             self._estimates, estimates.Key(name, request_class)
         )
 
     def has_room(self, pool: str) -> bool:
-        """Tell whether a pool has a free slot, as far as is known."""
+        """Return whether a pool has a free slot, by the loads known here."""
         room = self._routing.room(pool, self._entries, time.monotonic())
         return room.load < room.slots
 
     def admit(
         self, call: call_data.Call, pool: str, name: str
     ) -> limits.Ticket:
-        """Admit a call to a pool; the ticket must be released.
+        """Admit a call to a pool.
+
+        The caller must `release` the ticket.
 
         Args:
             call: The call.
             pool: Name of the pool.
-            name: Version or service whose learnt times hold.
+            name: Version or service whose latency estimate applies.
 
         Raises:
-            RefusedError: It is refused, at once and not run.
+            RefusedError: The call is refused and has not run.
         """
         now = time.monotonic()
         first_token_s, service_s = self._expected_times(name, call.facts, now)
@@ -136,7 +138,7 @@
         return decision
 
     def release(self, ticket: limits.Ticket) -> None:
-        """Give a ticket back when its call has ended on the pool."""
+        """Release the ticket of a call that has ended on its pool."""
         limits.release(self._limits, ticket, time.monotonic())
 
     def observe(
@@ -146,13 +148,13 @@
         times: tuple[float, float],
         load_share: float,
     ) -> None:
-        """Learn from an answer.
+        """Update a latency estimate from an answer.
 
         Args:
             name: Version or service that answered.
             facts: The request.
             times: Seconds to the first token and from it to the end.
-            load_share: Load of the server at dispatch over its slots.
+            load_share: Load of the server at dispatch, divided by its slots.
         """
         key = estimates.Key(name, facts.request_class)
         self._observed_at[key] = time.monotonic()
@@ -161,11 +163,11 @@
     def _expected_times(
         self, name: str, facts: request_data.Facts, now: float
     ) -> tuple[float, float]:
-        """Return the times to expect; hopeful ones while none are known.
+        """Return the expected times, optimistic ones without a recent estimate.
 
-        A guess, or times of a slow moment long ago, would refuse every
-        request whose target they miss. None would run, and nothing would
-        ever be learnt: a fresh process would refuse all lookups for good.
+        A default guess, or an old estimate from a slow period, would refuse
+        every request whose target it misses. No request would run to correct
+        it, so a new process would refuse all lookups permanently.
         """
         key = estimates.Key(name, facts.request_class)
         known = estimates.get(self._estimates, key)
--- a/beryllug/entry/answers.py
+++ b/beryllug/entry/answers.py
@@ -1,8 +1,8 @@
-"""Kept answers: small ones in the outcome row, large ones in the platform.
+"""Stored answers: small ones in the outcome row, large ones in the platform.
 
-An answer of a call that may not repeat outlives its caller's connection and
-this host. It is written before its outcome row, so a row never names an
-answer that isn't there.
+The answer of a non-repeatable call must survive the client connection and
+the loss of this host. It is stored before its outcome row is written, or held
+in memory and retried while the platform is unavailable.
 """
 
 import asyncio
@@ -26,17 +26,17 @@
     """Service 'answers' of an entry process."""
 
     def __init__(self, calls: control_calls.ControlCalls) -> None:
-        """Bind the calls to control processes."""
+        """Use the given calls to control processes."""
         self._calls = calls
         self._pending: dict[str, bytes] = {}
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start storing again what could not be stored."""
+        """Start retrying answers that could not be stored."""
         self._task = asyncio.create_task(self._resend_loop())
 
     async def stop(self, grace_s: float) -> None:
-        """Store what is owed within the grace time."""
+        """Store the pending answers within the grace period."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + grace_s
         while self._pending and loop.time() < deadline:
@@ -46,7 +46,7 @@
             self._task.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Return the number and size of answers that are not stored yet."""
+        """Return the number and total size of answers not stored yet."""
         size = sum(len(body) for body in self._pending.values())
         return {'owed': len(self._pending), 'owed_bytes': size}
 
@@ -57,7 +57,7 @@
         content_type: str,
         body: bytes,
     ) -> journal_data.StoredAnswer:
-        """Keep an answer and return what its outcome row says of it."""
+        """Store an answer and return its entry for the outcome row."""
         if len(body) <= INLINE_BYTES:
             return journal_data.StoredAnswer(status, content_type, body)
         name = answer_name.make(request_id, time.time())
@@ -66,7 +66,7 @@
         return journal_data.StoredAnswer(status, content_type, b'', name)
 
     async def fetch(self, answer: journal_data.StoredAnswer) -> bytes | None:
-        """Return the body of a kept answer; None when it can't be read now."""
+        """Return the body of a stored answer, None if it is unavailable."""
         if not answer.object_key:
             return answer.body
         pending = self._pending.get(answer.object_key)
@@ -93,7 +93,7 @@
         return reply.ok
 
     def _add_pending(self, name: str, body: bytes) -> None:
-        """Keep a body here until the platform takes it, within a bound."""
+        """Keep a body in memory, within a bound, until it is stored."""
         size = sum(len(pending) for pending in self._pending.values())
         if size + len(body) > MAX_OWED_BYTES:
             logging.error('event=answer_dropped name=%s', name)
--- a/beryllug/entry/attempts.py
+++ b/beryllug/entry/attempts.py
@@ -1,8 +1,8 @@
-"""Attempts of one call at backend servers until one answers.
+"""Attempts of one call on backend servers until one answers.
 
-Every attempt asks again whether its version may still be used, chooses a
-server anew and tells the routing service how it went. What is said to the
-caller afterwards follows from how far each failed attempt can have got.
+Each attempt checks again whether its version may still be used, selects a
+server and reports the result to the routing service. The error returned to
+the client depends on how far each failed attempt may have got.
 """
 
 import asyncio
@@ -36,13 +36,13 @@
 
 
 class Order(NamedTuple):
-    """What is to be attempted.
+    """Specification of the attempts of a call.
 
     Attributes:
-        pick: What is asked of the choice of a server.
-        send: Sends the request to a server and returns the answer's head.
-        barred: Why it may not be sent at this moment, None where it may.
-        probe: Told of each attempt.
+        pick: Criteria for the selection of a server.
+        send: Sends the request to a server and returns the response head.
+        refusal_check: Returns why it must not be sent now, None if it may.
+        probe: Notified of each attempt.
     """
 
     pick: balance_data.Pick
@@ -52,7 +52,7 @@
 
 
 class Opened(NamedTuple):
-    """An attempt that was answered: its head is here, its body to come."""
+    """An attempt whose response head has arrived and body is unread."""
 
     incoming: http_client.Incoming
     attempt: routing.Attempt
@@ -60,7 +60,7 @@
 
 
 class _Failed(NamedTuple):
-    """An attempt that failed, and the server it was made at."""
+    """A failed attempt and its server."""
 
     failure: retry.Failure
     server_id: str
@@ -68,23 +68,24 @@
 
 
 class Attempts:
-    """Makes attempts for the flows of an entry process."""
+    """Runs the attempts of calls for the request flows of an entry."""
 
     def __init__(
         self, routes: routing.Routing, crash_reports: crashes.Crashes
     ) -> None:
-        """Bind the routing service and the crash reports."""
+        """Use the given routing and crash report services."""
         self._routing = routes
         self._crashes = crash_reports
         self._trials = trials.Trials(routes, crash_reports)
 
     async def open(self, call: call_data.Call, order: Order) -> Opened:
-        """Attempt until a server answers.
+        """Make attempts until a server answers.
 
-        The caller of this function must `close` what it gets.
+        The caller must pass the result to `close`.
 
         Raises:
-            RefusedError: No server answered; says whether one may have run it.
+            RefusedError: No server answered; states whether one may have
+                run the call.
         """
         excluded: set[str] = set()
         definitely_not_run = True
@@ -108,7 +109,7 @@
             )
 
     def close(self, call: call_data.Call, opened: Opened) -> None:
-        """End an attempt: give its connection back or cut it."""
+        """End an attempt; release its connection or close it."""
         attempt = opened.attempt
         running = self._routing.fingerprints_on(attempt.server.server_id)
         opened.incoming.close()
@@ -131,7 +132,7 @@
         except refusal.RefusedError as exc:
             if definitely_not_run:
                 raise
-            # Refused now, but an earlier attempt may have run it.
+            # Refused now, but an earlier attempt may have run the call.
             amended = exc.refusal._replace(run=refusal.Run.UNKNOWN)
             raise refusal.RefusedError(amended) from exc
 
@@ -140,8 +141,8 @@
     ) -> Opened | _Failed:
         pick = order.pick._replace(excluded=excluded)
         place = await self._trials.place(call, pick)
-        # No await from here to the dispatch: a version may be withdrawn
-        # while a suspected request waits for its trial.
+        # No await from this check to the dispatch: the version may have been
+        # withdrawn while a suspected request waited for its trial.
         try:
             attempt = self._may_dispatch(order, place)
         except refusal.RefusedError:
@@ -206,7 +207,7 @@
         attempt: routing.Attempt,
         failure: retry.Failure,
     ) -> liveness.Found:
-        """Tell what is to be learnt; returns what became of the server."""
+        """Report a failed attempt and return the state of its server."""
         now = time.monotonic()
         if failure is not retry.Failure.DECLINED:
             self._routing.failed(attempt, now)
@@ -219,7 +220,8 @@
                     self._routing.failed(attempt, now, gone=True)
                 return found
             case retry.Failure.TIMED_OUT:
-                # A host that lost its power says nothing at all.
+                # A host that lost power sends nothing at all, so the server
+                # may be gone.
                 self._crashes.watch(call, attempt, running)
             case _:
                 self._crashes.ended(call, attempt, answered=False)
@@ -252,17 +254,17 @@
 
 
 def is_error(status: int) -> bool:
-    """Tell whether a status says that the server itself failed."""
+    """Return whether a status reports a server error."""
     return status >= SERVER_ERROR
 
 
 def _failure_of(
     call: call_data.Call, incoming: http_client.Incoming
 ) -> retry.Failure | None:
-    """Return how an answer's head counts as a failure, or None.
+    """Return the failure that a response head stands for, or None.
 
-    An error of the server is tried again where the call may run twice; for
-    any other it is the answer.
+    A server error is retried if the call is repeatable; otherwise it is
+    returned to the client as the answer.
     """
     if engine.is_declined(incoming):
         return retry.Failure.DECLINED
@@ -304,7 +306,7 @@
 
 
 def _final_error(failure: retry.Failure, definitely_not_run: bool) -> Exception:
-    """Say what became of a call whose last attempt has failed."""
+    """Return the error for a call whose last attempt failed."""
     timed_out = failure is retry.Failure.TIMED_OUT
     code = refusal.Code.DEADLINE if timed_out else refusal.Code.BACKEND_FAILED
     if definitely_not_run:
--- a/beryllug/entry/batcher.py
+++ b/beryllug/entry/batcher.py
@@ -1,8 +1,8 @@
-"""Group calls: many requests wait, one message carries them all.
+"""Batches items that are sent to the same remote method.
 
-A remote call costs far more than a row in it. While requests come one by
-one each goes at once; under load calls keep a gap between them, and what comes
-in the gap shares the next call.
+A remote call costs far more than one more row in it. With little load each
+item is sent at once; under load, calls keep a minimum interval, and the items
+that arrive within it share the next call.
 """
 
 import asyncio
@@ -17,12 +17,12 @@
 
 
 class Batcher(Generic[Item, Reply]):
-    """Collects items for a moment and sends them in one call."""
+    """Collects items for a short time and sends them in one call."""
 
     def __init__(
         self, send: Callable[[Sequence[Item]], Awaitable[Sequence[Reply]]]
     ) -> None:
-        """Make a batcher over a call that replies item by item."""
+        """Initialize over a function that returns one reply per item."""
         self._send = send
         self._waiting: list[tuple[Item, asyncio.Future[Reply]]] = []
         self._tasks: set[asyncio.Task[None]] = set()
@@ -30,10 +30,10 @@
         self._sent_at = float('-inf')
 
     async def submit(self, item: Item) -> Reply:
-        """Send an item with others and return its reply.
+        """Send an item in a batch and return its reply.
 
         Raises:
-            Exception: Whatever the call raised.
+            Exception: Any exception of the batch call.
         """
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Reply] = loop.create_future()
@@ -46,7 +46,7 @@
         return await future
 
     async def stop(self) -> None:
-        """Wait for the calls under way."""
+        """Send the queued items and wait for all open calls."""
         self._flush()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
--- a/beryllug/entry/begun.py
+++ b/beryllug/entry/begun.py
@@ -1,4 +1,4 @@
-"""What the journal says of a call that may run only once."""
+"""Replies of the journal for a call that may run only once."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MayRun:
-    """It may run now, once."""
+    """The intent is granted: the call may run once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """Its first try has ended.
+    """The first try of the call has ended.
 
     Attributes:
         row: The outcome of the first try.
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Unfinished:
-    """Its first try has no outcome: it runs, or its entry host was lost.
+    """The first try has no outcome: it is running or its entry host was lost.
 
     Attributes:
         request_id: Id of the first try.
-        refused: What the caller is told unless the answer can be found.
+        refused: Error for the client if the answer can not be recovered.
     """
 
     request_id: str
--- a/beryllug/entry/bills.py
+++ b/beryllug/entry/bills.py
@@ -1,8 +1,8 @@
-"""Intents and outcomes of calls: at most once, and billed once.
+"""Intents and outcomes of calls: run at most once, billed once.
 
-A call that may not repeat asks the owner of its journal shard before its
-first byte goes out. Every call that ran ends in one outcome row, which is
-its bill.
+A non-repeatable call needs an intent from the owner of its journal shard
+before its first byte is sent. Every call that ran ends in one outcome row,
+which is its billing record.
 """
 
 import time
@@ -33,33 +33,33 @@
     """Service 'bills' of an entry process."""
 
     def __init__(self, entry: str, rows: outbox.Outbox) -> None:
-        """Bind the outbox."""
+        """Use the given outbox for rows of this entry process."""
         self._entry = entry
         self._outbox = rows
         self._counts = {state.value: 0 for state in journal_data.OutcomeState}
 
     async def start(self) -> None:
-        """Do nothing: it works when it is called."""
+        """Do nothing: no background task is needed."""
 
     async def stop(self, grace_s: float) -> None:
-        """Do nothing: the outbox holds what is owed."""
+        """Do nothing: the outbox delivers the pending rows."""
 
     def dump(self) -> dict[str, Any]:
         """Return the number of outcomes by state."""
         return {'outcomes': dict(self._counts)}
 
     async def begin(self, call: call_data.Call, note: str) -> begun.Begun:
-        """Ask for the right to run a call once.
+        """Request an intent, the permission to run a call once.
 
         Args:
-            call: A call that may not repeat.
-            note: What a later look needs, as the version it will run on.
+            call: A non-repeatable call.
+            note: Data for a later recovery, such as the version it runs on.
 
         Returns:
-            That it may run now, or what became of its first try.
+            Permission to run, or the state of its first try.
 
         Raises:
-            RefusedError: It may not run now, and has no first try.
+            RefusedError: It may not run now, and there is no first try.
         """
         total_s = call.facts.targets.total_ms / MS
         row = self._row(call, journal_data.RowKind.INTENT, note)._replace(
@@ -84,10 +84,10 @@
         use: journal_data.StageUse,
         answer: journal_data.StoredAnswer,
     ) -> journal_data.Row:
-        """Write the outcome of a try whose own entry process is gone.
+        """Write the outcome of a try whose entry process is gone.
 
-        Should that process still write its own, the owner of the shard keeps
-        the first of the two: there is one bill.
+        If that process still writes its own outcome, the owner of the shard
+        keeps the first of the two, so the call is billed once.
         """
         state = journal_data.OutcomeState.DONE
         self._counts[state.value] += 1
@@ -109,7 +109,7 @@
         stages: Sequence[journal_data.StageUse],
         answer: journal_data.StoredAnswer | None = None,
     ) -> bool:
-        """Write the outcome of a call that ran; return if it is durable."""
+        """Write the outcome of a call; return whether it is durable."""
         self._counts[state.value] += 1
         row = self._row(call, journal_data.RowKind.OUTCOME, '')._replace(
             state=state, stages=tuple(stages), answer=answer
@@ -122,15 +122,15 @@
         refused: refusal.Refusal,
         earlier_stages: Sequence[journal_data.StageUse] = (),
     ) -> None:
-        """Write the outcome of a call that was refused after its intent.
+        """Write the outcome of a refused call, if it needs one.
 
-        A call without an intent that did not run leaves no trace: it is not
-        billed and nobody asks for it.
+        A call that has no intent and did not run gets no row: it is not
+        billed, and no resend looks it up.
 
         Args:
             call: The call.
-            refused: What its caller is told.
-            earlier: What stages of a cascade used before it was refused.
+            refused: The error returned to the client.
+            earlier_stages: Usage of cascade stages that ran before.
         """
         state = STATE_BY_RUN[refused.run]
         not_run = state is journal_data.OutcomeState.NOT_RUN
@@ -156,7 +156,7 @@
 
 
 def _refusal(grant: journal_data.Grant) -> refusal.Refusal:
-    """Turn a grant that is none into what the caller is told."""
+    """Return the client error for an intent that was not granted."""
     match grant.kind:
         case journal_data.GrantKind.RUNNING:
             return refusal.Refusal(
@@ -179,6 +179,6 @@
         case _:
             return refusal.Refusal(
                 refusal.Code.JOURNAL_UNAVAILABLE,
-                'requests that may run only once are not taken now',
+                'non-repeatable requests can not be journaled now',
                 retry_after_s=grant.retry_after_s,
             )
--- a/beryllug/entry/call_data.py
+++ b/beryllug/entry/call_data.py
@@ -1,4 +1,4 @@
-"""Records of a request on its way through an entry process."""
+"""Record of a request that an entry process serves."""
 
 from typing import NamedTuple
 
@@ -6,21 +6,21 @@
 
 
 class Call(NamedTuple):
-    """A caller's request after parsing and authentication.
+    """A client request after parsing and authentication.
 
     Attributes:
-        facts: What the deciding functions need of it.
+        facts: Input for routing and admission decisions.
         account: The client account.
         method: HTTP method for the backend server.
         target: Path and query for the backend server.
-        body: The body as received.
+        body: Request body as received.
         content_type: Media type of the body.
         body_hash: Hex digest of method, target and body.
-        idempotency_key: The caller's key, or empty.
-        session_id: The caller's name of its session, or empty.
-        session_token: Token of an earlier answer, or empty.
-        stream: Whether the answer is wanted as events.
-        deadline: Monotonic second by which the answer must have ended.
+        idempotency_key: Key sent by the client, or empty.
+        session_id: Session name sent by the client, or empty.
+        session_token: Token from an earlier answer, or empty.
+        stream: Whether the client wants the answer as an event stream.
+        deadline: Monotonic second by which the answer must be complete.
         wall: Wall-clock second of arrival.
     """
 
@@ -40,10 +40,10 @@
 
     @property
     def request_id(self) -> str:
-        """Unique id; the key of the bill."""
+        """Unique id, and key of the billing record."""
         return self.facts.request_id
 
     @property
     def fingerprint(self) -> str:
-        """What stays the same when the caller sends the request again."""
+        """Identifies the request across resends."""
         return f'{self.account.account_id}:{self.body_hash}'
--- a/beryllug/entry/callers.py
+++ b/beryllug/entry/callers.py
@@ -1,7 +1,8 @@
-"""The callers' interface: routes, refusals, and a stop that cuts nothing.
+"""The client API: routes, error responses and graceful shutdown.
 
-On a stop the health check fails first, requests are still taken until the
-balancer has noticed, and those in flight end before the sockets close.
+On shutdown the health check fails first, requests are still accepted until
+the load balancer has noticed, and requests in flight end before the sockets
+are closed.
 """
 
 import asyncio
@@ -31,16 +32,16 @@
 
 
 class Flow(Protocol):
-    """Serves one kind of call."""
+    """Serves calls of one kind."""
 
     async def serve(
         self, call: call_data.Call, exchange: http_server.Exchange
     ) -> None:
-        """Serve a call to its end, or refuse it by a `RefusedError`."""
+        """Serve a call to its end, or raise `RefusedError`."""
 
 
 class Flows:
-    """What a request can be, each with the flow that serves it."""
+    """The flows that serve each kind of request."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
         plain_flow: plain.PlainFlow,
         fetch_flow: fetches.FetchFlow,
     ) -> None:
-        """Bind the flows."""
+        """Initialize with one flow per kind."""
         self.chat = chat_flow
         self.plain = plain_flow
         self.fetch = fetch_flow
@@ -63,7 +64,7 @@
         link: control_link.ControlLink,
         flows: Flows,
     ) -> None:
-        """Make the service; `start` opens its socket."""
+        """Initialize; `start` opens the socket."""
         limits = http_data.Limits(
             header_bytes=cfg.header_bytes,
             body_bytes=cfg.body_bytes,
@@ -80,15 +81,15 @@
         self.port = 0
 
     async def start(self) -> None:
-        """Listen for callers."""
+        """Listen for client connections."""
         host, _, port = self._cfg.listen.rpartition(':')
         self.port = await self._server.start(host, int(port))
 
     async def stop(self, grace_s: float) -> None:
-        """Stop without cutting a request off.
+        """Stop without interrupting a request.
 
-        The balancer sends requests until it has seen the health check fail;
-        refusing them in that time would show a stop to callers.
+        The load balancer sends requests until it has seen the health check
+        fail; refusing them meanwhile would expose the stop to clients.
         """
         self._stopping = True
         self._server.drain()
@@ -96,7 +97,7 @@
         await self._server.stop(grace_s)
 
     def dump(self) -> dict[str, Any]:
-        """Return requests in flight and counts by what they got."""
+        """Return the requests in flight and counts by result."""
         return {
             'in_flight': self._in_flight,
             'stopping': self._stopping,
@@ -104,7 +105,7 @@
         }
 
     def is_ready(self, now: float) -> bool:
-        """Tell whether the balancer should send requests here."""
+        """Return whether the load balancer should send requests here."""
         return not self._stopping and self._link.may_accept(now)
 
     async def _serve(
@@ -157,7 +158,7 @@
         flow: Flow,
         exchange: http_server.Exchange,
     ) -> None:
-        """Run a call; a refusal states the request's id, and is logged."""
+        """Run a call; log a refusal and return it with the request id."""
         try:
             await flow.serve(call, exchange)
         except refusal.RefusedError as exc:
@@ -185,7 +186,7 @@
             raise refusal.RefusedError(
                 refusal.Refusal(
                     refusal.Code.OVER_LIMIT,
-                    'this host serves as many requests as it may',
+                    'this host is at its limit of requests in flight',
                     retry_after_s=STOPPING_RETRY_S,
                 )
             )
@@ -215,7 +216,7 @@
 
 
 def _models(index: view_index.ViewIndex, account: Any) -> dict[str, Any]:
-    """List what an account may ask for, in the shape clients expect."""
+    """Return the models of an account in the OpenAI list format."""
     allowed = {ref.model for ref in account.allowed}
     names = [name for name in index.models if name in allowed]
     names.extend(name for name in account.cascades if name in index.cascades)
--- a/beryllug/entry/cascade_flow.py
+++ b/beryllug/entry/cascade_flow.py
@@ -1,8 +1,9 @@
-"""Cascades: a cheaper stage first where it is likely to do.
+"""Model cascades: try a cheaper stage first where it is likely to suffice.
 
-A checked stage's answer is read whole and rated before a byte of it goes out,
-so no caller sees text that is then replaced. The stage that is given out, or
-the last one, answers; all stages that ran stand on the one bill.
+The answer of a checked stage is read whole and rated before any byte of it is
+sent, so no client sees text that is then replaced. The answer comes from a
+checked stage that is accepted or from an unchecked one; all stages that ran
+are on one billing record.
 """
 
 import random
@@ -37,7 +38,7 @@
 
 
 class _CascadeCall(NamedTuple):
-    """One call of a cascade on its way."""
+    """A call of a cascade with its session and plan."""
 
     call: call_data.Call
     session: versions.Session
@@ -46,7 +47,7 @@
 
 
 class _Checked(NamedTuple):
-    """A checked stage that ran: its turn, answer and rating."""
+    """A checked stage that ran, with its answer and rating."""
 
     turn: chat_data.Turn
     opened: attempts.Opened
@@ -55,10 +56,10 @@
 
 
 class CascadeFlow:
-    """Takes one call of a cascade to its bill."""
+    """Serves calls of a cascade up to their billing record."""
 
     def __init__(self, deps: parts.Parts) -> None:
-        """Bind the services."""
+        """Use the given services."""
         self._deps = deps
         self._state = deps.cascades
         self._turn_admission = seats.TurnAdmission(deps)
@@ -76,7 +77,7 @@
         """Serve one call.
 
         Raises:
-            RefusedError: It got no answer; says whether it ran.
+            RefusedError: It has no answer; states whether it ran.
         """
         assert plan.cascade is not None
         cascade_call = _CascadeCall(call, session, plan, plan.cascade)
@@ -146,7 +147,7 @@
         earlier: tuple[journal_data.StageUse, ...],
         exchange: http_server.Exchange,
     ) -> None:
-        """Run a stage whose answer goes out as it comes."""
+        """Run a stage whose answer is sent as it arrives."""
         admitted = self._turn_admission.take(
             cascade_call.call,
             cascade_call.session,
@@ -177,7 +178,7 @@
         )
 
     async def _rate(self, turn: chat_data.Turn, body: bytes) -> float | None:
-        """Have an answer rated, for as long as ratings usually take."""
+        """Rate an answer, within the time that ratings usually take."""
         judge = self._state.judge
         longest_s = max(rating_health.longest_s(judge), MIN_RATING_S)
         started = time.monotonic()
@@ -197,7 +198,7 @@
     def _question(
         self, cascade_call: _CascadeCall, now: float
     ) -> cascade_data.Question:
-        """Return the question as it stands now, with the time left."""
+        """Return the input of the cascade policy, with the time left."""
         facts = cascade_call.call.facts
         offers = (
             self._stage_offer(cascade_call, stage)
--- a/beryllug/entry/catching_up.py
+++ b/beryllug/entry/catching_up.py
@@ -1,8 +1,8 @@
-"""Learns of suspected requests after this process stood still.
+"""Fetches suspected requests after this process was stalled.
 
-A control process waits for an entry for some tenths of a second only before
-it answers a report. One that stood still for longer may not know of a request
-that has crashed a server, and would send it to the next one.
+A control process waits only some tenths of a second for an entry before it
+answers a crash report. An entry that was stalled for longer may not know of a
+request that has crashed a server, and would send it to the next one.
 """
 
 import asyncio
@@ -19,14 +19,14 @@
 
 
 class Ticks(Protocol):
-    """What this needs of the clock of this process."""
+    """The part of the process clock that `SuspectSync` uses."""
 
     def stood_until(self, now: float) -> float:
-        """Return when the process last went on after it stood still."""
+        """Return when the process last resumed after a stall."""
 
 
 class SuspectSync:
-    """Asks a control process once after each standstill."""
+    """Asks a control process once after each stall."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         known: suspicions.KnownSuspects,
         ticks: Ticks,
     ) -> None:
-        """Bind the link to control, what is known, and the clock."""
+        """Use the given control calls, known suspects and clock."""
         self._calls = calls
         self._known = known
         self._ticks = ticks
@@ -42,7 +42,7 @@
         self._lock = asyncio.Lock()
 
     async def catch_up(self) -> None:
-        """Wait until this process knows what it missed; for a bounded time."""
+        """Fetch the suspects missed in a stall, within a bounded time."""
         if self._is_current():
             return
         async with self._lock:
@@ -58,7 +58,7 @@
     async def _fetch(self) -> None:
         request = suspects_data.Notes(wants=True)
         try:
-            # One time for all control processes that are tried in turn.
+            # One timeout for all control processes that are tried in turn.
             async with asyncio.timeout(SYNC_TIMEOUT_S):
                 reply: suspects_data.Notes = await self._calls.call(
                     methods.TELL_SUSPECTS, request, SYNC_TIMEOUT_S
--- a/beryllug/entry/catching_up_test.py
+++ b/beryllug/entry/catching_up_test.py
@@ -1,4 +1,4 @@
-"""What an entry process learns after it stood still."""
+"""Tests of the suspects fetched after an entry process was stalled."""
 
 import asyncio
 import time
@@ -18,7 +18,7 @@
 
 
 class _FakeControl:
-    """A clock, and a control process that knows one suspected request."""
+    """A process clock and a control process with one suspected request."""
 
     def __init__(self, *, answers: bool, silent: bool = False) -> None:
         self.resumed_at = 0.0
@@ -44,10 +44,10 @@
 
 
 class SuspectSyncTest(unittest.IsolatedAsyncioTestCase):
-    """Many requests at once, after the process went on."""
+    """Concurrent requests after the process resumed."""
 
     async def test_catch_up(self) -> None:
-        """A request that has crashed a server is taken for an ordinary one."""
+        """Guards against treating a suspect as ordinary after a stall."""
         for answers in (True, False):
             with self.subTest(answers=answers):
                 process = _FakeControl(answers=answers)
@@ -64,7 +64,7 @@
                 self.assertIs(known.needs_trial(_call()), answers)
 
     async def test_silent(self) -> None:
-        """Requests wait for each of the silent control processes in turn."""
+        """Guards against one full timeout per silent control process."""
         process = _FakeControl(answers=True, silent=True)
         known = _suspicions(process)
         sync = catching_up.SuspectSync(cast('Any', process), known, process)
--- a/beryllug/entry/chat.py
+++ b/beryllug/entry/chat.py
@@ -1,4 +1,4 @@
-"""Chat completions: from the choice of versions to the flow that runs them."""
+"""Chat completions: selects versions and runs the matching flow."""
 
 import types
 
@@ -22,10 +22,10 @@
 
 
 class ChatFlow:
-    """Takes one chat call from its plan to its bill."""
+    """Serves chat calls from the plan to the billing record."""
 
     def __init__(self, deps: parts.Parts) -> None:
-        """Bind the services."""
+        """Use the given services."""
         self._deps = deps
         self._turn_admission = seats.TurnAdmission(deps)
         self._runner = turn_runner.TurnRunner(deps)
@@ -37,7 +37,7 @@
         """Serve one call.
 
         Raises:
-            RefusedError: It got no answer; says whether it ran.
+            RefusedError: It has no answer; states whether it ran.
         """
         self._deps.crashes.refuse_suspect(call)
         session = await self._deps.sessions.find(call)
--- a/beryllug/entry/chat_bill.py
+++ b/beryllug/entry/chat_bill.py
@@ -1,7 +1,7 @@
-"""Bills, evidence and learnt times of chat answers.
+"""Billing, roll-out evidence and latency estimates of chat answers.
 
-What is billed: the tokens that the engine states for a whole answer; for one
-that was cut, the events that reached us, since no more is known.
+A complete answer is billed by the token counts that the engine reports. A
+partial one is billed by the events received, since no count is known.
 """
 
 import time
@@ -23,10 +23,10 @@
 
 
 class ChatBill:
-    """Writes down what became of a chat answer."""
+    """Records the outcome of chat answers."""
 
     def __init__(self, deps: parts.Parts) -> None:
-        """Bind the services."""
+        """Use the given services."""
         self._deps = deps
 
     async def finish_stream(
@@ -35,7 +35,7 @@
         attempt: routing.Attempt,
         relay: delivery.StreamRelay,
     ) -> None:
-        """Bill a stream that came to its end, before the caller sees it."""
+        """Bill a complete stream, before its end is sent to the client."""
         usage = relay.tail.usage()
         tokens = (turn.call.facts.tokens_in, relay.events)
         if usage is not None:
@@ -65,7 +65,7 @@
         relay: delivery.StreamRelay,
         state: journal_data.OutcomeState,
     ) -> None:
-        """Bill a stream that was cut, by the engine or by its caller."""
+        """Bill a stream that the engine or the client ended early."""
         failed = state is journal_data.OutcomeState.FAILED
         if failed:
             self._record_evidence(turn, relay.first_at, failed=True)
@@ -77,7 +77,7 @@
     async def finish_body(
         self, turn: chat_data.Turn, opened: attempts.Opened, body: bytes
     ) -> None:
-        """Bill an answer that was read whole."""
+        """Bill an answer that was read as one body."""
         status = opened.incoming.status
         failed = attempts.is_error(status)
         if failed:
@@ -108,7 +108,7 @@
         first_at: float | None,
         failed: bool,
     ) -> None:
-        """Give evidence on the version: did it fail, was it late."""
+        """Record whether the version failed or was late."""
         facts = turn.call.facts
         due = request_data.first_token_by(facts)
         late = first_at is None or first_at > due
@@ -140,21 +140,21 @@
 def stage_use(
     turn: chat_data.Turn, attempt: routing.Attempt, tokens: tuple[int, int]
 ) -> journal_data.StageUse:
-    """Return the detail of a bill for one stage."""
+    """Return the billed usage of one stage."""
     return _make_stage_use(turn.version, attempt.server.server_id, tokens)
 
 
 def stage_use_of_body(
     turn: chat_data.Turn, attempt: routing.Attempt, body: bytes
 ) -> journal_data.StageUse:
-    """Return the detail for an answer that was read whole."""
+    """Return the billed usage of an answer read as one body."""
     return stage_use_of_stored(turn.version, attempt.server.server_id, body)
 
 
 def stage_use_of_stored(
     version: config_data.Version, server_id: str, body: bytes
 ) -> journal_data.StageUse:
-    """Return the detail for a whole answer of a version."""
+    """Return the billed usage of a complete answer of a version."""
     usage = _usage_in(body)
     tokens = (usage.tokens_in, usage.tokens_out) if usage else (0, 0)
     return _make_stage_use(version, server_id, tokens)
@@ -175,12 +175,12 @@
 
 
 def cost_micro(version: config_data.Version, tokens: int) -> int:
-    """Return the price of so many tokens, in millionths of the currency."""
+    """Return the price of tokens, in millionths of the currency unit."""
     return tokens * version.cost_micro // TOKENS_PER_PRICE
 
 
 def _usage_in(body: bytes) -> engine_data.Usage | None:
-    """Return the usage of a whole answer, streamed or not."""
+    """Return the usage stated in a complete answer, streamed or not."""
     if not body.startswith(engine_stream.EVENT_START):
         return engine_stream.usage_of(body)
     tail = engine_stream.StreamTail()
--- a/beryllug/entry/chat_data.py
+++ b/beryllug/entry/chat_data.py
@@ -1,4 +1,4 @@
-"""Records of a chat call that has been given a version."""
+"""Record of a chat call and the version selected for it."""
 
 from typing import NamedTuple
 
@@ -11,13 +11,13 @@
 
     Attributes:
         call: The call.
-        session: Its session, with the version that was on before.
-        version: The version it runs on.
-        moved: Whether the session had to leave the version it was on.
-        probe: Told what becomes of its attempts.
-        earlier: What earlier stages of a cascade used.
-        run_suffix: Added to the id under which the engine runs it, so that
-            two stages of one call on one engine are two runs.
+        session: Its session, with the version that it was pinned to before.
+        version: Version that the call runs on.
+        moved: Whether the session had to leave its pinned version.
+        probe: Notified of the result of each attempt.
+        earlier: Usage of earlier stages of a cascade.
+        run_suffix: Suffix of the run id, so that two stages of a call on
+            the same engine are distinct runs.
     """
 
     call: call_data.Call
@@ -30,16 +30,16 @@
 
     @property
     def run_id(self) -> str:
-        """Id under which the engine runs it."""
+        """Id of the run on the engine."""
         return self.call.request_id + self.run_suffix
 
 
 def name_of(ref: config_data.VersionRef) -> str:
-    """Return how a version is shown: ``model@version``."""
+    """Return the display name of a version, ``model@version``."""
     return f'{ref.model}@{ref.version}'
 
 
 def parse_name(name: str) -> config_data.VersionRef:
-    """Return the version of a name that `name_of` made."""
+    """Parse a name returned by `name_of`."""
     model, _, version = name.rpartition('@')
     return config_data.VersionRef(model, version)
--- a/beryllug/entry/chat_order.py
+++ b/beryllug/entry/chat_order.py
@@ -1,4 +1,4 @@
-"""Orders for the attempts of a chat call."""
+"""Builds the attempt specification of a chat call."""
 
 import time
 
@@ -14,7 +14,7 @@
 
 
 def make(deps: parts.Parts, turn: chat_data.Turn) -> attempts.Order:
-    """Return the order of a turn for the attempts."""
+    """Return the attempt specification of a turn."""
     request = engine_data.ChatAsk(
         request_id=turn.run_id,
         account_id=turn.call.account.account_id,
@@ -44,10 +44,10 @@
 def _refusal_code(
     deps: parts.Parts, turn: chat_data.Turn
 ) -> refusal.Code | None:
-    """Tell why the turn's version may not get its work now, if so.
+    """Return why the turn must not be sent to its version now, or None.
 
-    A process that was frozen since the call was admitted may not have heard
-    of a withdrawal; it sends nothing on a view that it knows to be old.
+    A process that was frozen after it admitted the call may have missed a
+    withdrawal, so nothing is sent on the basis of a stale view.
     """
     if not deps.link.may_accept(time.monotonic()):
         return refusal.Code.CUT_OFF
--- a/beryllug/entry/control_calls.py
+++ b/beryllug/entry/control_calls.py
@@ -1,8 +1,8 @@
-"""Calls of an entry to the control processes, with failover.
+"""Calls from an entry to the control processes, with failover.
 
-The own host's control process comes first; while it is gone the next one in
-the settings takes the calls. Every method may be sent twice without harm:
-rows carry their request id, by which the owner of a shard tells a repeat.
+The control process of the same host is used first; while it is down, calls go
+to the next one in the settings. Every method is idempotent: rows carry their
+request id, by which the owner of a shard detects a duplicate.
 """
 
 import asyncio
@@ -17,18 +17,18 @@
 Ask = TypeVar('Ask')
 Reply = TypeVar('Reply')
 
-# A control process that is frozen keeps its connection open and says
-# nothing; silence for this long means that the next one is tried.
+# A frozen control process keeps its connection open but sends nothing. After
+# this many seconds without an update, the next one is tried.
 STREAM_SILENCE_TIMEOUT_S = 5.0
 
 
 class ControlCalls:
-    """Clients of all control processes; one of them is the current one."""
+    """Clients of all control processes, one of which is current."""
 
     def __init__(
         self, addresses: tuple[str, ...], keys: fleet_key.KeyRing
     ) -> None:
-        """Make the clients; they connect on the first call."""
+        """Create the clients, which connect on the first call."""
         self._clients = [rpc.RpcClient(address, keys) for address in addresses]
         self._current = 0
 
@@ -43,7 +43,7 @@
         """Call a method of the first control process that answers.
 
         Raises:
-            RpcError: None answered.
+            RpcError: No control process answered.
         """
         failure = rpc.RpcError('UNAVAILABLE', 'no control process')
         for client in self._failover_order():
@@ -58,7 +58,7 @@
     ) -> AsyncIterator[rpc_data.ViewUpdate]:
         """Yield view updates of the current control process until it fails.
 
-        Afterwards the next control process is the current one.
+        The next control process then becomes the current one.
         """
         client = self._clients[self._current]
         stream = client.stream(methods.WATCH_VIEW, request)
--- a/beryllug/entry/control_link.py
+++ b/beryllug/entry/control_link.py
@@ -1,7 +1,7 @@
-"""The entry's view of the world, followed from a control process.
+"""The view of the fleet, received as updates from a control process.
 
-One stream of updates is open at a time. A broken stream is opened again at
-the next control process; what is known stays, and never goes backwards.
+One update stream is open at a time. A broken stream is reopened at the next
+control process; the view is kept and never replaced by an older one.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
     """Service 'control_link' of an entry process.
 
     Attributes:
-        known: All that control processes have sent.
+        known: Merged state of all updates received.
         index: Lookup tables over the view.
     """
 
@@ -41,10 +41,11 @@
         cfg: settings_data.Entry,
         calls: control_calls.ControlCalls,
     ) -> None:
-        """Make the link; `start` connects.
+        """Initialize; `start` connects.
 
         Args:
-            ask: Names this start of the process, which shares are dealt to.
+            request: Identifies this run of the process, which receives
+                shares of the exposure budgets.
             cfg: Settings.
             calls: Calls to control processes.
         """
@@ -59,11 +60,11 @@
         self._confirm_tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Start following the view."""
+        """Start receiving view updates."""
         self._task = asyncio.create_task(self._follow())
 
     async def stop(self, grace_s: float) -> None:
-        """Stop following and disconnect."""
+        """Stop receiving updates and disconnect."""
         for task in self._confirm_tasks:
             task.cancel()
         if self._task is not None:
@@ -72,7 +73,7 @@
         await self._calls.close()
 
     def dump(self) -> dict[str, Any]:
-        """Return the link's state; keys and documents are left out."""
+        """Return the state of the link, without keys and documents."""
         view = self.known.view
         return {
             'control': self._calls.address,
@@ -85,15 +86,15 @@
         }
 
     def listen(self, listener: Listener) -> None:
-        """Call a function after each change of the view."""
+        """Register a function to call after each update."""
         self._listeners.append(listener)
 
     def may_accept(self, now: float) -> bool:
-        """Tell whether new work may be taken.
+        """Return whether new requests may be accepted.
 
-        An entry that hears of no control process can't learn of a
-        withdrawal. It goes on for a bounded time only, so that a version
-        withdrawn meanwhile stays exposed no longer than that.
+        An entry without updates from a control process cannot learn of a
+        withdrawal. It continues for a bounded time only, which bounds how
+        long a version withdrawn meanwhile remains in use.
 
         Args:
             now: Seconds of the monotonic clock.
@@ -109,9 +110,9 @@
             await asyncio.sleep(RECONNECT_DELAY_S)
 
     def _apply_update(self, update: rpc_data.ViewUpdate) -> None:
-        # A process that was frozen finds messages in its socket that are as
-        # old as the freeze. Taking them for fresh would let it dispatch on a
-        # version that was withdrawn meanwhile; their age is what counts.
+        # After a freeze, the socket holds messages as old as the freeze. If
+        # they counted as new, the process could dispatch to a version that
+        # was withdrawn meanwhile, so freshness follows the sending time.
         age_s = max(0, time.time() - update.sent_at)
         fresh_at = time.monotonic() - age_s
         self._fresh_at = max(self._fresh_at, fresh_at)
@@ -131,5 +132,5 @@
         try:
             await self._calls.call(methods.VIEW_SEEN, seen, CONFIRM_TIMEOUT_S)
         except rpc.RpcError as exc:
-            # The control process that waits for it has a bound.
+            # Not retried: the control process waits for it with a timeout.
             logging.warning('event=suspects_not_confirmed error=%s', exc)
--- a/beryllug/entry/crashes.py
+++ b/beryllug/entry/crashes.py
@@ -1,9 +1,9 @@
 """Reports of crashed backend servers, and refusal of suspected requests.
 
 When a connection breaks and the server then refuses connections, the server
-was lost, and each of our requests on it is under suspicion. The report is
-answered before any of them is tried again, so that the suspicion is known to
-the other entry processes before it can meet another server.
+has crashed, and each request that this process ran on it is a suspect. No
+suspect is retried before the report is acknowledged, so the other entry
+processes know of it before it can reach another server.
 """
 
 import asyncio
@@ -26,28 +26,29 @@
     suspicions,
 )
 
-# Seconds in which a report is known on all hosts: a control process waits
-# one for its peers.
+# Seconds by which a report is known on all hosts, of which a control process
+# waits one for its peers.
 REPORT_TIMEOUT_S = 2.0
 ID_BYTES = 8
-# Seconds that a server takes at least to start again after a crash.
+# Least seconds that a server needs to restart after a crash.
 MIN_RESTART_S = 0.3
 RETRY_AFTER_S = 1.0
 
 
 class Ticks(catching_up.Ticks, Protocol):
-    """What the service needs of the clock of this process."""
+    """The part of the process clock that this service uses."""
 
     def ran_before(self, noticed: float) -> float:
-        """Return the last time when an event had not yet happened."""
+        """Return the latest time at which an event had not yet happened."""
 
 
 class Crashes:
     """Service 'crashes' of an entry process.
 
     Attributes:
-        known: What is known of suspected requests.
-        catching_up: Learns what was missed as this process stood still.
+        known: The known suspected requests.
+        suspect_sync: Fetches the suspects missed while this process was
+            stalled.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         client: http_client.HttpClient,
         ticks: Ticks,
     ) -> None:
-        """Bind the link to control, the client for probes and the clock."""
+        """Use the given control calls, probe client and process clock."""
         self.known = suspicions.KnownSuspects(link)
         self.suspect_sync = catching_up.SuspectSync(calls, self.known, ticks)
         self._entry = entry
@@ -70,10 +71,10 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def start(self) -> None:
-        """Do nothing: it works when it is called."""
+        """Do nothing: tasks are started on demand."""
 
     async def stop(self, grace_s: float) -> None:
-        """Send what is still to be told, for a bounded time."""
+        """Finish the open reports, within a bounded time."""
         if self._tasks:
             _, late = await asyncio.wait(self._tasks, timeout=REPORT_TIMEOUT_S)
             for task in late:
@@ -84,14 +85,14 @@
         return {**self._counts, **self.known.dump()}
 
     def refuse_suspect(self, call: call_data.Call) -> None:
-        """Refuse a call at once that has cost the server of its trial.
+        """Refuse a call early if the server of its trial crashed.
 
-        Not one that may run only once: it may have run under its key, and
-        the journal must be asked before "not run" is said. The attempt at a
-        server refuses that one.
+        A non-repeatable call is not refused here: it may have run under its
+        key, so the journal must be asked before "not run" is reported. It is
+        refused when an attempt is made.
 
         Raises:
-            RefusedError: It is refused for now.
+            RefusedError: The call is refused for now.
         """
         if call.facts.repeatable:
             self.known.needs_trial(call)
@@ -102,7 +103,7 @@
         """Ask whether a suspected call may run on a server.
 
         Raises:
-            RefusedError: It is refused, or nobody could decide.
+            RefusedError: It is refused, or no control process answered.
         """
         request = suspects_data.TrialAsk(
             call.fingerprint,
@@ -131,18 +132,18 @@
         attempt: routing.Attempt,
         fingerprints: Sequence[str],
     ) -> liveness.Found:
-        """Report a crash if the server of an attempt that it cut is gone.
+        """Report a crash if the server that closed an attempt is gone.
 
-        One that this process looked for too late may have crashed and
-        started again: it is reported, too, or a request that crashes servers
-        would go on to the next one.
+        A server that was checked too late may have crashed and restarted. It
+        is reported as well; otherwise a request that crashes servers would be
+        sent to the next one.
         """
         return await self._inspect(call, attempt, fingerprints, cut=True)
 
     def ended(
         self, call: call_data.Call, attempt: routing.Attempt, *, answered: bool
     ) -> None:
-        """Tell that an attempt ended and its server lives."""
+        """Report that an attempt ended and its server is alive."""
         fingerprint = call.fingerprint
         clears = answered and self.known.forget(fingerprint)
         if attempt.trial_id or clears:
@@ -152,17 +153,17 @@
             self._start_task(self._report_trial_end(end))
 
     def answers(self, call: call_data.Call, attempt: routing.Attempt) -> None:
-        """Tell that an attempt's answer has begun.
+        """Report that the answer of an attempt has begun.
 
-        The server is free for another trial: an answer may take minutes, and
-        all others that shared the crash would wait for it. Should the server
-        be lost after all, the report still names this trial.
+        This frees the server for another trial: an answer may take minutes,
+        and all other suspects of the same crash would wait for it. If the
+        server crashes later, the report still names this trial.
         """
         if attempt.trial_id:
             self.abandon_trial(call, attempt.trial_id)
 
     def abandon_trial(self, call: call_data.Call, trial_id: str) -> None:
-        """End a trial, without saying how."""
+        """End a trial without a result."""
         end = suspects_data.TrialEnd(call.fingerprint, trial_id, answered=False)
         self._start_task(self._report_trial_end(end))
 
@@ -174,16 +175,17 @@
         *,
         cut: bool = False,
     ) -> None:
-        """Look after an answer that broke off whether its server lives.
+        """Check in the background whether a server is alive.
 
-        One look at a time for a server: callers that go away cut answers
-        off too, and each would else cost the server a connection.
+        Used after an answer broke off. A server is checked once at a time:
+        clients that disconnect interrupt answers as well, and each of these
+        would cost the server a connection.
 
         Args:
             call: The call.
-            attempt: The attempt that did not end well.
-            fingerprints: Of the requests of this process on its server.
-            cut: The server's side closed the connection.
+            attempt: The attempt that was interrupted.
+            fingerprints: Requests of this process on its server.
+            cut: Whether the server closed the connection.
         """
         server_id = attempt.server.server_id
         if server_id in self._inspecting and not attempt.trial_id:
@@ -217,7 +219,7 @@
         check = await liveness.look(self._client, attempt.server.address)
         if check.gone:
             return liveness.Found.GONE
-        # The process may have stood still before the look, or within it.
+        # The process may have been stalled before the check or during it.
         unobserved_s = check.at - last_alive_at
         stood_until = self._ticks.stood_until(time.monotonic())
         is_late = unobserved_s > MIN_RESTART_S or stood_until > check.at
@@ -267,5 +269,5 @@
 
 
 def new_trial_id() -> str:
-    """Return the id of a trial."""
+    """Return a random trial id."""
     return os.urandom(ID_BYTES).hex()
--- a/beryllug/entry/crashes_test.py
+++ b/beryllug/entry/crashes_test.py
@@ -1,4 +1,4 @@
-"""What is taken for the loss of a server whose connection broke."""
+"""Tests of when a broken connection counts as the loss of its server."""
 
 import asyncio
 import time
@@ -22,7 +22,7 @@
 
 
 class _FakeControl:
-    """A control process that keeps what it is told."""
+    """A control process that keeps the messages it receives."""
 
     def __init__(self) -> None:
         self.received: list[Any] = []
@@ -32,7 +32,7 @@
 
 
 class _FakeServer:
-    """Reaches a server that answers or refuses, and stands still at times."""
+    """A server that answers or refuses, and the clock of a stalled process."""
 
     def __init__(self, case: 'Case') -> None:
         self._case = case
@@ -56,13 +56,13 @@
     """A connection that broke.
 
     Attributes:
-        title: Its name.
-        found: What is to be concluded.
+        title: Name of the case.
+        found: Expected result.
         ago_s: Seconds since the process last ran before it noticed.
-        sent_s: Seconds since the request was sent.
-        refuses: The server refuses connections.
-        stalls: The process stands still while it looks.
-        answers_s: Seconds until the server answers.
+        sent_ago_s: Seconds since the request was sent.
+        refuses: Whether the server refuses connections.
+        stalls: Whether the process is stalled during the check.
+        answer_delay_s: Seconds until the server answers.
     """
 
     title: str
@@ -79,17 +79,22 @@
     Case('seen at once, it refuses', Found.GONE, refuses=True),
     Case('seen late, it answers', Found.UNKNOWN, ago_s=0.8),
     Case('seen late, it refuses', Found.GONE, ago_s=0.8, refuses=True),
-    Case('stalled in the look', Found.UNKNOWN, stalls=True, answer_delay_s=0.4),
+    Case(
+        'stalled during the check',
+        Found.UNKNOWN,
+        stalls=True,
+        answer_delay_s=0.4,
+    ),
     Case('the server answers late', Found.LIVES, answer_delay_s=0.4),
     Case('sent after the stall', Found.LIVES, ago_s=0.8, sent_ago_s=0.1),
 )
 
 
 class CrashesTest(unittest.IsolatedAsyncioTestCase):
-    """An entry process between a server and a control process."""
+    """An entry process with one server and one control process."""
 
     async def test_cut(self) -> None:
-        """A server that restarted before it was looked at counts as lost."""
+        """A server that may have restarted before its check counts as lost."""
         for case in CASES:
             with self.subTest(case.title):
                 calls = _FakeControl()
@@ -103,7 +108,7 @@
                 )
 
     async def test_streams(self) -> None:
-        """A caller that leaves a stream puts nobody under suspicion."""
+        """A client that leaves a stream makes no request a suspect."""
         for title, cut in (('the server cut it', True), ('left', False)):
             for case in CASES:
                 with self.subTest(title, case=case.title):
--- a/beryllug/entry/delivery.py
+++ b/beryllug/entry/delivery.py
@@ -1,8 +1,8 @@
-"""Deliver answers to callers: whole, once, and ended only when billed.
+"""Delivers answers to clients: complete, once, and ended after billing.
 
-The end of an answer is held back until its bill is durable (or owed where
-the journal is late). A caller that has seen the end can so rely on what the
-journal says.
+The end of an answer is held back until its billing record is durable, or
+queued for a resend if the journal is slow. A client that has seen the end can
+rely on the journal.
 """
 
 import asyncio
@@ -17,27 +17,30 @@
 
 
 class StreamRelay:
-    """Passes one answer's events on, all but its end; owned by one flow.
+    """Forwards the events of one answer, except its end.
+
+    Each relay belongs to one flow.
 
     Attributes:
-        tail: The last bytes, which tell whether it is whole and its usage.
-        events: Events received.
-        held: The end of the answer, not yet sent.
-        kept: The whole body, where it is to be kept.
-        caller_gone: Whether the caller went away.
+        tail: Last bytes, which show the usage and whether it is complete.
+        events: Number of events received.
+        held: End of the answer, not yet sent.
+        kept: The whole body, if it is collected.
+        caller_gone: Whether the client has disconnected.
         first_at: Monotonic second of the first byte, None before it.
     """
 
     def __init__(
         self, call: call_data.Call, exchange: http_server.Exchange, keep: bool
     ) -> None:
-        """Bind a call to the exchange that its answer goes to.
+        """Initialize for a call and its HTTP exchange.
 
         Args:
-            call: The call; one that may not repeat is read to its end even
-                when the caller goes away.
-            exchange: Where the answer goes; its head has been sent.
-            keep: Whether the whole answer is collected.
+            call: The call; a non-repeatable one is read to its end even if
+                the client disconnects.
+            exchange: Destination of the answer; its head must be sent before
+                `forward` is called.
+            keep: Whether to collect the whole answer.
         """
         self.tail = engine_stream.StreamTail()
         self.events = 0
@@ -51,14 +54,14 @@
 
     @property
     def is_abandoned(self) -> bool:
-        """Tell whether nobody will ever read the rest of the answer."""
+        """Return whether the rest of the answer is of no use to anyone."""
         return self.caller_gone and self._call.facts.repeatable
 
     async def forward(self, incoming: http_client.Incoming) -> None:
-        """Pass on what an engine sends, to its end or until unwanted.
+        """Forward the stream of an engine to its end or until abandoned.
 
         Raises:
-            BrokenError: The engine broke the stream.
+            BrokenError: The engine closed the stream early.
             TimeoutError: The deadline passed.
         """
         async with asyncio.timeout_at(self._call.deadline):
@@ -68,15 +71,15 @@
                     return
 
     async def finish(self) -> None:
-        """Send the held end of the answer."""
+        """Send the end of the answer, which was held back."""
         if not self.caller_gone:
             await self._exchange.finish(self.held)
 
     async def fail(self, event: bytes) -> None:
-        """End the answer with an error event, and cut the connection.
+        """End the answer with an error event and abort the connection.
 
-        A broken answer must not look whole: the event is for clients that
-        read events, the cut for all others.
+        A partial answer must not look complete. Clients that parse events see
+        the error event; all others see the aborted connection.
         """
         if not self.caller_gone:
             await self._send(event)
@@ -109,7 +112,7 @@
     """Read a whole answer before the deadline.
 
     Raises:
-        BrokenError: The server broke it off.
+        BrokenError: The server closed the connection early.
         TimeoutError: The deadline passed.
     """
     async with asyncio.timeout_at(call.deadline):
@@ -122,7 +125,7 @@
     body: bytes,
     exchange: http_server.Exchange,
 ) -> None:
-    """Give a kept answer again: the same bytes, marked as a repeat."""
+    """Send a stored answer: the same bytes, marked as a replay."""
     await exchange.respond(
         answer.status,
         body,
@@ -135,7 +138,7 @@
 
 
 def _end_marker_start(pending: bytes) -> int:
-    """Return where the end marker begins, or a part of one cut by a chunk."""
+    """Return the start of the end marker, or of its prefix at the end."""
     position = pending.find(END_MARKER)
     if position >= 0:
         return position
--- a/beryllug/entry/delivery_test.py
+++ b/beryllug/entry/delivery_test.py
@@ -1,4 +1,4 @@
-"""Tests of the stream relay: the end waits, and no byte is lost."""
+"""Tests of the stream relay: end held back, no byte lost."""
 
 import time
 import unittest
@@ -49,10 +49,10 @@
 
 
 class StreamRelayTest(unittest.IsolatedAsyncioTestCase):
-    """Every cut of a stream into chunks gives the same bytes."""
+    """The forwarded bytes do not depend on how the stream is chunked."""
 
     async def test_every_cut(self) -> None:
-        """The end is held back wherever a chunk cuts the end marker."""
+        """The end is held back wherever a chunk splits the end marker."""
         for place in CUTS:
             with self.subTest(place):
                 relay, exchange = _relay(repeatable=True)
@@ -62,7 +62,7 @@
                 self.assertEqual(exchange.sent, TEXT)
 
     async def test_single_bytes(self) -> None:
-        """Chunks of one byte pass too."""
+        """Chunks of one byte are forwarded."""
         relay, exchange = _relay(repeatable=True)
         await relay.forward(_incoming([bytes([byte]) for byte in TEXT]))
         self.assertTrue(relay.tail.is_whole())
@@ -70,7 +70,7 @@
         self.assertEqual(exchange.sent, TEXT)
 
     async def test_resumed(self) -> None:
-        """The engine resets the stream; the rest is taken up at its byte."""
+        """After an engine reset, the stream resumes at its exact byte."""
         for place in CUTS:
             with self.subTest(place):
                 relay, exchange = _relay(repeatable=True)
@@ -82,11 +82,11 @@
                 self.assertEqual(exchange.sent, TEXT)
 
     async def test_caller_goes(self) -> None:
-        """The caller goes away half way.
+        """The client disconnects during the answer.
 
-        An answer of a request that may repeat is given up. One that runs
-        only once is read to its end and kept, since the caller can't get it
-        by asking for another run.
+        The answer of a repeatable request is abandoned. A non-repeatable one
+        is read to its end and collected, since the client cannot get it by
+        another run.
         """
         for repeatable, kept in ((True, b''), (False, TEXT)):
             with self.subTest(repeatable=repeatable):
@@ -97,7 +97,7 @@
                 self.assertEqual(bytes(relay.kept), kept)
 
     async def test_broken_is_cut(self) -> None:
-        """An answer that broke off never looks whole to its caller."""
+        """A partial answer does not look complete to its client."""
         relay, exchange = _relay(repeatable=True)
         await relay.forward(_incoming((TEXT[:20],)))
         await relay.fail(b'data: {"error":{}}\n\n')
@@ -121,7 +121,7 @@
 def make_call(
     body_hash: str, *, repeatable: bool = True, within_s: float = 60
 ) -> call_data.Call:
-    """Return a small call, for tests of what is done with one."""
+    """Return a small call for tests."""
     facts = request_data.Facts(
         request_id=body_hash,
         account_id='a',
--- a/beryllug/entry/exposure.py
+++ b/beryllug/entry/exposure.py
@@ -1,8 +1,8 @@
-"""Exposure to new versions: answers given out, and the evidence of them.
+"""Exposure of clients to new versions, and the evidence collected from it.
 
-Control deals each entry a number of a candidate's answers that it may give
-out in all. What becomes of the answers goes back as evidence, with ratings of
-the candidate's answers and of a sample of the incumbent's beside them.
+Control allocates to each entry a total number of answers of a candidate that
+it may return. Their results are reported back as evidence, with ratings of
+the candidate's answers and of a sample of the incumbent's.
 """
 
 import asyncio
@@ -41,13 +41,13 @@
         link: control_link.ControlLink,
         rated: ratings.Ratings,
     ) -> None:
-        """Make the service.
+        """Initialize the service.
 
         Args:
-            boot: Name of this process and of its start.
+            boot: Id of this run of the process.
             calls: Calls to control processes.
-            link: The view to follow.
-            rated: Has answers rated.
+            link: Source of view updates.
+            rated: Rates answers in the background.
         """
         self._calls = calls
         self._ratings = rated
@@ -65,13 +65,13 @@
         self._task = asyncio.create_task(self._report_loop())
 
     async def stop(self, grace_s: float) -> None:
-        """Report what is left, then stop."""
+        """Send a last report, then stop."""
         if self._task is not None:
             self._task.cancel()
         await self._report()
 
     def dump(self) -> dict[str, Any]:
-        """Return the brakes and what is unreported."""
+        """Return the circuit breakers and the number of unreported counts."""
         now = time.monotonic()
         breakers = {
             _version_name(ref): {
@@ -89,7 +89,7 @@
         }
 
     def budgets(self) -> Mapping[config_data.VersionRef, int]:
-        """Return answers of each candidate that may still be given out."""
+        """Return the remaining number of answers of each candidate."""
         now = time.monotonic()
         return {
             ref: brake.remaining(state, now)
@@ -107,7 +107,7 @@
     def end(
         self, subject: evidence_book.Subject, answer: evidence_book.Answer
     ) -> None:
-        """Take in how a dispatch ended; each `begin` has one `end`."""
+        """Record the result of a dispatch, once for each `begin`."""
         if subject.version in self._rollouts_by_version:
             evidence_book.end(self._evidence, subject, answer)
         outcome = _outcome(answer)
@@ -122,7 +122,7 @@
             )
 
     def drop(self, subject: evidence_book.Subject) -> None:
-        """End a dispatch that says nothing of its version."""
+        """End a dispatch without evidence on its version."""
         if subject.version in self._rollouts_by_version:
             evidence_book.drop(self._evidence, subject)
         state = self._breakers.get(subject.version)
@@ -130,21 +130,21 @@
             state.open = max(0, state.open - 1)
 
     def moved(self, subject: evidence_book.Subject) -> None:
-        """Count a session that had to leave its version."""
+        """Count a session that had to leave its pinned version."""
         if subject.version in self._rollouts_by_version:
             evidence_book.move(self._evidence, subject)
 
     def needs_answer_text(self, ref: config_data.VersionRef) -> bool:
-        """Tell whether answers of a version may have to be rated."""
+        """Return whether answers of a version may have to be rated."""
         return ref in self._rollouts_by_version
 
     def rate(
         self, subject: evidence_book.Subject, request_id: str, answer: bytes
     ) -> None:
-        """Have an answer rated in the background, if it is one to rate.
+        """Rate an answer in the background if it is in the sample.
 
-        All answers of a candidate are, and a share of the incumbent's: the
-        candidate is compared with what is rated at the same time.
+        All answers of a candidate are rated, and a share of the incumbent's,
+        so that the comparison uses ratings of the same period.
         """
         rollout = self._rollouts_by_version.get(subject.version)
         if rollout is None:
@@ -202,10 +202,10 @@
         self._reported_at = now
 
     def _is_report_due(self, now: float) -> bool:
-        """Tell whether to report; a quiet entry does so now and then.
+        """Return whether to report; an idle entry does so at intervals.
 
-        An entry that is not heard of is dealt no share, and without a share
-        it never has an answer to report.
+        An entry that does not report is allocated no share of the budget,
+        and without a share it never has an answer to report.
         """
         evidence = self._evidence
         recently_reported = now - self._reported_at < MAX_REPORT_GAP_S
@@ -218,7 +218,7 @@
 
 
 def _rollouts_by_version(document: config_data.Document) -> RolloutsByVersion:
-    """Return the roll-out of each version that takes part in one."""
+    """Return the roll-out of each version that is part of one."""
     return {
         config_data.VersionRef(rollout.model, version): rollout
         for rollout in document.rollouts
--- a/beryllug/entry/fetches.py
+++ b/beryllug/entry/fetches.py
@@ -1,7 +1,7 @@
-"""Fetch the answer of an earlier request by its id.
+"""Serves the stored answer of an earlier request by its id.
 
-An answer of a request that may run only once outlives its caller's
-connection. Fetching it again gives the same bytes and is no new request.
+The answer of a non-repeatable request outlives the client connection. A fetch
+returns the same bytes and runs nothing.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
     """Serves ``GET /v1/requests/ID``."""
 
     def __init__(self, deps: parts.Parts) -> None:
-        """Bind the services."""
+        """Use the given services."""
         self._deps = deps
         self._recovery = recovery.Recovery(deps)
 
@@ -35,17 +35,17 @@
         index: view_index.ViewIndex,
         exchange: http_server.Exchange,
     ) -> None:
-        """Give the kept answer of a request of the same account.
+        """Return the stored answer of a request of the same account.
 
         Raises:
-            RefusedError: There is none, it is running, or it is unknown.
+            RefusedError: The request is unknown, running or unanswered.
         """
         account = intake.authenticate(req, index)
         wanted_id = req.target[len(PREFIX) :].partition('?')[0]
         if not request_id.is_valid(wanted_id):
             raise _not_found(wanted_id)
         row = await self._find(account.account_id, wanted_id)
-        # Another account's id must look just like one that never was.
+        # An id of another account must not differ from one that does not exist.
         if row is None or row.account_id != account.account_id:
             raise _not_found(wanted_id)
         await replays.replay_first(self._deps.answers, row, exchange)
--- a/beryllug/entry/headers.py
+++ b/beryllug/entry/headers.py
@@ -1,4 +1,4 @@
-"""Names of the headers of the callers' interface."""
+"""Names of the HTTP headers of the client API."""
 
 AUTHORIZATION = 'authorization'
 IDEMPOTENCY_KEY = 'idempotency-key'
--- a/beryllug/entry/intake.py
+++ b/beryllug/entry/intake.py
@@ -1,7 +1,7 @@
-"""Read a caller's HTTP request into a `Call`.
+"""Parses a client's HTTP request into a `Call`.
 
-All that is wrong with a request is found here, before anything is counted,
-journaled or sent, so each of these refusals is "not run" by construction.
+Requests are validated here, before anything is counted, journaled or sent, so
+each of these refusals is "not run" by construction.
 """
 
 import hashlib
@@ -41,14 +41,14 @@
 
 
 class Clock(NamedTuple):
-    """The present time by both clocks, in seconds."""
+    """Current time of both clocks, in seconds."""
 
     monotonic: float
     wall: float
 
 
 class _CommonFields(NamedTuple):
-    """What every kind of request has in its headers."""
+    """Values from the headers that all kinds of requests share."""
 
     account: config_data.Account
     key: str
@@ -63,7 +63,7 @@
     """Return the client account of a request's bearer key.
 
     Raises:
-        RefusedError: There is no key, or it is not valid.
+        RefusedError: The key is missing or not valid.
     """
     credentials = req.headers.get(headers.AUTHORIZATION, '')
     if credentials[: len(BEARER)].lower() == BEARER:
@@ -83,7 +83,7 @@
 def read_chat(
     req: http_data.Request, index: view_index.ViewIndex, clock: Clock
 ) -> call_data.Call:
-    """Read a chat-completions request.
+    """Parse a chat completions request.
 
     Raises:
         RefusedError: It is not authenticated or not well-formed.
@@ -115,7 +115,7 @@
 def read_plain(
     req: http_data.Request, index: view_index.ViewIndex, clock: Clock
 ) -> call_data.Call:
-    """Read a call of a plain service under ``/v1/services/NAME/``.
+    """Parse a call of a plain service under ``/v1/services/NAME/``.
 
     Raises:
         RefusedError: It is not authenticated, not allowed or not declared.
@@ -196,10 +196,10 @@
 def _is_repeatable(
     service: config_data.Service, method: str, target: str
 ) -> bool:
-    """Tell whether a call may run twice; the longest declared path decides.
+    """Return whether a call may run twice, by the longest declared path.
 
-    A call that no operation declares counts as not idempotent unless its
-    method is safe: a wrong guess the other way would hold a slot twice.
+    A call that matches no declared operation counts as idempotent only if its
+    method is safe: the opposite error would hold a slot twice.
     """
     matching = [
         operation
--- a/beryllug/entry/liveness.py
+++ b/beryllug/entry/liveness.py
@@ -1,4 +1,4 @@
-"""Find out whether a backend server whose connection broke is gone."""
+"""Checks whether a backend server is gone after its connection broke."""
 
 import asyncio
 import enum
@@ -10,26 +10,26 @@
 PROBE_TIMEOUT_S = 2.0
 MAX_PROBES = 3
 PROBE_INTERVAL_S = 0.02
-# A model engine reports its load; a plain service answers 404 or whatever it
-# likes. Each is an answer, and says that the server lives.
+# A model engine reports its load; a plain service answers 404 or anything else.
+# Any response shows that the server is alive.
 PROBE_REQUEST = http_data.Outgoing('GET', '/v1/load', {}, fresh=True)
 
 
 class Found(enum.Enum):
-    """What is known of a server whose connection broke."""
+    """State of a server whose connection broke."""
 
     LIVES = 'lives'
     GONE = 'gone'
-    # It answers, but may have been lost and started again.
+    # It answers, but may have crashed and restarted.
     UNKNOWN = 'unknown'
 
 
 class Look(NamedTuple):
-    """What a look at a server showed.
+    """Result of a check of a server.
 
     Attributes:
-        gone: It refuses connections.
-        at: Monotonic second of the probe that showed it.
+        gone: Whether it refuses connections.
+        at: Monotonic second at which the deciding probe was sent.
     """
 
     gone: bool
@@ -37,10 +37,10 @@
 
 
 async def look(client: http_client.HttpClient, address: str) -> Look:
-    """Look whether a server refuses connections.
+    """Check whether a server refuses connections.
 
-    One that accepts and says nothing is frozen and not lost. One that was
-    restarted before it is asked cannot be told from one that lived.
+    A server that accepts a connection but sends nothing is frozen, not gone. A
+    server that restarted before the check looks like one that kept running.
     """
     for _ in range(MAX_PROBES):
         at = time.monotonic()
@@ -50,7 +50,7 @@
         except http_data.NotSentError:
             return Look(gone=True, at=at)
         except http_data.BrokenError:
-            # Cut as the server goes down, before its port is closed.
+            # The server may be shutting down, with its port still open.
             await asyncio.sleep(PROBE_INTERVAL_S)
         except TimeoutError:
             break
--- a/beryllug/entry/outbox.py
+++ b/beryllug/entry/outbox.py
@@ -1,8 +1,8 @@
-"""The outbox: rows on their way from an entry to the request journal.
+"""The outbox: rows sent from an entry to the request journal.
 
-An intent is asked for before a dispatch. An outcome is a bill: when no
-control process has made it durable in time it stays here, counted in the
-dump, and is sent again until one has.
+An intent is requested before a dispatch. An outcome is a billing record: if no
+control process makes it durable in time, it stays here, counted in the dump,
+and is resent until one does.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
     """Service 'outbox' of an entry process."""
 
     def __init__(self, calls: control_calls.ControlCalls) -> None:
-        """Make an empty outbox over the calls to control processes."""
+        """Create an empty outbox over the calls to control processes."""
         self._calls = calls
         self._pending: dict[str, journal_data.Row] = {}
         self._task: asyncio.Task[None] | None = None
@@ -35,11 +35,11 @@
         self._outcome_batcher = batcher.Batcher(self._send_outcomes)
 
     async def start(self) -> None:
-        """Start resending what is owed."""
+        """Start resending pending rows."""
         self._task = asyncio.create_task(self._resend_loop())
 
     async def stop(self, grace_s: float) -> None:
-        """Hand over what is owed within the grace time."""
+        """Wait for pending rows to be sent, within the grace period."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + grace_s
         while self._pending and loop.time() < deadline:
@@ -50,19 +50,19 @@
             self._task.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Return the number of rows that are owed, and the oldest."""
+        """Return the number of pending rows and the time of the oldest."""
         oldest = min((row.at for row in self._pending.values()), default=None)
         return {'owed': len(self._pending), 'oldest_at': oldest}
 
     async def begin(self, row: journal_data.Row) -> journal_data.Grant:
-        """Ask the shard's owner to make an intent durable."""
+        """Ask the owner of the shard to make an intent durable."""
         return await self._intent_batcher.submit(row)
 
     async def finish(self, row: journal_data.Row, wait_s: float) -> bool:
-        """Make an outcome durable; keep it and go on when that takes long.
+        """Make an outcome durable, waiting a bounded time.
 
         Returns:
-            Whether it is durable. When not, it is owed and sent again.
+            Whether it is durable. If not, it stays pending and is resent.
         """
         self._pending[row.request_id] = row
         try:
@@ -75,7 +75,7 @@
         return durable
 
     async def lookup(self, request: rpc_data.LookupAsk) -> rpc_data.LookupReply:
-        """Ask for the latest row of a kind under a key."""
+        """Look up the latest row of a kind under a key."""
         try:
             return await self._calls.call(
                 methods.LOOKUP, request, CALL_TIMEOUT_S
@@ -104,11 +104,11 @@
         return ack.durable
 
     def _withdraw(self, row: journal_data.Row) -> journal_data.Grant:
-        """Take an intent back whose answer did not come.
+        """Withdraw an intent whose grant did not arrive.
 
-        It may be durable, and nobody will ever run it. Without an outcome
-        every resend under its key would be told "unknown"; this process
-        knows that it was not run and says so in the journal.
+        The intent may be durable although it will never run. Without an
+        outcome, every resend under its key would get "unknown". This process
+        knows that it was not run and records that in the journal.
         """
         self._pending[row.request_id] = row._replace(
             kind=journal_data.RowKind.OUTCOME,
--- a/beryllug/entry/parts.py
+++ b/beryllug/entry/parts.py
@@ -1,4 +1,4 @@
-"""The services that the flows of calls use together."""
+"""The services that the request flows share."""
 
 from typing import NamedTuple
 
@@ -20,7 +20,7 @@
 
 
 class Parts(NamedTuple):
-    """The services that a flow of calls needs."""
+    """Services of an entry process used by the request flows."""
 
     link: control_link.ControlLink
     routing: routing.Routing
--- a/beryllug/entry/plain.py
+++ b/beryllug/entry/plain.py
@@ -1,9 +1,9 @@
 """Calls of plain services: lookups, slot holds, valuations.
 
-The answer is read whole before a byte goes to the caller, so a broken answer
-is never given out in part. A call that may not repeat has a durable intent
-first and a fresh connection: on a kept one the server may close it just as
-the call is written, and nobody would know whether it ran.
+The answer is read whole before any byte is sent to the client, so a partial
+answer is never returned. A non-repeatable call needs a durable intent and a
+fresh connection: the server may close a reused one just as the call is
+written, which leaves it unknown whether the call ran.
 """
 
 import time
@@ -25,10 +25,10 @@
 
 
 class PlainFlow:
-    """Takes one call of a plain service from admission to its bill."""
+    """Serves calls of plain services from admission to billing."""
 
     def __init__(self, deps: parts.Parts) -> None:
-        """Bind the services."""
+        """Use the given services."""
         self._deps = deps
 
     async def serve(
@@ -37,7 +37,7 @@
         """Serve one call.
 
         Raises:
-            RefusedError: It got no answer; says whether it ran.
+            RefusedError: It has no answer; states whether it ran.
         """
         deps = self._deps
         index = deps.link.index
@@ -165,7 +165,7 @@
         )
 
     def _refusal_code(self, call: call_data.Call) -> refusal.Code | None:
-        """Tell why the service may not be called now, if so."""
+        """Return why the service must not be called now, or None."""
         if not self._deps.link.may_accept(time.monotonic()):
             return refusal.Code.CUT_OFF
         view = self._deps.link.known.view
--- a/beryllug/entry/probe.py
+++ b/beryllug/entry/probe.py
@@ -1,4 +1,4 @@
-"""Probes: what one dispatch of a call says of the version it ran on."""
+"""Observers that turn attempts into evidence on a version."""
 
 from typing import Protocol
 
@@ -7,27 +7,27 @@
 
 
 class Probe(Protocol):
-    """Takes the start and the end of each attempt of a call."""
+    """Receives the start and the end of each attempt of a call."""
 
     def begin(self) -> None:
         """Count a dispatch."""
 
     def end(self, answer: evidence_book.Answer) -> None:
-        """Take in how it ended."""
+        """Record the result of a dispatch."""
 
     def drop(self) -> None:
-        """End it without saying anything of the version."""
+        """End a dispatch without evidence on the version."""
 
 
 class VersionObserver:
-    """Tells the exposure service of attempts on one version."""
+    """Reports attempts on one version to the exposure service."""
 
     def __init__(
         self,
         exposure_service: exposure.Exposure,
         subject: evidence_book.Subject,
     ) -> None:
-        """Bind the service and what the attempts are about."""
+        """Initialize for the version and account of the attempts."""
         self._exposure = exposure_service
         self._subject = subject
         self._open = False
@@ -38,20 +38,20 @@
         self._exposure.begin(self._subject)
 
     def end(self, answer: evidence_book.Answer) -> None:
-        """Take in how the dispatch ended; once."""
+        """Record the result of the open dispatch, once."""
         if self._open:
             self._open = False
             self._exposure.end(self._subject, answer)
 
     def drop(self) -> None:
-        """End the dispatch, if it is open, without evidence."""
+        """End the open dispatch, if any, without evidence."""
         if self._open:
             self._open = False
             self._exposure.drop(self._subject)
 
 
 class NullObserver:
-    """For plain services, which have no versions."""
+    """Does nothing, for plain services, which have no versions."""
 
     def begin(self) -> None:
         """Do nothing."""
--- a/beryllug/entry/ratings.py
+++ b/beryllug/entry/ratings.py
@@ -1,4 +1,4 @@
-"""Have answers rated in the background, a bounded number at a time."""
+"""Rates answers in the background, a bounded number at a time."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,27 +16,27 @@
     """Service 'ratings' of an entry process."""
 
     def __init__(self, rater: rating.Rater | None) -> None:
-        """Bind the rating service, if there is one."""
+        """Use the given rating service, if there is one."""
         self._rater = rater
         self._pending: set[asyncio.Task[None]] = set()
         self._counts = {'rated': 0, 'failed': 0, 'skipped': 0}
 
     async def start(self) -> None:
-        """Do nothing: it works when it is called."""
+        """Do nothing: tasks are started on demand."""
 
     async def stop(self, grace_s: float) -> None:
-        """Give up the ratings that are open."""
+        """Cancel the open ratings."""
         for task in self._pending:
             task.cancel()
 
     def dump(self) -> dict[str, Any]:
-        """Return the ratings that are open and what became of the others."""
+        """Return the number of open ratings and counts by result."""
         return {'open': len(self._pending), **self._counts}
 
     async def ask(
         self, request: rating.RatingAsk, timeout_s: float
     ) -> float | None:
-        """Have an answer rated now; None where no rating came in time."""
+        """Rate an answer now; return None without a rating in time."""
         if self._rater is None:
             return None
         try:
@@ -48,15 +48,15 @@
     def submit(
         self, request: rating.RatingAsk, on_rated: RatingCallback
     ) -> bool:
-        """Have an answer rated.
+        """Rate an answer in the background.
 
         Args:
-            ask: The answer.
-            take: Called with the rating, or with None where it failed.
+            request: The answer to rate.
+            on_rated: Called with the rating, or None if the rating failed.
 
         Returns:
-            Whether it will be rated; False when there is no rating service
-            or too many ratings are open.
+            Whether it will be rated; False if there is no rating service or
+            too many ratings are open.
         """
         if self._rater is None or len(self._pending) >= MAX_PENDING:
             self._counts['skipped'] += 1
--- a/beryllug/entry/recovery.py
+++ b/beryllug/entry/recovery.py
@@ -1,9 +1,9 @@
-"""Recover an answer whose entry host was lost before it was delivered.
+"""Recovers an answer whose entry host was lost before its delivery.
 
-The engine that runs a request goes on without its entry process and keeps the
-answer for a while. Another entry process takes it up by the request's id from
-its first byte, writes the outcome, and gives it to the caller. Nothing is run
-a second time.
+The engine that runs a request continues without its entry process and keeps
+the answer for a while. Another entry process reads it by the request id from
+its first byte, writes the outcome and returns it to the client. Nothing runs a
+second time.
 """
 
 import asyncio
@@ -18,10 +18,10 @@
 
 
 class Recovery:
-    """Finds answers at the engines by request id."""
+    """Finds answers on the engines by request id."""
 
     def __init__(self, deps: parts.Parts) -> None:
-        """Bind the services."""
+        """Use the given services."""
         self._deps = deps
 
     async def find(
@@ -31,11 +31,12 @@
 
         Args:
             account_id: The client account.
-            wanted: Id of the try.
-            deadline: Monotonic second until which the answer is waited for.
+            wanted_id: Id of the try.
+            deadline: Monotonic second until which to wait for the answer.
 
         Returns:
-            Its outcome, written now; None where no engine has its answer.
+            Its outcome, which is written now; None if no engine has its
+            answer.
         """
         intent = await self._find_intent(account_id, wanted_id)
         version = self._version(intent) if intent else None
@@ -63,14 +64,14 @@
         return row if row and row.request_id == wanted_id else None
 
     def _version(self, intent: journal_data.Row) -> config_data.Version | None:
-        """Return the version that the try runs on, by its note."""
+        """Return the version that the try runs on, from the row's note."""
         index = self._deps.link.index
         return index.versions.get(chat_data.parse_name(intent.note))
 
     async def _read_from(
         self, address: str, wanted_id: str, deadline: float
     ) -> tuple[str, bytes] | None:
-        """Read a kept answer whole; returns its media type and its body."""
+        """Read a whole answer; return its media type and body, or None."""
         try:
             incoming = await self._deps.engine.resume(address, wanted_id, 0)
         except (http_data.NotSentError, http_data.BrokenError):
--- a/beryllug/entry/replays.py
+++ b/beryllug/entry/replays.py
@@ -1,4 +1,4 @@
-"""Answer a resend with the answer of its first try."""
+"""Answers a resend with the stored answer of its first try."""
 
 from beryllug.core import journal_data, refusal
 from beryllug.drivers import http_server
@@ -12,10 +12,10 @@
     row: journal_data.Row,
     exchange: http_server.Exchange,
 ) -> None:
-    """Answer a resend with the answer of its first try.
+    """Answer a resend with the stored answer of its first try.
 
     Raises:
-        RefusedError: The first try has no answer to give.
+        RefusedError: The first try has no answer, or it is unreadable now.
     """
     if row.answer is None:
         run = refusal.Run.UNKNOWN
--- a/beryllug/entry/routing.py
+++ b/beryllug/entry/routing.py
@@ -1,8 +1,8 @@
-"""What this process knows of the backend servers, and the choices from it.
+"""Selection of backend servers, and the state that it depends on.
 
-The deciding functions are pure; this service owns the state that they read:
-counts of our own requests, reported loads, retry budgets and which requests
-run on which server.
+The decisions are pure functions. This service owns their state: counts of the
+requests of this process, reported loads, retry budgets, and the requests that
+run on each server.
 """
 
 import random
@@ -33,7 +33,7 @@
         pool: Its pool.
         version: The version it runs, or None for a plain service.
         started: Monotonic second of the dispatch.
-        load_share: Load of the server then, over its slots.
+        load_share: Load of the server at dispatch, divided by its slots.
         trial_id: Id of the trial of a suspected request, or empty.
     """
 
@@ -51,7 +51,7 @@
     def __init__(
         self, entry: str, zone: str, link: control_link.ControlLink
     ) -> None:
-        """Make the service; it follows the link's view."""
+        """Initialize the service, which follows the view of a link."""
         no_servers: tuple[view_data.BackendServer, ...] = ()
         self._entry = entry
         self._zone = zone
@@ -86,7 +86,7 @@
     def choose(
         self, pick: balance_data.Pick, now: float
     ) -> view_data.BackendServer | None:
-        """Choose the server for an attempt; None when there is none."""
+        """Select the server for an attempt; None if there is none."""
         return balance.choose(
             self._state, self._fleet, pick, POLICY, now, self._rng
         )
@@ -97,7 +97,7 @@
         server: view_data.BackendServer,
         now: float,
     ) -> Attempt:
-        """Return the attempt of a choice, with the load it meets."""
+        """Return an attempt on a selected server, with its current load."""
         pool = self._fleet.get(pick.pool)
         slots = pool.pool.concurrency if pool else 1
         seen = server_load.track(self._state, server.server_id)
@@ -112,7 +112,7 @@
         running[call.request_id] = call.fingerprint
 
     def end(self, call: call_data.Call, attempt: Attempt, now: float) -> None:
-        """Count the end of an attempt, however it ended; once."""
+        """Count the end of an attempt, whatever its result; idempotent."""
         server_id = attempt.server.server_id
         running = self._running.get(server_id, {})
         if running.pop(call.request_id, None) is not None:
@@ -121,10 +121,10 @@
     def failed(
         self, attempt: Attempt, now: float, *, gone: bool = False
     ) -> None:
-        """Take a failure that the server is to blame for.
+        """Record a failure caused by the server.
 
-        One that is gone is out at once, and not after some more failures:
-        each would cost another request one of its few attempts.
+        A server that is gone is ejected at once rather than after more
+        failures, each of which would use up an attempt of another request.
         """
         seen = server_load.track(self._state, attempt.server.server_id)
         if not gone:
@@ -133,12 +133,12 @@
             ejection.eject(seen, now, ejection.MOST_FAILING_S)
 
     def answered(self, attempt: Attempt, ratio: float, now: float) -> None:
-        """Take an answer.
+        """Record an answer.
 
         Args:
             attempt: The attempt that was answered.
-            ratio: Seen time to first token over the expected one.
-            now: The present monotonic second.
+            ratio: Observed time to first token, divided by the expected one.
+            now: Current monotonic second.
         """
         seen = server_load.track(self._state, attempt.server.server_id)
         ejection.succeeded(seen, ratio)
@@ -151,12 +151,12 @@
         ejection.eject_slow(tracks, now)
 
     def room(self, pool_name: str, entries: int, now: float) -> limits.Room:
-        """Return what a pool offers now.
+        """Return the current capacity and load of a pool.
 
         Args:
             pool_name: Name of the pool.
-            entries: Entry processes that share it.
-            now: The present monotonic second.
+            entries: Number of entry processes that share it.
+            now: Current monotonic second.
         """
         pool = self._fleet.get(pool_name)
         members = pool.members if pool else ()
@@ -170,23 +170,23 @@
         return limits.Room(pool_name, slots, load, entries)
 
     def fingerprints_on(self, server_id: str) -> tuple[str, ...]:
-        """Return the fingerprints of our requests on a server."""
+        """Return the fingerprints of this process's requests on a server."""
         return tuple(self._running.get(server_id, {}).values())
 
     def busy(self) -> frozenset[str]:
-        """Return the servers on which requests of ours run."""
+        """Return the servers that run requests of this process."""
         return frozenset(
             server_id for server_id, runs in self._running.items() if runs
         )
 
     def first_try(self, pool: str) -> None:
-        """Count a first try, which earns its pool a part of a retry."""
+        """Count a first attempt, which adds to the pool's retry budget."""
         retry.first_try(self._retries, pool)
 
     def may_retry(
         self, attempt: retry.Attempt, now: float
     ) -> retry.Again | retry.Denial:
-        """Decide whether a failed attempt is followed by another."""
+        """Decide whether to retry a failed attempt."""
         jitter = self._rng.random()
         return retry.may_retry(self._retries, attempt, now, jitter)
 
--- a/beryllug/entry/seats.py
+++ b/beryllug/entry/seats.py
@@ -1,4 +1,4 @@
-"""Seats: a call that was given a version and a place in its pool."""
+"""Admission of calls to a version and its pool."""
 
 from typing import NamedTuple
 
@@ -16,7 +16,7 @@
 
 
 class AdmittedTurn(NamedTuple):
-    """A turn and the ticket that must be given back after it."""
+    """A turn and its admission ticket, which must be released after it."""
 
     turn: chat_data.Turn
     ticket: limits.Ticket
@@ -26,7 +26,7 @@
     """Admits calls to the versions of a stage."""
 
     def __init__(self, deps: parts.Parts) -> None:
-        """Bind the services."""
+        """Use the given services."""
         self._deps = deps
         self._recovery = recovery.Recovery(deps)
 
@@ -39,7 +39,7 @@
         """Admit a call to the first version of a stage that has room.
 
         Raises:
-            RefusedError: None has; the call is not run.
+            RefusedError: No version has room; the call is not run.
         """
         refused = refusal.RefusedError(
             refusal.Refusal(refusal.Code.NO_SERVER, 'no version to run on')
@@ -64,19 +64,19 @@
         raise refused
 
     def give_back(self, admitted: AdmittedTurn) -> None:
-        """Give the place in the pool back."""
+        """Release the admission ticket of a turn."""
         self._deps.admission.release(admitted.ticket)
 
     async def may_run(
         self, turn: chat_data.Turn, exchange: http_server.Exchange
     ) -> bool:
-        """Ask the journal where a call may run only once.
+        """Return whether a call may run now.
 
-        Returns:
-            Whether it may run now; where not, its first answer was given.
+        A non-repeatable call needs the permission of the journal. If it may
+        not run, the answer of its first try has been sent.
 
         Raises:
-            RefusedError: It may not run, and there is no answer to give.
+            RefusedError: It may not run, and there is no stored answer.
         """
         if turn.call.facts.repeatable:
             return True
@@ -97,7 +97,7 @@
         refused: refusal.Refusal,
         exchange: http_server.Exchange,
     ) -> None:
-        """Give the answer of a first try from the engine that runs it."""
+        """Send the answer of a first try from the engine that runs it."""
         found = await self._recovery.find(
             call.account.account_id, first_id, call.deadline
         )
--- a/beryllug/entry/sessions.py
+++ b/beryllug/entry/sessions.py
@@ -1,8 +1,8 @@
-"""Sessions: the version that answered first stays.
+"""Sessions, which stay on the version that answered first.
 
-The pin travels as a signed token. A caller that does not return the token
-is known by a record in the journal, so its session too survives the entry
-host and a changed roll-out share.
+The pin is returned as a signed token. The session of a client that does not
+send the token is found by a journal record, so it also survives the loss of
+the entry host and a change of the roll-out share.
 """
 
 import time
@@ -30,24 +30,24 @@
     def __init__(
         self, entry: str, link: control_link.ControlLink, rows: outbox.Outbox
     ) -> None:
-        """Bind the link (for token keys) and the outbox."""
+        """Use the given link, for its token keys, and the outbox."""
         self._entry = entry
         self._link = link
         self._outbox = rows
         self._cache: OrderedDict[str, config_data.VersionRef] = OrderedDict()
 
     async def start(self) -> None:
-        """Do nothing: it works when it is called."""
+        """Do nothing: no background task is needed."""
 
     async def stop(self, grace_s: float) -> None:
         """Do nothing: it holds no socket and no task."""
 
     def dump(self) -> dict[str, Any]:
-        """Return the number of remembered sessions."""
+        """Return the number of cached sessions."""
         return {'remembered': len(self._cache)}
 
     async def find(self, call: call_data.Call) -> versions.Session:
-        """Return the session of a call with the version it is on."""
+        """Return the session of a call with its pinned version, if any."""
         if not call.session_id:
             return versions.Session(call.facts.session_key)
         pin = self._from_token(call) or await self._from_record(call)
@@ -60,10 +60,10 @@
         session: versions.Session,
         version: config_data.VersionRef,
     ) -> str:
-        """Remember the version that answers and return its token.
+        """Pin the session to the version that answers; return its token.
 
-        The record is written before the caller sees the answer: a session
-        whose first answer it has seen must be known on every host.
+        The record is written before the client sees the answer, so that every
+        host can find a session whose first answer the client has seen.
         """
         if not call.session_id:
             return ''
--- a/beryllug/entry/suspicions.py
+++ b/beryllug/entry/suspicions.py
@@ -1,4 +1,4 @@
-"""What an entry process knows of suspected requests."""
+"""Suspected requests that are known to an entry process."""
 
 import time
 
@@ -13,21 +13,21 @@
 
 
 class KnownSuspects:
-    """The suspects of the view, and those that this process reported.
+    """Suspects from the view and those known to this process alone.
 
-    The view may bring the latter later than the next attempt is made, or
-    never where no control process lives.
+    The view may show a report of this process only after the next attempt, or
+    never if no control process is alive.
     """
 
     def __init__(self, link: control_link.ControlLink) -> None:
-        """Follow the view."""
+        """Register for view updates."""
         self._view_suspects: tuple[rpc_data.Suspect, ...] = ()
         self._known: dict[str, rpc_data.Suspect] = {}
         self._local = suspects_data.Table()
         link.listen(self._on_view)
 
     def dump(self) -> dict[str, int]:
-        """Return counts."""
+        """Return the numbers of known suspects by source."""
         return {'known': len(self._known), 'own': len(self._local.notes)}
 
     def trial_servers(self) -> frozenset[str]:
@@ -39,28 +39,28 @@
         )
 
     def reported(self, report: rpc_data.CrashReport) -> None:
-        """Take what this process reports."""
+        """Record a crash report of this process."""
         suspects.reported(self._local, report, report.at)
 
     def learnt(self, notes: tuple[suspects_data.Note, ...], now: float) -> None:
-        """Take what a control process knows.
+        """Merge the suspects that a control process knows.
 
         Args:
-            notes: Its notes.
-            now: The present wall-clock second.
+            notes: Notes from the control process.
+            now: Current wall-clock second.
         """
         suspects.merge(self._local, notes, now)
 
     def forget(self, fingerprint: str) -> bool:
-        """Forget a request that is cleared; returns whether it was known."""
+        """Remove a cleared request; return whether it was a suspect."""
         local = self._local.notes.pop(fingerprint, None)
         return local is not None or fingerprint in self._known
 
     def needs_trial(self, call: call_data.Call) -> bool:
-        """Tell whether a call is under suspicion.
+        """Return whether a call is a suspect.
 
         Raises:
-            RefusedError: It has cost the server of its trial.
+            RefusedError: The server of its trial crashed.
         """
         now = time.time()
         known = self._known.get(call.fingerprint)
@@ -84,7 +84,7 @@
 
 
 def refused(retry_after_s: float) -> refusal.RefusedError:
-    """Return the refusal of a request for some seconds."""
+    """Return the error for a suspect that is refused for some seconds."""
     return refusal.RefusedError(
         refusal.Refusal(
             refusal.Code.SUSPECT,
--- a/beryllug/entry/trials.py
+++ b/beryllug/entry/trials.py
@@ -1,8 +1,7 @@
-"""Where an attempt goes: an ordinary one, or the trial of a suspect.
+"""Server selection for ordinary attempts and trials of suspected requests.
 
-A suspected request runs on a server of its own where there is one, so that
-its loss, should it come, costs no other request; and ordinary requests leave
-that server to it for as long as there is another.
+A suspect runs alone on a server if possible, so that a crash affects no other
+request. Ordinary requests avoid that server as long as there is another one.
 """
 
 import asyncio
@@ -22,31 +21,31 @@
 
 
 class Place(NamedTuple):
-    """The server of an attempt, None without one, and its trial if any."""
+    """The server of an attempt, if any, and the id of its trial, if any."""
 
     server: view_data.BackendServer | None
     trial_id: str = ''
 
 
 class Trials:
-    """Chooses the servers of attempts."""
+    """Selects the servers of attempts."""
 
     def __init__(
         self, routes: routing.Routing, crash_reports: crashes.Crashes
     ) -> None:
-        """Bind the routing service and what is known of suspects."""
+        """Use the given routing and crash report services."""
         self._routing = routes
         self._crashes = crash_reports
 
     async def place(
         self, call: call_data.Call, pick: balance_data.Pick
     ) -> Place:
-        """Return where an attempt may go.
+        """Return the server for an attempt.
 
-        It awaits only for a suspect, and where the process stood still.
+        It waits only for a suspect, or after the process was stalled.
 
         Raises:
-            RefusedError: It is a suspect and may not run now.
+            RefusedError: The call is a suspect and may not run now.
         """
         await self._crashes.suspect_sync.catch_up()
         if not self._crashes.known.needs_trial(call):
@@ -82,8 +81,8 @@
         try:
             return await self._crashes.ask_trial(call, server_id, trial_id)
         except BaseException:
-            # The caller went away, and the trial may have been granted: not
-            # ended, it would hold up the same request for its whole time.
+            # If the client disconnects, the trial may have been granted. Not
+            # ended, it would block the same request until it expires.
             self._crashes.abandon_trial(call, trial_id)
             raise
 
@@ -101,7 +100,7 @@
     def _choose_avoiding(
         self, pick: balance_data.Pick, avoided: tuple[Servers, ...]
     ) -> view_data.BackendServer | None:
-        """Choose, avoiding less and less until there is a server."""
+        """Select a server, relaxing the exclusions until there is one."""
         for excluded in _exclusions(pick.excluded, avoided):
             found = self._routing.choose(
                 pick._replace(excluded=excluded), time.monotonic()
@@ -114,7 +113,7 @@
 def _exclusions(
     failed: Servers, avoided: tuple[Servers, ...]
 ) -> Iterator[Servers]:
-    """Yield what to exclude: where it failed before counts for more."""
+    """Yield exclusions by preference; failed servers are relaxed last."""
     yield from (failed | servers for servers in avoided)
     yield from avoided
 
--- a/beryllug/entry/trials_test.py
+++ b/beryllug/entry/trials_test.py
@@ -1,4 +1,4 @@
-"""Which server a suspected request is tried on, and who else goes there."""
+"""Tests of server selection for trials and for ordinary requests."""
 
 import time
 import unittest
@@ -30,7 +30,7 @@
 
 
 class _FakeControl:
-    """A control process that gives one verdict, and keeps what is asked."""
+    """A control process with one verdict, which keeps its requests."""
 
     def __init__(self, verdict: Verdict) -> None:
         self.verdict = verdict
@@ -42,7 +42,7 @@
 
 
 class _SteadyClock:
-    """The clock of a process that never stands still."""
+    """The clock of a process that is never stalled."""
 
     def ran_before(self, noticed: float) -> float:
         return noticed
@@ -52,10 +52,10 @@
 
 
 class TrialsTest(unittest.IsolatedAsyncioTestCase):
-    """One pool of three servers, as an entry process knows it."""
+    """An entry process with a view of one pool of three servers."""
 
     async def asyncSetUp(self) -> None:
-        """Make the services of an entry, without sockets."""
+        """Create the services of an entry, without sockets."""
         self.calls = _FakeControl(Verdict.TRY)
         request = rpc_data.ViewAsk('e', ZONE)
         calls = cast('Any', self.calls)
@@ -67,7 +67,7 @@
         self.trials = trials.Trials(self.routing, self.crashes)
 
     async def test_ordinary(self) -> None:
-        """Ordinary requests leave a server to its trial, if they can."""
+        """Ordinary requests avoid the servers of trials if possible."""
         for title, tried, wanted in (
             ('no trial', (), set(SERVERS)),
             ('one trial', ('s0',), {'s1', 's2'}),
@@ -80,7 +80,7 @@
                 self.assertEqual(found, wanted)
 
     async def test_alone(self) -> None:
-        """A suspect runs where nothing of ours runs, if it can."""
+        """A suspect runs on a server without other requests if possible."""
         self._apply_view((_suspect('a:bad', ''),))
         self.assertEqual(
             {await self._placed_on('bad') for _ in range(DRAWS)}, set(SERVERS)
@@ -92,7 +92,7 @@
             self.assertEqual(found, left)
 
     async def test_verdicts(self) -> None:
-        """What control says is done; nobody asks for an unsuspected one."""
+        """Verdicts are applied, and requested only for suspects."""
         for verdict, refused in (
             (Verdict.TRY, False),
             (Verdict.RUN, False),
@@ -108,7 +108,11 @@
         self.assertEqual(self.calls.asked, [])
 
     async def test_refused_at_once(self) -> None:
-        """Control is asked about a convict, or "not run" is said too early."""
+        """A refused suspect is refused without asking control.
+
+        A non-repeatable one may have run, so it is refused only when an
+        attempt is made; "not run" could be wrong before that.
+        """
         self._apply_view((_suspect('a:bad', '')._replace(refused=True),))
         with self.assertRaises(refusal.RefusedError):
             self.crashes.refuse_suspect(_call('bad'))
@@ -117,7 +121,7 @@
             self.crashes.known.needs_trial(_call('bad', repeatable=False))
 
     async def _placed_on(self, body_hash: str) -> str:
-        """Return the name of the server, empty where it is refused."""
+        """Return the id of the selected server, empty if refused."""
         try:
             place = await self.trials.place(_call(body_hash), PICK)
         except refusal.RefusedError:
--- a/beryllug/entry/turn_runner.py
+++ b/beryllug/entry/turn_runner.py
@@ -1,8 +1,8 @@
-"""Run one turn: a call on the version that was chosen for it.
+"""Runs one turn: a call on the version that was selected for it.
 
-The caller sees the answer as it is made, but its end only when the bill is
-durable. A stream that breaks is taken up at its exact byte where the engine
-can, and otherwise ends with an error: text of two runs is never joined.
+The answer is streamed to the client as it is generated, but its end is sent
+only after billing. A broken stream is resumed at its exact byte if the engine
+supports it, and otherwise ends with an error: text of two runs is never joined.
 """
 
 import contextlib
@@ -34,20 +34,20 @@
 
 
 class TurnRunner:
-    """Runs turns from the first attempt to the bill."""
+    """Runs turns from the first attempt to the billing record."""
 
     def __init__(self, deps: parts.Parts) -> None:
-        """Bind the services."""
+        """Use the given services."""
         self._deps = deps
         self._bill = chat_bill.ChatBill(deps)
 
     async def run(
         self, turn: chat_data.Turn, exchange: http_server.Exchange
     ) -> None:
-        """Run a turn and give its answer to the caller.
+        """Run a turn and send its answer to the client.
 
         Raises:
-            RefusedError: It got no answer; says whether it ran.
+            RefusedError: It has no answer; states whether it ran.
         """
         opened = await self._open(turn)
         try:
@@ -58,10 +58,10 @@
     async def answer(
         self, turn: chat_data.Turn
     ) -> tuple[attempts.Opened, bytes]:
-        """Run a turn and return its whole answer, not billed yet.
+        """Run a turn and return its whole answer, which is not billed yet.
 
         Raises:
-            RefusedError: It got no answer; says whether it ran.
+            RefusedError: It has no answer; states whether it ran.
         """
         opened = await self._open(turn)
         try:
@@ -71,7 +71,7 @@
         return opened, body
 
     async def headers(self, turn: chat_data.Turn) -> dict[str, str]:
-        """Return the headers of an answer, once its session is pinned."""
+        """Pin the session of a turn and return the response headers."""
         fields = {
             headers.REQUEST_ID: turn.call.request_id,
             headers.VERSION: chat_data.name_of(turn.version.ref),
@@ -155,10 +155,10 @@
         opened: attempts.Opened,
         relay: delivery.StreamRelay,
     ) -> bool:
-        """Pass a stream on, taking it up again where it broke.
+        """Forward a stream, resuming it where it broke.
 
         Returns:
-            Whether it came to its end.
+            Whether the stream is complete.
         """
         incoming: http_client.Incoming | None = opened.incoming
         for _ in range(MAX_RESUMES):
@@ -177,7 +177,7 @@
     async def _resume(
         self, turn: chat_data.Turn, opened: attempts.Opened, offset: int
     ) -> http_client.Incoming | None:
-        """Take an answer up at an exact byte, at the engine that made it."""
+        """Resume an answer at an exact byte, on the engine that runs it."""
         try:
             return await self._deps.engine.resume(
                 opened.attempt.server.address, turn.run_id, offset
