--- a/beryllug/entry/callers.py
+++ b/beryllug/entry/callers.py
@@ -186,7 +186,7 @@
             raise refusal.RefusedError(
                 refusal.Refusal(
                     refusal.Code.OVER_LIMIT,
-                    'this host is at its limit of requests in flight',
+                    'this host serves too many requests now',
                     retry_after_s=STOPPING_RETRY_S,
                 )
             )
