--- a/beryllug/entry/crashes.py
+++ b/beryllug/entry/crashes.py
@@ -30,7 +30,7 @@
 # waits one for its peers.
 REPORT_TIMEOUT_S = 2.0
 ID_BYTES = 8
-# Least seconds that a server needs to restart after a crash.
+# Minimum seconds that a server needs to restart after a crash.
 MIN_RESTART_S = 0.3
 RETRY_AFTER_S = 1.0
 
