--- a/beryllug/entry/attempts.py
+++ b/beryllug/entry/attempts.py
@@ -1,8 +1,8 @@
-"""Attempts of one call at backend servers until one answers.
+"""Attempts of one call on backend servers until one answers.
 
-Every attempt asks again whether its version may still be used, chooses a
-server anew and tells the routing service how it went. What is said to the
-caller afterwards follows from how far each failed attempt can have got.
+Each attempt checks again whether its version may still be used, selects a
+server and reports the result to the routing service. The error returned to
+the client depends on how far each failed attempt may have got.
 """
 
 import asyncio
@@ -32,27 +32,27 @@
 RETRY_AFTER_S = 1.0
 
 Send = Callable[[view_data.BackendServer], Awaitable[http_client.Incoming]]
-Barred = Callable[[], refusal.Code | None]
+RefusalCheck = Callable[[], refusal.Code | None]
 
 
 class Order(NamedTuple):
-    """What is to be attempted.
+    """Specification of the attempts of a call.
 
     Attributes:
-        pick: What is asked of the choice of a server.
-        send: Sends the request to a server and returns the answer's head.
-        barred: Why it may not be sent at this moment, None where it may.
-        probe: Told of each attempt.
+        pick: Criteria for the selection of a server.
+        send: Sends the request to a server and returns the response head.
+        refusal_check: Returns why it must not be sent now, None if it may.
+        probe: Notified of each attempt.
     """
 
     pick: balance_data.Pick
     send: Send
-    barred: Barred
+    refusal_check: RefusalCheck
     probe: probe.Probe
 
 
 class Opened(NamedTuple):
-    """An attempt that was answered: its head is here, its body to come."""
+    """An attempt whose response head has arrived and body is unread."""
 
     incoming: http_client.Incoming
     attempt: routing.Attempt
@@ -60,7 +60,7 @@
 
 
 class _Failed(NamedTuple):
-    """An attempt that failed, and the server it was made at."""
+    """A failed attempt and its server."""
 
     failure: retry.Failure
     server_id: str
@@ -68,33 +68,34 @@
 
 
 class Attempts:
-    """Makes attempts for the flows of an entry process."""
+    """Runs the attempts of calls for the request flows of an entry."""
 
     def __init__(
         self, routes: routing.Routing, crash_reports: crashes.Crashes
     ) -> None:
-        """Bind the routing service and the crash reports."""
+        """Use the given routing and crash report services."""
         self._routing = routes
         self._crashes = crash_reports
         self._trials = trials.Trials(routes, crash_reports)
 
     async def open(self, call: call_data.Call, order: Order) -> Opened:
-        """Attempt until a server answers.
+        """Make attempts until a server answers.
 
-        The caller of this function must `close` what it gets.
+        The caller must pass the result to `close`.
 
         Raises:
-            RefusedError: No server answered; says whether one may have run it.
+            RefusedError: No server answered; states whether one may have
+                run the call.
         """
         excluded: set[str] = set()
-        surely_not_run = True
+        definitely_not_run = True
         crashed = False
         number = 0
         self._routing.first_try(order.pick.pool)
         while True:
             number += 1
             failed = await self._try(
-                call, order, frozenset(excluded), surely_not_run
+                call, order, frozenset(excluded), definitely_not_run
             )
             if isinstance(failed, Opened):
                 return failed
@@ -102,15 +103,15 @@
             crashed = crashed or failed.crashed
             failed = failed._replace(crashed=crashed)
             if not retry.ran_for_sure_not(failed.failure):
-                surely_not_run = False
+                definitely_not_run = False
             await self._wait_or_refuse(
-                call, order, failed, (number, surely_not_run)
+                call, order, failed, (number, definitely_not_run)
             )
 
     def close(self, call: call_data.Call, opened: Opened) -> None:
-        """End an attempt: give its connection back or cut it."""
+        """End an attempt; release its connection or close it."""
         attempt = opened.attempt
-        running = self._routing.running_on(attempt.server.server_id)
+        running = self._routing.fingerprints_on(attempt.server.server_id)
         opened.incoming.close()
         self._routing.end(call, attempt, time.monotonic())
         if opened.incoming.is_whole:
@@ -124,29 +125,29 @@
         call: call_data.Call,
         order: Order,
         excluded: frozenset[str],
-        surely_not_run: bool,
+        definitely_not_run: bool,
     ) -> Opened | _Failed:
         try:
             return await self._attempt(call, order, excluded)
         except refusal.RefusedError as exc:
-            if surely_not_run:
+            if definitely_not_run:
                 raise
-            # Refused now, but an earlier attempt may have run it.
-            told = exc.refusal._replace(run=refusal.Run.UNKNOWN)
-            raise refusal.RefusedError(told) from exc
+            # Refused now, but an earlier attempt may have run the call.
+            amended = exc.refusal._replace(run=refusal.Run.UNKNOWN)
+            raise refusal.RefusedError(amended) from exc
 
     async def _attempt(
         self, call: call_data.Call, order: Order, excluded: frozenset[str]
     ) -> Opened | _Failed:
         pick = order.pick._replace(excluded=excluded)
         place = await self._trials.place(call, pick)
-        # No await from here to the dispatch: a version may be withdrawn
-        # while a suspected request waits for its trial.
+        # No await from this check to the dispatch: the version may have been
+        # withdrawn while a suspected request waited for its trial.
         try:
             attempt = self._may_dispatch(order, place)
         except refusal.RefusedError:
             if place.trial_id:
-                self._crashes.drop_trial(call, place.trial_id)
+                self._crashes.abandon_trial(call, place.trial_id)
             raise
         self._routing.begin(call, attempt)
         order.probe.begin()
@@ -154,7 +155,7 @@
             return await self._send(call, order, attempt)
         except BaseException:
             order.probe.drop()
-            running = self._routing.running_on(attempt.server.server_id)
+            running = self._routing.fingerprints_on(attempt.server.server_id)
             self._routing.end(call, attempt, time.monotonic())
             self._crashes.watch(call, attempt, running)
             raise
@@ -162,9 +163,9 @@
     def _may_dispatch(
         self, order: Order, place: trials.Place
     ) -> routing.Attempt:
-        code = order.barred()
+        code = order.refusal_check()
         if code is not None:
-            raise _barred(code, order.pick.version)
+            raise _unusable_error(code, order.pick.version)
         if place.server is None:
             raise _no_server(order.pick.pool)
         attempt = self._routing.attempt(
@@ -185,13 +186,13 @@
         except TimeoutError:
             failure = retry.Failure.TIMED_OUT
         else:
-            outcome = _outcome(call, incoming)
+            outcome = _failure_of(call, incoming)
             if outcome is None:
                 self._crashes.answers(call, attempt)
                 return Opened(incoming, attempt, time.monotonic())
-            await _drop(incoming)
+            await _discard_body(incoming)
             failure = outcome
-        found = await self._note_failure(call, attempt, failure)
+        found = await self._record_failure(call, attempt, failure)
         if retry.ran_for_sure_not(failure):
             order.probe.drop()
         else:
@@ -200,17 +201,17 @@
         crashed = found is not liveness.Found.LIVES
         return _Failed(failure, attempt.server.server_id, crashed)
 
-    async def _note_failure(
+    async def _record_failure(
         self,
         call: call_data.Call,
         attempt: routing.Attempt,
         failure: retry.Failure,
     ) -> liveness.Found:
-        """Tell what is to be learnt; returns what became of the server."""
+        """Report a failed attempt and return the state of its server."""
         now = time.monotonic()
         if failure is not retry.Failure.DECLINED:
             self._routing.failed(attempt, now)
-        running = self._routing.running_on(attempt.server.server_id)
+        running = self._routing.fingerprints_on(attempt.server.server_id)
         self._routing.end(call, attempt, now)
         match failure:
             case retry.Failure.BROKEN:
@@ -219,7 +220,8 @@
                     self._routing.failed(attempt, now, gone=True)
                 return found
             case retry.Failure.TIMED_OUT:
-                # A host that lost its power says nothing at all.
+                # A host that lost power sends nothing at all, so the server
+                # may be gone.
                 self._crashes.watch(call, attempt, running)
             case _:
                 self._crashes.ended(call, attempt, answered=False)
@@ -230,9 +232,9 @@
         call: call_data.Call,
         order: Order,
         failed: _Failed,
-        so_far: tuple[int, bool],
+        progress: tuple[int, bool],
     ) -> None:
-        number, surely_not_run = so_far
+        number, definitely_not_run = progress
         attempt = retry.Attempt(
             pool=order.pick.pool,
             failure=failed.failure,
@@ -248,21 +250,21 @@
             case retry.Again(delay_s):
                 await asyncio.sleep(delay_s)
             case _:
-                raise _given_up(failed.failure, surely_not_run)
+                raise _final_error(failed.failure, definitely_not_run)
 
 
 def is_error(status: int) -> bool:
-    """Tell whether a status says that the server itself failed."""
+    """Return whether a status reports a server error."""
     return status >= SERVER_ERROR
 
 
-def _outcome(
+def _failure_of(
     call: call_data.Call, incoming: http_client.Incoming
 ) -> retry.Failure | None:
-    """Return how an answer's head counts as a failure, or None.
+    """Return the failure that a response head stands for, or None.
 
-    An error of the server is tried again where the call may run twice; for
-    any other it is the answer.
+    A server error is retried if the call is repeatable; otherwise it is
+    returned to the client as the answer.
     """
     if engine.is_declined(incoming):
         return retry.Failure.DECLINED
@@ -271,7 +273,7 @@
     return None
 
 
-async def _drop(incoming: http_client.Incoming) -> None:
+async def _discard_body(incoming: http_client.Incoming) -> None:
     try:
         await incoming.read()
     except http_data.BrokenError:
@@ -280,7 +282,7 @@
         incoming.close()
 
 
-def _barred(
+def _unusable_error(
     code: refusal.Code, version: config_data.VersionRef | None
 ) -> Exception:
     name = f'{version.model}@{version.version}' if version else 'it'
@@ -303,11 +305,11 @@
     )
 
 
-def _given_up(failure: retry.Failure, surely_not_run: bool) -> Exception:
-    """Say what became of a call whose last attempt has failed."""
+def _final_error(failure: retry.Failure, definitely_not_run: bool) -> Exception:
+    """Return the error for a call whose last attempt failed."""
     timed_out = failure is retry.Failure.TIMED_OUT
     code = refusal.Code.DEADLINE if timed_out else refusal.Code.BACKEND_FAILED
-    if surely_not_run:
+    if definitely_not_run:
         return refusal.RefusedError(
             refusal.Refusal(
                 refusal.Code.NO_SERVER,
--- a/beryllug/entry/batcher.py
+++ b/beryllug/entry/batcher.py
@@ -1,8 +1,8 @@
-"""Group calls: many requests wait, one message carries them all.
+"""Batches items that are sent to the same remote method.
 
-A remote call costs far more than a row in it. While requests come one by
-one each goes at once; under load calls keep a gap between them, and what comes
-in the gap shares the next call.
+A remote call costs far more than one more row in it. With little load each
+item is sent at once; under load, calls keep a minimum interval, and the items
+that arrive within it share the next call.
 """
 
 import asyncio
@@ -12,17 +12,17 @@
 Item = TypeVar('Item')
 Reply = TypeVar('Reply')
 
-GAP_S = 0.004
+MIN_CALL_INTERVAL_S = 0.004
 MAX_BATCH = 256
 
 
 class Batcher(Generic[Item, Reply]):
-    """Collects items for a moment and sends them in one call."""
+    """Collects items for a short time and sends them in one call."""
 
     def __init__(
         self, send: Callable[[Sequence[Item]], Awaitable[Sequence[Reply]]]
     ) -> None:
-        """Make a batcher over a call that replies item by item."""
+        """Initialize over a function that returns one reply per item."""
         self._send = send
         self._waiting: list[tuple[Item, asyncio.Future[Reply]]] = []
         self._tasks: set[asyncio.Task[None]] = set()
@@ -30,23 +30,23 @@
         self._sent_at = float('-inf')
 
     async def submit(self, item: Item) -> Reply:
-        """Send an item with others and return its reply.
+        """Send an item in a batch and return its reply.
 
         Raises:
-            Exception: Whatever the call raised.
+            Exception: Any exception of the batch call.
         """
         loop = asyncio.get_running_loop()
-        fut: asyncio.Future[Reply] = loop.create_future()
-        self._waiting.append((item, fut))
+        future: asyncio.Future[Reply] = loop.create_future()
+        self._waiting.append((item, future))
         if len(self._waiting) >= MAX_BATCH:
             self._flush()
         elif self._timer is None:
-            due = max(loop.time(), self._sent_at + GAP_S)
+            due = max(loop.time(), self._sent_at + MIN_CALL_INTERVAL_S)
             self._timer = loop.call_at(due, self._flush)
-        return await fut
+        return await future
 
     async def stop(self) -> None:
-        """Wait for the calls under way."""
+        """Send the queued items and wait for all open calls."""
         self._flush()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
@@ -68,14 +68,14 @@
         try:
             replies = await self._send([item for item, _ in batch])
         except Exception as exc:
-            for _, fut in batch:
-                _settle(fut, exc)
+            for _, future in batch:
+                _fail_future(future, exc)
             return
-        for (_, fut), reply in zip(batch, replies, strict=True):
-            if not fut.done():
-                fut.set_result(reply)
+        for (_, future), reply in zip(batch, replies, strict=True):
+            if not future.done():
+                future.set_result(reply)
 
 
-def _settle(fut: 'asyncio.Future[Reply]', exc: Exception) -> None:
-    if not fut.done():
-        fut.set_exception(exc)
+def _fail_future(future: 'asyncio.Future[Reply]', exc: Exception) -> None:
+    if not future.done():
+        future.set_exception(exc)
--- a/beryllug/entry/chat_bill.py
+++ b/beryllug/entry/chat_bill.py
@@ -1,7 +1,7 @@
-"""Bills, evidence and learnt times of chat answers.
+"""Billing, roll-out evidence and latency estimates of chat answers.
 
-What is billed: the tokens that the engine states for a whole answer; for one
-that was cut, the events that reached us, since no more is known.
+A complete answer is billed by the token counts that the engine reports. A
+partial one is billed by the events received, since no count is known.
 """
 
 import time
@@ -23,69 +23,69 @@
 
 
 class ChatBill:
-    """Writes down what became of a chat answer."""
+    """Records the outcome of chat answers."""
 
-    def __init__(self, wired: parts.Parts) -> None:
-        """Bind the services."""
-        self._parts = wired
+    def __init__(self, deps: parts.Parts) -> None:
+        """Use the given services."""
+        self._deps = deps
 
-    async def whole_stream(
+    async def finish_stream(
         self,
         turn: chat_data.Turn,
         attempt: routing.Attempt,
         relay: delivery.StreamRelay,
     ) -> None:
-        """Bill a stream that came to its end, before the caller sees it."""
+        """Bill a complete stream, before its end is sent to the client."""
         usage = relay.tail.usage()
         tokens = (turn.call.facts.tokens_in, relay.events)
         if usage is not None:
             tokens = (usage.tokens_in, usage.tokens_out)
-        self._learn(turn, attempt, relay.first_at or time.monotonic())
+        self._record_times(turn, attempt, relay.first_at or time.monotonic())
         answer = None
         if not turn.call.facts.repeatable:
-            answer = await self._parts.answers.keep(
+            answer = await self._deps.answers.keep(
                 turn.call.request_id,
                 OK,
                 headers.EVENTS_TYPE,
                 bytes(relay.kept),
             )
-        self._judge(turn, relay.first_at, failed=False)
-        self._rate(turn, bytes(relay.kept))
-        await self._parts.bills.finish(
+        self._record_evidence(turn, relay.first_at, failed=False)
+        self._submit_rating(turn, bytes(relay.kept))
+        await self._deps.bills.finish(
             turn.call,
             journal_data.OutcomeState.DONE,
-            (*turn.earlier, use_of(turn, attempt, tokens)),
+            (*turn.earlier, stage_use(turn, attempt, tokens)),
             answer,
         )
 
-    async def cut_stream(
+    async def finish_partial_stream(
         self,
         turn: chat_data.Turn,
         attempt: routing.Attempt,
         relay: delivery.StreamRelay,
         state: journal_data.OutcomeState,
     ) -> None:
-        """Bill a stream that was cut, by the engine or by its caller."""
+        """Bill a stream that the engine or the client ended early."""
         failed = state is journal_data.OutcomeState.FAILED
         if failed:
-            self._judge(turn, relay.first_at, failed=True)
+            self._record_evidence(turn, relay.first_at, failed=True)
         tokens = (turn.call.facts.tokens_in, relay.events)
-        await self._parts.bills.finish(
-            turn.call, state, (*turn.earlier, use_of(turn, attempt, tokens))
+        await self._deps.bills.finish(
+            turn.call, state, (*turn.earlier, stage_use(turn, attempt, tokens))
         )
 
-    async def whole_body(
+    async def finish_body(
         self, turn: chat_data.Turn, opened: attempts.Opened, body: bytes
     ) -> None:
-        """Bill an answer that was read whole."""
+        """Bill an answer that was read as one body."""
         status = opened.incoming.status
         failed = attempts.is_error(status)
         if failed:
-            self._parts.routing.failed(opened.attempt, time.monotonic())
+            self._deps.routing.failed(opened.attempt, time.monotonic())
         else:
-            self._learn(turn, opened.attempt, opened.head_at)
-            self._rate(turn, body)
-        self._judge(turn, opened.head_at, failed)
+            self._record_times(turn, opened.attempt, opened.head_at)
+            self._submit_rating(turn, body)
+        self._record_evidence(turn, opened.head_at, failed)
         state = journal_data.OutcomeState.DONE
         if status != OK:
             state = journal_data.OutcomeState.FAILED
@@ -94,33 +94,33 @@
             content_type = opened.incoming.headers.get(
                 headers.CONTENT_TYPE, headers.JSON_TYPE
             )
-            answer = await self._parts.answers.keep(
+            answer = await self._deps.answers.keep(
                 turn.call.request_id, status, content_type, body
             )
-        use = use_of_body(turn, opened.attempt, body)
-        await self._parts.bills.finish(
+        use = stage_use_of_body(turn, opened.attempt, body)
+        await self._deps.bills.finish(
             turn.call, state, (*turn.earlier, use), answer
         )
 
-    def _judge(
+    def _record_evidence(
         self,
         turn: chat_data.Turn,
         first_at: float | None,
         failed: bool,
     ) -> None:
-        """Give evidence on the version: did it fail, was it late."""
+        """Record whether the version failed or was late."""
         facts = turn.call.facts
         due = request_data.first_token_by(facts)
         late = first_at is None or first_at > due
         turn.probe.end(evidence_book.Answer(failed=failed, late=late))
 
-    def _rate(self, turn: chat_data.Turn, answer: bytes) -> None:
+    def _submit_rating(self, turn: chat_data.Turn, answer: bytes) -> None:
         subject = evidence_book.Subject(
             turn.version.ref, turn.call.account.account_id
         )
-        self._parts.exposure.rate(subject, turn.call.request_id, answer)
+        self._deps.exposure.rate(subject, turn.call.request_id, answer)
 
-    def _learn(
+    def _record_times(
         self,
         turn: chat_data.Turn,
         attempt: routing.Attempt,
@@ -130,37 +130,37 @@
         name = chat_data.name_of(turn.version.ref)
         facts = turn.call.facts
         first_s = first_at - attempt.started
-        known = self._parts.admission.estimate(name, facts.request_class)
+        known = self._deps.admission.estimate(name, facts.request_class)
         ratio = first_s / max(known.first_token_s, MIN_EXPECTED_S)
-        self._parts.routing.answered(attempt, ratio, now)
+        self._deps.routing.answered(attempt, ratio, now)
         times = (first_s, now - first_at)
-        self._parts.admission.observe(name, facts, times, attempt.load_share)
+        self._deps.admission.observe(name, facts, times, attempt.load_share)
 
 
-def use_of(
+def stage_use(
     turn: chat_data.Turn, attempt: routing.Attempt, tokens: tuple[int, int]
 ) -> journal_data.StageUse:
-    """Return the detail of a bill for one stage."""
-    return _use(turn.version, attempt.server.server_id, tokens)
+    """Return the billed usage of one stage."""
+    return _make_stage_use(turn.version, attempt.server.server_id, tokens)
 
 
-def use_of_body(
+def stage_use_of_body(
     turn: chat_data.Turn, attempt: routing.Attempt, body: bytes
 ) -> journal_data.StageUse:
-    """Return the detail for an answer that was read whole."""
-    return use_of_kept(turn.version, attempt.server.server_id, body)
+    """Return the billed usage of an answer read as one body."""
+    return stage_use_of_stored(turn.version, attempt.server.server_id, body)
 
 
-def use_of_kept(
+def stage_use_of_stored(
     version: config_data.Version, server_id: str, body: bytes
 ) -> journal_data.StageUse:
-    """Return the detail for a whole answer of a version."""
+    """Return the billed usage of a complete answer of a version."""
     usage = _usage_in(body)
     tokens = (usage.tokens_in, usage.tokens_out) if usage else (0, 0)
-    return _use(version, server_id, tokens)
+    return _make_stage_use(version, server_id, tokens)
 
 
-def _use(
+def _make_stage_use(
     version: config_data.Version, server_id: str, tokens: tuple[int, int]
 ) -> journal_data.StageUse:
     tokens_in, tokens_out = tokens
@@ -175,12 +175,12 @@
 
 
 def cost_micro(version: config_data.Version, tokens: int) -> int:
-    """Return the price of so many tokens, in millionths of the currency."""
+    """Return the price of tokens, in millionths of the currency unit."""
     return tokens * version.cost_micro // TOKENS_PER_PRICE
 
 
 def _usage_in(body: bytes) -> engine_data.Usage | None:
-    """Return the usage of a whole answer, streamed or not."""
+    """Return the usage stated in a complete answer, streamed or not."""
     if not body.startswith(engine_stream.EVENT_START):
         return engine_stream.usage_of(body)
     tail = engine_stream.StreamTail()
--- a/beryllug/entry/control_link.py
+++ b/beryllug/entry/control_link.py
@@ -1,7 +1,7 @@
-"""The entry's view of the world, followed from a control process.
+"""The view of the fleet, received as updates from a control process.
 
-One stream of updates is open at a time. A broken stream is opened again at
-the next control process; what is known stays, and never goes backwards.
+One update stream is open at a time. A broken stream is reopened at the next
+control process; the view is kept and never replaced by an older one.
 """
 
 import asyncio
@@ -21,8 +21,8 @@
 from beryllug.drivers import methods, rpc
 from beryllug.entry import control_calls
 
-RETRY_S = 0.2
-SEEN_S = 1.0
+RECONNECT_DELAY_S = 0.2
+CONFIRM_TIMEOUT_S = 1.0
 
 Listener = Callable[[view_merge.Known], None]
 
@@ -31,40 +31,41 @@
     """Service 'control_link' of an entry process.
 
     Attributes:
-        known: All that control processes have sent.
+        known: Merged state of all updates received.
         index: Lookup tables over the view.
     """
 
     def __init__(
         self,
-        ask: rpc_data.ViewAsk,
+        request: rpc_data.ViewAsk,
         cfg: settings_data.Entry,
         calls: control_calls.ControlCalls,
     ) -> None:
-        """Make the link; `start` connects.
+        """Initialize; `start` connects.
 
         Args:
-            ask: Names this start of the process, which shares are dealt to.
+            request: Identifies this run of the process, which receives
+                shares of the exposure budgets.
             cfg: Settings.
             calls: Calls to control processes.
         """
         self.known = view_merge.Known()
         self.index = view_index.build(self.known.view)
         self._cfg = cfg
-        self._ask = ask
+        self._watch_request = request
         self._calls = calls
-        self._heard_at = float('-inf')
+        self._fresh_at = float('-inf')
         self._task: asyncio.Task[None] | None = None
         self._listeners: list[Listener] = []
-        self._seen: set[asyncio.Task[None]] = set()
+        self._confirm_tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Start following the view."""
+        """Start receiving view updates."""
         self._task = asyncio.create_task(self._follow())
 
     async def stop(self, grace_s: float) -> None:
-        """Stop following and disconnect."""
-        for task in self._seen:
+        """Stop receiving updates and disconnect."""
+        for task in self._confirm_tasks:
             task.cancel()
         if self._task is not None:
             self._task.cancel()
@@ -72,7 +73,7 @@
         await self._calls.close()
 
     def dump(self) -> dict[str, Any]:
-        """Return the link's state; keys and documents are left out."""
+        """Return the state of the link, without keys and documents."""
         view = self.known.view
         return {
             'control': self._calls.address,
@@ -85,36 +86,36 @@
         }
 
     def listen(self, listener: Listener) -> None:
-        """Call a function after each change of the view."""
+        """Register a function to call after each update."""
         self._listeners.append(listener)
 
     def may_accept(self, now: float) -> bool:
-        """Tell whether new work may be taken.
+        """Return whether new requests may be accepted.
 
-        An entry that hears of no control process can't learn of a
-        withdrawal. It goes on for a bounded time only, so that a version
-        withdrawn meanwhile stays exposed no longer than that.
+        An entry without updates from a control process cannot learn of a
+        withdrawal. It continues for a bounded time only, which bounds how
+        long a version withdrawn meanwhile remains in use.
 
         Args:
             now: Seconds of the monotonic clock.
         """
-        blind = now - self._heard_at > self._cfg.blind_s
+        is_stale = now - self._fresh_at > self._cfg.blind_s
         configured = self.known.view.revision > 0
-        return configured and self.known.accept and not blind
+        return configured and self.known.accept and not is_stale
 
     async def _follow(self) -> None:
         while True:
-            async for update in self._calls.updates(self._ask):
-                self._take(update)
-            await asyncio.sleep(RETRY_S)
-
-    def _take(self, update: rpc_data.ViewUpdate) -> None:
-        # A process that was frozen finds messages in its socket that are as
-        # old as the freeze. Taking them for fresh would let it dispatch on a
-        # version that was withdrawn meanwhile; their age is what counts.
+            async for update in self._calls.updates(self._watch_request):
+                self._apply_update(update)
+            await asyncio.sleep(RECONNECT_DELAY_S)
+
+    def _apply_update(self, update: rpc_data.ViewUpdate) -> None:
+        # After a freeze, the socket holds messages as old as the freeze. If
+        # they counted as new, the process could dispatch to a version that
+        # was withdrawn meanwhile, so freshness follows the sending time.
         age_s = max(0, time.time() - update.sent_at)
-        heard_at = time.monotonic() - age_s
-        self._heard_at = max(self._heard_at, heard_at)
+        fresh_at = time.monotonic() - age_s
+        self._fresh_at = max(self._fresh_at, fresh_at)
         before = self.known
         self.known = view_merge.merge(before, update)
         if self.known.view != before.view:
@@ -122,14 +123,14 @@
         for listener in self._listeners:
             listener(self.known)
         if update.suspects is not None:
-            seen = suspects_data.Seen(self._ask.entry, update.number)
+            seen = suspects_data.Seen(self._watch_request.entry, update.number)
             task = asyncio.create_task(self._confirm(seen))
-            self._seen.add(task)
-            task.add_done_callback(self._seen.discard)
+            self._confirm_tasks.add(task)
+            task.add_done_callback(self._confirm_tasks.discard)
 
     async def _confirm(self, seen: suspects_data.Seen) -> None:
         try:
-            await self._calls.call(methods.VIEW_SEEN, seen, SEEN_S)
+            await self._calls.call(methods.VIEW_SEEN, seen, CONFIRM_TIMEOUT_S)
         except rpc.RpcError as exc:
-            # The control process that waits for it has a bound.
+            # Not retried: the control process waits for it with a timeout.
             logging.warning('event=suspects_not_confirmed error=%s', exc)
--- a/beryllug/entry/delivery_test.py
+++ b/beryllug/entry/delivery_test.py
@@ -1,4 +1,4 @@
-"""Tests of the stream relay: the end waits, and no byte is lost."""
+"""Tests of the stream relay: end held back, no byte lost."""
 
 import time
 import unittest
@@ -49,57 +49,57 @@
 
 
 class StreamRelayTest(unittest.IsolatedAsyncioTestCase):
-    """Every cut of a stream into chunks gives the same bytes."""
+    """The forwarded bytes do not depend on how the stream is chunked."""
 
     async def test_every_cut(self) -> None:
-        """The end is held back wherever a chunk cuts the end marker."""
+        """The end is held back wherever a chunk splits the end marker."""
         for place in CUTS:
             with self.subTest(place):
                 relay, exchange = _relay(repeatable=True)
-                await relay.pump(_incoming((TEXT[:place], TEXT[place:])))
+                await relay.forward(_incoming((TEXT[:place], TEXT[place:])))
                 self.assertEqual(exchange.sent, TEXT[:BODY_END])
                 await relay.finish()
                 self.assertEqual(exchange.sent, TEXT)
 
     async def test_single_bytes(self) -> None:
-        """Chunks of one byte pass too."""
+        """Chunks of one byte are forwarded."""
         relay, exchange = _relay(repeatable=True)
-        await relay.pump(_incoming([bytes([byte]) for byte in TEXT]))
+        await relay.forward(_incoming([bytes([byte]) for byte in TEXT]))
         self.assertTrue(relay.tail.is_whole())
         await relay.finish()
         self.assertEqual(exchange.sent, TEXT)
 
     async def test_resumed(self) -> None:
-        """The engine resets the stream; the rest is taken up at its byte."""
+        """After an engine reset, the stream resumes at its exact byte."""
         for place in CUTS:
             with self.subTest(place):
                 relay, exchange = _relay(repeatable=True)
                 with self.assertRaises(http_data.BrokenError):
-                    await relay.pump(_incoming((TEXT[:place],), broken=True))
+                    await relay.forward(_incoming((TEXT[:place],), broken=True))
                 self.assertEqual(relay.tail.size, place)
-                await relay.pump(_incoming((TEXT[place:],)))
+                await relay.forward(_incoming((TEXT[place:],)))
                 await relay.finish()
                 self.assertEqual(exchange.sent, TEXT)
 
     async def test_caller_goes(self) -> None:
-        """The caller goes away half way.
+        """The client disconnects during the answer.
 
-        An answer of a request that may repeat is given up. One that runs
-        only once is read to its end and kept, since the caller can't get it
-        by asking for another run.
+        The answer of a repeatable request is abandoned. A non-repeatable one
+        is read to its end and collected, since the client cannot get it by
+        another run.
         """
         for repeatable, kept in ((True, b''), (False, TEXT)):
             with self.subTest(repeatable=repeatable):
                 relay, _ = _relay(repeatable, gone_after=10)
-                await relay.pump(_incoming(PIECES))
+                await relay.forward(_incoming(PIECES))
                 self.assertTrue(relay.caller_gone)
-                self.assertEqual(relay.unwanted, repeatable)
+                self.assertEqual(relay.is_abandoned, repeatable)
                 self.assertEqual(bytes(relay.kept), kept)
 
     async def test_broken_is_cut(self) -> None:
-        """An answer that broke off never looks whole to its caller."""
+        """A partial answer does not look complete to its client."""
         relay, exchange = _relay(repeatable=True)
-        await relay.pump(_incoming((TEXT[:20],)))
+        await relay.forward(_incoming((TEXT[:20],)))
         await relay.fail(b'data: {"error":{}}\n\n')
         self.assertTrue(exchange.aborted)
         self.assertFalse(exchange.ended)
@@ -121,7 +121,7 @@
 def make_call(
     body_hash: str, *, repeatable: bool = True, within_s: float = 60
 ) -> call_data.Call:
-    """Return a small call, for tests of what is done with one."""
+    """Return a small call for tests."""
     facts = request_data.Facts(
         request_id=body_hash,
         account_id='a',
--- a/beryllug/entry/seats.py
+++ b/beryllug/entry/seats.py
@@ -1,4 +1,4 @@
-"""Seats: a call that was given a version and a place in its pool."""
+"""Admission of calls to a version and its pool."""
 
 from typing import NamedTuple
 
@@ -15,31 +15,31 @@
 )
 
 
-class Seat(NamedTuple):
-    """A turn and the ticket that must be given back after it."""
+class AdmittedTurn(NamedTuple):
+    """A turn and its admission ticket, which must be released after it."""
 
     turn: chat_data.Turn
     ticket: limits.Ticket
 
 
-class Seats:
+class TurnAdmission:
     """Admits calls to the versions of a stage."""
 
-    def __init__(self, wired: parts.Parts) -> None:
-        """Bind the services."""
-        self._parts = wired
-        self._recovery = recovery.Recovery(wired)
+    def __init__(self, deps: parts.Parts) -> None:
+        """Use the given services."""
+        self._deps = deps
+        self._recovery = recovery.Recovery(deps)
 
     def take(
         self,
         call: call_data.Call,
         session: versions.Session,
         stage: versions.Stage,
-    ) -> Seat:
+    ) -> AdmittedTurn:
         """Admit a call to the first version of a stage that has room.
 
         Raises:
-            RefusedError: None has; the call is not run.
+            RefusedError: No version has room; the call is not run.
         """
         refused = refusal.RefusedError(
             refusal.Refusal(refusal.Code.NO_SERVER, 'no version to run on')
@@ -47,67 +47,67 @@
         for version in stage.versions:
             name = chat_data.name_of(version.ref)
             try:
-                ticket = self._parts.admission.admit(call, version.pool, name)
+                ticket = self._deps.admission.admit(call, version.pool, name)
             except refusal.RefusedError as exc:
                 refused = exc
                 continue
             subject = evidence_book.Subject(
                 version.ref, call.account.account_id
             )
-            told = probe.VersionProbe(self._parts.exposure, subject)
+            observer = probe.VersionObserver(self._deps.exposure, subject)
             turn = chat_data.Turn(
-                call, session, version, stage.pin_broken, told
+                call, session, version, stage.pin_broken, observer
             )
             if stage.pin_broken:
-                self._note_move(call, session)
-            return Seat(turn, ticket)
+                self._record_session_move(call, session)
+            return AdmittedTurn(turn, ticket)
         raise refused
 
-    def give_back(self, seat: Seat) -> None:
-        """Give the place in the pool back."""
-        self._parts.admission.release(seat.ticket)
+    def give_back(self, admitted: AdmittedTurn) -> None:
+        """Release the admission ticket of a turn."""
+        self._deps.admission.release(admitted.ticket)
 
     async def may_run(
         self, turn: chat_data.Turn, exchange: http_server.Exchange
     ) -> bool:
-        """Ask the journal where a call may run only once.
+        """Return whether a call may run now.
 
-        Returns:
-            Whether it may run now; where not, its first answer was given.
+        A non-repeatable call needs the permission of the journal. If it may
+        not run, the answer of its first try has been sent.
 
         Raises:
-            RefusedError: It may not run, and there is no answer to give.
+            RefusedError: It may not run, and there is no stored answer.
         """
         if turn.call.facts.repeatable:
             return True
         note = chat_data.name_of(turn.version.ref)
-        match await self._parts.bills.begin(turn.call, note):
+        match await self._deps.bills.begin(turn.call, note):
             case begun.MayRun():
                 return True
             case begun.Finished(row=row):
-                await replays.replay_first(self._parts.answers, row, exchange)
-            case begun.Unfinished(request_id=first, refused=refused):
-                await self._recover(turn.call, first, refused, exchange)
+                await replays.replay_first(self._deps.answers, row, exchange)
+            case begun.Unfinished(request_id=first_id, refused=refused):
+                await self._recover(turn.call, first_id, refused, exchange)
         return False
 
     async def _recover(
         self,
         call: call_data.Call,
-        first: str,
+        first_id: str,
         refused: refusal.Refusal,
         exchange: http_server.Exchange,
     ) -> None:
-        """Give the answer of a first try from the engine that runs it."""
+        """Send the answer of a first try from the engine that runs it."""
         found = await self._recovery.find(
-            call.account.account_id, first, call.deadline
+            call.account.account_id, first_id, call.deadline
         )
         if found is None:
             raise refusal.RefusedError(refused)
-        await replays.replay_first(self._parts.answers, found, exchange)
+        await replays.replay_first(self._deps.answers, found, exchange)
 
-    def _note_move(
+    def _record_session_move(
         self, call: call_data.Call, session: versions.Session
     ) -> None:
         for pin in session.pins:
             subject = evidence_book.Subject(pin, call.account.account_id)
-            self._parts.exposure.moved(subject)
+            self._deps.exposure.moved(subject)
--- a/beryllug/entry/sessions.py
+++ b/beryllug/entry/sessions.py
@@ -1,8 +1,8 @@
-"""Sessions: the version that answered first stays.
+"""Sessions, which stay on the version that answered first.
 
-The pin travels as a signed token. A caller that does not return the token
-is known by a record in the journal, so its session too survives the entry
-host and a changed roll-out share.
+The pin is returned as a signed token. The session of a client that does not
+send the token is found by a journal record, so it also survives the loss of
+the entry host and a change of the roll-out share.
 """
 
 import time
@@ -20,7 +20,7 @@
 from beryllug.entry import call_data, control_link, outbox
 
 CACHE_SIZE = 4096
-FINISH_S = 2.0
+RECORD_TIMEOUT_S = 2.0
 SEPARATOR = '@'
 
 
@@ -30,24 +30,24 @@
     def __init__(
         self, entry: str, link: control_link.ControlLink, rows: outbox.Outbox
     ) -> None:
-        """Bind the link (for token keys) and the outbox."""
+        """Use the given link, for its token keys, and the outbox."""
         self._entry = entry
         self._link = link
         self._outbox = rows
         self._cache: OrderedDict[str, config_data.VersionRef] = OrderedDict()
 
     async def start(self) -> None:
-        """Do nothing: it works when it is called."""
+        """Do nothing: no background task is needed."""
 
     async def stop(self, grace_s: float) -> None:
         """Do nothing: it holds no socket and no task."""
 
     def dump(self) -> dict[str, Any]:
-        """Return the number of remembered sessions."""
+        """Return the number of cached sessions."""
         return {'remembered': len(self._cache)}
 
     async def find(self, call: call_data.Call) -> versions.Session:
-        """Return the session of a call with the version it is on."""
+        """Return the session of a call with its pinned version, if any."""
         if not call.session_id:
             return versions.Session(call.facts.session_key)
         pin = self._from_token(call) or await self._from_record(call)
@@ -60,17 +60,19 @@
         session: versions.Session,
         version: config_data.VersionRef,
     ) -> str:
-        """Remember the version that answers and return its token.
+        """Pin the session to the version that answers; return its token.
 
-        The record is written before the caller sees the answer: a session
-        whose first answer it has seen must be known on every host.
+        The record is written before the client sees the answer, so that every
+        host can find a session whose first answer the client has seen.
         """
         if not call.session_id:
             return ''
         family = _family(call)
         if version not in session.pins:
-            await self._outbox.finish(self._record(call, version), FINISH_S)
-        self._remember(family, version)
+            await self._outbox.finish(
+                self._record(call, version), RECORD_TIMEOUT_S
+            )
+        self._cache_pin(family, version)
         pin = session_token.Pin(
             call.account.account_id,
             call.session_id,
@@ -87,9 +89,9 @@
         )
         if pin is None:
             return None
-        named = (pin.account_id, pin.session_id, pin.model)
-        asked = (call.account.account_id, call.session_id, call.facts.asked)
-        return pin.version if named == asked else None
+        pinned = (pin.account_id, pin.session_id, pin.model)
+        requested = (call.account.account_id, call.session_id, call.facts.asked)
+        return pin.version if pinned == requested else None
 
     async def _from_record(
         self, call: call_data.Call
@@ -123,7 +125,7 @@
             note=f'{version.model}{SEPARATOR}{version.version}',
         )
 
-    def _remember(self, family: str, version: config_data.VersionRef) -> None:
+    def _cache_pin(self, family: str, version: config_data.VersionRef) -> None:
         self._cache[family] = version
         self._cache.move_to_end(family)
         if len(self._cache) > CACHE_SIZE:
--- a/beryllug/entry/trials.py
+++ b/beryllug/entry/trials.py
@@ -1,8 +1,7 @@
-"""Where an attempt goes: an ordinary one, or the trial of a suspect.
+"""Server selection for ordinary attempts and trials of suspected requests.
 
-A suspected request runs on a server of its own where there is one, so that
-its loss, should it come, costs no other request; and ordinary requests leave
-that server to it for as long as there is another.
+A suspect runs alone on a server if possible, so that a crash affects no other
+request. Ordinary requests avoid that server as long as there is another one.
 """
 
 import asyncio
@@ -13,93 +12,95 @@
 from beryllug.core import balance_data, refusal, suspects_data, view_data
 from beryllug.entry import call_data, crashes, routing
 
-MAX_WAIT_S = 10.0
-FIRST_PAUSE_S = 0.02
-MOST_PAUSE_S = 0.2
+MAX_TRIAL_WAIT_S = 10.0
+INITIAL_DELAY_S = 0.02
+MAX_DELAY_S = 0.2
 RETRY_AFTER_S = 1.0
 
 Servers = frozenset[str]
 
 
 class Place(NamedTuple):
-    """The server of an attempt, None without one, and its trial if any."""
+    """The server of an attempt, if any, and the id of its trial, if any."""
 
     server: view_data.BackendServer | None
     trial_id: str = ''
 
 
 class Trials:
-    """Chooses the servers of attempts."""
+    """Selects the servers of attempts."""
 
     def __init__(
         self, routes: routing.Routing, crash_reports: crashes.Crashes
     ) -> None:
-        """Bind the routing service and what is known of suspects."""
+        """Use the given routing and crash report services."""
         self._routing = routes
         self._crashes = crash_reports
 
     async def place(
         self, call: call_data.Call, pick: balance_data.Pick
     ) -> Place:
-        """Return where an attempt may go.
+        """Return the server for an attempt.
 
-        It awaits only for a suspect, and where the process stood still.
+        It waits only for a suspect, or after the process was stalled.
 
         Raises:
-            RefusedError: It is a suspect and may not run now.
+            RefusedError: The call is a suspect and may not run now.
         """
-        await self._crashes.catching_up.catch_up()
+        await self._crashes.suspect_sync.catch_up()
         if not self._crashes.known.needs_trial(call):
-            return self._ordinary(pick)
+            return self._choose_ordinary(pick)
         try:
             async with asyncio.timeout_at(
-                min(call.deadline, time.monotonic() + MAX_WAIT_S)
+                min(call.deadline, time.monotonic() + MAX_TRIAL_WAIT_S)
             ):
-                return await self._suspect(call, pick)
+                return await self._place_suspect(call, pick)
         except TimeoutError:
-            raise _busy()
+            raise _trial_in_progress_error()
 
-    async def _suspect(
+    async def _place_suspect(
         self, call: call_data.Call, pick: balance_data.Pick
     ) -> Place:
-        pause_s = FIRST_PAUSE_S
+        delay_s = INITIAL_DELAY_S
         while True:
-            trial_id = crashes.new_trial()
-            server = self._alone(pick)
+            trial_id = crashes.new_trial_id()
+            server = self._choose_for_trial(pick)
             if server is None:
                 return Place(None)
-            match await self._ask(call, server.server_id, trial_id):
+            match await self._request_trial(call, server.server_id, trial_id):
                 case suspects_data.Verdict.TRY:
                     return Place(server, trial_id)
                 case suspects_data.Verdict.RUN:
-                    return self._ordinary(pick)
-            await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, MOST_PAUSE_S)
+                    return self._choose_ordinary(pick)
+            await asyncio.sleep(delay_s)
+            delay_s = min(2 * delay_s, MAX_DELAY_S)
 
-    async def _ask(
+    async def _request_trial(
         self, call: call_data.Call, server_id: str, trial_id: str
     ) -> suspects_data.Verdict:
         try:
             return await self._crashes.ask_trial(call, server_id, trial_id)
         except BaseException:
-            # The caller went away, and the trial may have been granted: not
-            # ended, it would hold up the same request for its whole time.
-            self._crashes.drop_trial(call, trial_id)
+            # If the client disconnects, the trial may have been granted. Not
+            # ended, it would block the same request until it expires.
+            self._crashes.abandon_trial(call, trial_id)
             raise
 
-    def _ordinary(self, pick: balance_data.Pick) -> Place:
+    def _choose_ordinary(self, pick: balance_data.Pick) -> Place:
         tried = self._crashes.known.trial_servers()
-        return Place(self._first(pick, (tried, frozenset())))
+        return Place(self._choose_avoiding(pick, (tried, frozenset())))
 
-    def _alone(self, pick: balance_data.Pick) -> view_data.BackendServer | None:
+    def _choose_for_trial(
+        self, pick: balance_data.Pick
+    ) -> view_data.BackendServer | None:
         tried = self._crashes.known.trial_servers()
         busy = tried | self._routing.busy()
-        return self._first(pick, (busy, tried, frozenset()))
+        return self._choose_avoiding(pick, (busy, tried, frozenset()))
 
-    def _first(
+    def _choose_avoiding(
         self, pick: balance_data.Pick, avoided: tuple[Servers, ...]
     ) -> view_data.BackendServer | None:
-        """Choose, avoiding less and less until there is a server."""
+        """Select a server, relaxing the exclusions until there is one."""
         for excluded in _exclusions(pick.excluded, avoided):
             found = self._routing.choose(
                 pick._replace(excluded=excluded), time.monotonic()
@@ -112,12 +113,12 @@
 def _exclusions(
     failed: Servers, avoided: tuple[Servers, ...]
 ) -> Iterator[Servers]:
-    """Yield what to exclude: where it failed before counts for more."""
-    yield from (failed | one for one in avoided)
+    """Yield exclusions by preference; failed servers are relaxed last."""
+    yield from (failed | servers for servers in avoided)
     yield from avoided
 
 
-def _busy() -> refusal.RefusedError:
+def _trial_in_progress_error() -> refusal.RefusedError:
     return refusal.RefusedError(
         refusal.Refusal(
             refusal.Code.SUSPECT,
