--- a/beryllug/control/__init__.py
+++ b/beryllug/control/__init__.py
@@ -1,4 +1,5 @@
 """Services of the ``control`` role.
 
-They own the platform connection, leases, the journal and the peers.
+They manage the platform connection, the leases, the request journal and the
+connections to peer control processes.
 """
--- a/beryllug/control/answers_test.py
+++ b/beryllug/control/answers_test.py
@@ -1,4 +1,4 @@
-"""Tests of kept answers: whole or absent, and gone after their time."""
+"""Tests of stored answers: complete or absent, and deleted on expiry."""
 
 import unittest
 
@@ -22,57 +22,57 @@
         """Do nothing."""
 
     def held(self, name: str, now: float) -> object | None:
-        """Hold nothing: expiry is called by the test."""
+        """Return None: the test calls `expire` itself."""
 
 
 class AnswersTest(unittest.IsolatedAsyncioTestCase):
-    """Against an in-memory platform."""
+    """Tests against an in-memory platform."""
 
     async def asyncSetUp(self) -> None:
-        """Make the platform."""
+        """Create the platform and the service."""
         store = fake_platform_test.Store()
         self.platform = fake_platform_test.Client(store)
-        self.kept = answers.Answers(self.platform, _Leases(), RETENTION_S)
+        self.service = answers.Answers(self.platform, _Leases(), RETENTION_S)
 
     async def test_sizes(self) -> None:
-        """An answer of any size comes back byte for byte."""
+        """An answer of any size is returned unchanged."""
         for size in SIZES:
             with self.subTest(size):
                 body = bytes(number % 251 for number in range(size))
                 name = answer_name.make(f'r{size}', NOW)
-                stored = await self.kept.store(
+                stored = await self.service.store(
                     answer_data.AnswerBody(name, body)
                 )
                 self.assertTrue(stored.ok)
-                found = await self.kept.fetch(answer_data.AnswerKey(name))
+                found = await self.service.fetch(answer_data.AnswerKey(name))
                 self.assertEqual(found.found, size > 0)
                 self.assertEqual(found.body, body)
 
     async def test_half_written(self) -> None:
-        """The platform goes away between two parts.
+        """The platform becomes unavailable between writes of two parts.
 
-        What was written so far is no answer; storing it again completes it.
+        A partial answer is not found; storing it again completes it.
         """
         body = bytes(2 * answers.PART_BYTES)
-        ask = answer_data.AnswerBody(answer_name.make('r', NOW), body)
-        self.platform.faulty = f'{answers.PREFIX}{ask.name}/{answers.FIRST}'
+        request = answer_data.AnswerBody(answer_name.make('r', NOW), body)
+        self.platform.faulty = f'{answers.PREFIX}{request.name}/{answers.FIRST}'
         self.platform.faults.append(fake_platform_test.Fault.REFUSED)
-        self.assertFalse((await self.kept.store(ask)).ok)
-        key = answer_data.AnswerKey(ask.name)
-        self.assertFalse((await self.kept.fetch(key)).found)
-        self.assertTrue((await self.kept.store(ask)).ok)
-        self.assertEqual((await self.kept.fetch(key)).body, body)
+        self.assertFalse((await self.service.store(request)).ok)
+        key = answer_data.AnswerKey(request.name)
+        self.assertFalse((await self.service.fetch(key)).found)
+        self.assertTrue((await self.service.store(request)).ok)
+        self.assertEqual((await self.service.fetch(key)).body, body)
 
     async def test_expiry(self) -> None:
-        """Answers are kept for the retention and deleted after it."""
+        """Answers are kept for the retention and deleted afterwards."""
         for age, _ in AGES:
             name = answer_name.make(f'r{age}', NOW - age * DAY_S)
-            await self.kept.store(answer_data.AnswerBody(name, b'answer'))
-        await self.kept.expire(NOW)
+            await self.service.store(answer_data.AnswerBody(name, b'answer'))
+        await self.service.expire(NOW)
         for age, is_kept in AGES:
             with self.subTest(age=age):
                 name = answer_name.make(f'r{age}', NOW - age * DAY_S)
-                found = await self.kept.fetch(answer_data.AnswerKey(name))
+                found = await self.service.fetch(answer_data.AnswerKey(name))
                 self.assertEqual(found.found, is_kept)
 
 
--- a/beryllug/control/commit.py
+++ b/beryllug/control/commit.py
@@ -1,8 +1,8 @@
-"""The commit task of one shard: makes rows durable in groups.
+"""The commit task of one shard: makes rows durable by group commit.
 
-One write is under way at a time; the next takes all rows that came
-meanwhile. So the number of platform writes is bounded whatever the number of
-requests, and the order of rows in the log is the order of decisions.
+At most one write is in progress; the next one takes all rows that arrived
+meanwhile. So the rate of platform writes is bounded whatever the request
+rate, and rows stand in the log in the order of decisions.
 """
 
 import asyncio
@@ -25,18 +25,18 @@
 RETRY_S = 0.1
 LONGEST_RETRY_S = 1.0
 MAX_FAILURES = 3
-# A quiet shard may use so many seconds of its rate at once.
+# An idle shard may use this many seconds of its commit rate in a burst.
 BURST_S = 0.5
 
 
 class OwnerCfg(NamedTuple):
-    """What an owner is bound to.
+    """Settings of a shard owner.
 
     Attributes:
         shard: Its shard.
         fencing: Fencing token of its lease.
         boot: Random id of this process start.
-        commits_per_s: Most platform writes a second.
+        commits_per_s: Maximum number of platform writes per second.
         retention_s: How long rows are kept.
     """
 
@@ -51,11 +51,11 @@
     """Takes a shard over and appends its pending rows.
 
     Attributes:
-        cfg: What it is bound to.
-        state: What is remembered of the shard.
-        totals: Usage of each segment that the stored usage lacks.
+        cfg: Settings of the shard owner.
+        state: The in-memory state of the shard.
+        totals: Usage of each segment not yet added to the stored usage.
         log: The shard's log.
-        serving: Whether it has taken over and not lost the shard since.
+        serving: Whether it has taken the shard over and still owns it.
     """
 
     def __init__(
@@ -64,12 +64,12 @@
         cfg: OwnerCfg,
         prepare: takeover.Prepare,
     ) -> None:
-        """Make a committer; it takes over after `start`.
+        """Initialize the committer; `start` takes the shard over.
 
         Args:
             api: The platform.
-            cfg: What it is bound to.
-            prepare: Completes the state before it is served.
+            cfg: Settings of the shard owner.
+            prepare: Completes the restored state before it is served.
         """
         self.cfg = cfg
         self.state = shard_state.ShardState()
@@ -80,8 +80,8 @@
         self._prepare = prepare
         self._waiters = waiters.Waiters()
         self._wake = asyncio.Event()
-        self._served = asyncio.Event()
-        self._unsettled = False
+        self._takeover_ended = asyncio.Event()
+        self._append_uncertain = False
         self._failures = 0
         burst = max(1, round(cfg.commits_per_s * BURST_S))
         self._pace = pace.Pace(1 / cfg.commits_per_s, burst)
@@ -89,27 +89,27 @@
 
     @property
     def down(self) -> bool:
-        """Tell whether the platform counts as down."""
+        """Tell whether the platform is considered down."""
         return self._failures >= MAX_FAILURES
 
     def start(self) -> None:
-        """Take the shard over, then commit."""
+        """Start the task that takes the shard over and commits rows."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop; whoever waits learns that nothing was promised."""
+        """Stop; callers still waiting get no durability guarantee."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
-        self._end()
+        self._stop_serving()
 
     async def ready(self, wait_s: float) -> bool:
-        """Wait for the end of the takeover; tell whether rows are taken."""
-        await waiters.set_within(self._served, wait_s)
+        """Wait for the end of the takeover; tell whether rows are accepted."""
+        await waiters.set_within(self._takeover_ended, wait_s)
         return self.serving
 
     async def flush(self, grace_s: float) -> bool:
-        """Wait until no row is pending; False when that takes too long."""
+        """Wait until no row is pending; False on timeout."""
         deadline = time.monotonic() + grace_s
         while self.state.pending and self.serving:
             left_s = deadline - time.monotonic()
@@ -122,15 +122,15 @@
     async def wait(self, row: journal_data.Row, wait_s: float) -> bool:
         """Wait until a row is durable; False at once in an outage.
 
-        Rows of a shard that was lost or handed over meanwhile wait for
-        nobody.
+        It also returns False at once if the shard has been lost or handed
+        over, as its rows are no longer committed here.
         """
         row_id = shard_state.row_id(row)
         if row_id not in self.state.pending:
             return True
         self._wake.set()
-        hopeless = self.down or not self.serving
-        return not hopeless and await self._waiters.wait(row_id, wait_s)
+        is_unavailable = self.down or not self.serving
+        return not is_unavailable and await self._waiters.wait(row_id, wait_s)
 
     def dump(self) -> dict[str, Any]:
         """Return the state."""
@@ -148,7 +148,7 @@
     async def _run(self) -> None:
         await lasting.repeat(f'shard {self.cfg.shard}', self._round)
         logging.warning('event=shard_lost shard=%d', self.cfg.shard)
-        self._end()
+        self._stop_serving()
 
     async def _round(self) -> None:
         if not self.serving:
@@ -156,10 +156,10 @@
         await self._wake.wait()
         await self._commit()
 
-    def _end(self) -> None:
+    def _stop_serving(self) -> None:
         self.serving = False
-        self._served.set()
-        self._waiters.give_up()
+        self._takeover_ended.set()
+        self._waiters.fail_all()
 
     async def _take_over(self) -> None:
         restored = await takeover.take_over(
@@ -168,7 +168,7 @@
         self.state = restored.state
         self.totals = restored.totals
         self.serving = True
-        self._served.set()
+        self._takeover_ended.set()
         self._wake.set()
         logging.info(
             'event=shard_owned shard=%d fencing=%d tries=%d',
@@ -184,49 +184,49 @@
         try:
             await self._commit_once()
         except object_data.ConflictError:
-            self._unsettled = True
+            self._append_uncertain = True
         except object_data.RateLimitedError as exc:
             pause_s = exc.retry_after_s
         except object_data.ObjectApiError as exc:
-            self._fail(exc)
+            self._record_failure(exc)
             pause_s = min(RETRY_S * self._failures, LONGEST_RETRY_S)
         finally:
             if self.state.pending or self._failures:
                 self._wake.set()
         await asyncio.sleep(pause_s)
 
-    def _fail(self, exc: Exception) -> None:
-        """Count a failure; while the platform is down nobody waits for it.
+    def _record_failure(self, exc: Exception) -> None:
+        """Count a failure; once the platform is down, release all waiters.
 
-        Until it is back, a read of the head is the probe.
+        While it is down, it is probed by reading the head segment.
         """
-        self._unsettled = True
+        self._append_uncertain = True
         self._failures += 1
         if self._failures == MAX_FAILURES:
             logging.warning(
                 'event=platform_down shard=%d error=%s', self.cfg.shard, exc
             )
-            self._waiters.give_up()
+            self._waiters.fail_all()
 
     async def _commit_once(self) -> None:
         self._wake.clear()
-        if self._unsettled:
-            found = await self.log.settle()
-            self._unsettled = False
-            self._take_in([segments.decode_row(raw) for raw in found])
+        if self._append_uncertain:
+            appended = await self.log.settle()
+            self._append_uncertain = False
+            self._apply_durable([segments.decode_row(raw) for raw in appended])
         rows = list(self.state.pending.values())
-        raws = segments.batch_of(map(segments.encode_row, rows))
+        raws = segments.first_batch(map(segments.encode_row, rows))
         if raws:
             await self.log.append(raws)
-            self._take_in(rows[: len(raws)])
+            self._apply_durable(rows[: len(raws)])
         self._failures = 0
 
-    def _take_in(self, rows: Sequence[journal_data.Row]) -> None:
+    def _apply_durable(self, rows: Sequence[journal_data.Row]) -> None:
         head = self.log.head
         totals = self.totals.setdefault(head.seq, usage.Totals())
         for row in rows:
             usage.add_row(totals, row)
             journal_log.committed(self.state, row, head.seq, head.segment.at)
         row_ids = map(shard_state.row_id, rows)
-        done = [rid for rid in row_ids if rid not in self.state.pending]
-        self._waiters.settle(done, durable=True)
+        durable_ids = [rid for rid in row_ids if rid not in self.state.pending]
+        self._waiters.settle(durable_ids, durable=True)
--- a/beryllug/control/copies.py
+++ b/beryllug/control/copies.py
@@ -1,7 +1,7 @@
-"""Copies of intents that the platform does not have, kept for each other.
+"""Copies of intents that control processes store for each other in an outage.
 
-The rules stand in `core.outage`. Nothing here replaces the platform: copies
-are of rows that it can't take at the time, and are dropped when it has.
+The rules are in `core.outage`. Copies do not replace the platform: they are of
+rows that it can't store at the time, and are dropped once it has.
 """
 
 import asyncio
@@ -26,15 +26,15 @@
 GATHER_S = 1.0
 MAX_TRIES = 3
 
-Surrender = Callable[[int, int], Awaitable[None]]
+StopOlderOwner = Callable[[int, int], Awaitable[None]]
 
 
-class Gathered(NamedTuple):
-    """What a new owner got.
+class GatherResult(NamedTuple):
+    """The result of gathering the copies of a shard.
 
     Attributes:
         rows: Copies of intents.
-        complete: Whether no copy can be missing.
+        complete: Whether it is certain that no copy is missing.
     """
 
     rows: tuple[journal_data.Row, ...]
@@ -42,132 +42,135 @@
 
 
 class Copies:
-    """Copies that this process keeps, sends and gathers."""
+    """Stores, sends and gathers copies of intents."""
 
     def __init__(
         self,
         leases: lease_outage.LeaseOutage,
         calls: candidate_calls.CandidateCalls,
         promised_to: Callable[[str], bool],
-        surrender: Surrender,
+        stop_older_owner: StopOlderOwner,
     ) -> None:
-        """Bind to the leases and the peers.
+        """Initialize with the leases and the peers.
 
         Args:
-            leases: This process's leases.
-            calls: Calls to candidates.
-            promised_to: Whether this process ever promised to a boot.
-            surrender: Ends the owner of a shard here that is older than a
-                fencing token; its unflushed intents become copies.
+            leases: Leases of this process.
+            calls: RPC client for lease candidates.
+            promised_to: Tells whether this process ever gave a promise to a
+                process start, given its boot id.
+            stop_older_owner: Stops the local owner of a shard if it is older
+                than a fencing token; its unflushed intents become copies.
         """
         self._leases = leases
         self._calls = calls
         self._promised_to = promised_to
-        self._surrender = surrender
-        self._kept = outage.Copies()
+        self._stop_older_owner = stop_older_owner
+        self._stored = outage.Copies()
 
     def serve(self, server: candidate_calls.Server) -> None:
-        """Add the methods to the server of this process."""
+        """Register the RPC methods."""
         server.unary(methods.COPY, self.copy)
         server.unary(methods.FLUSHED, self.drop)
         server.unary(methods.GATHER, self.answer)
 
     def dump(self) -> dict[int, int]:
-        """Return the number of kept copies by shard."""
-        return outage.unclaimed(self._kept.shards)
+        """Return the number of stored copies by shard."""
+        return outage.unclaimed(self._stored.shards)
 
     async def send(
-        self, lease_name: str, ask: outage_data.CopyAsk
+        self, lease_name: str, request: outage_data.CopyAsk
     ) -> str | None:
-        """Have a candidate keep copies; return its name, or None."""
+        """Copy rows to one candidate; return its name, or None on failure."""
         candidates = self._leases.candidates(lease_name)
         names = [candidate.name for candidate in candidates]
         for name in rendezvous.order(lease_name, names)[:MAX_TRIES]:
-            reply = await self._calls.call(name, methods.COPY, ask, COPY_S)
+            reply = await self._calls.call(name, methods.COPY, request, COPY_S)
             if reply is not None and reply.kept:
                 return name
         return None
 
-    async def tell_flushed(
-        self, name: str, ask: outage_data.FlushedAsk
+    async def notify_flushed(
+        self, name: str, request: outage_data.FlushedAsk
     ) -> bool:
-        """Tell a candidate to drop copies; False when it did not answer."""
-        reply = await self._calls.call(name, methods.FLUSHED, ask, COPY_S)
+        """Tell a candidate to drop copies; False if it did not reply."""
+        reply = await self._calls.call(name, methods.FLUSHED, request, COPY_S)
         return reply is not None
 
-    def keep_own(self, ask: outage_data.CopyAsk) -> None:
-        """Keep rows of a shard that this process has lost."""
-        outage.keep(self._kept, ask, time.monotonic())
+    def keep_own(self, request: outage_data.CopyAsk) -> None:
+        """Store the unflushed rows of a shard that this process has lost."""
+        outage.keep(self._stored, request, time.monotonic())
 
     async def gather(
-        self, before: lease_data.Lease | None, ask: outage_data.GatherAsk
-    ) -> Gathered:
-        """Gather what the platform may not have of a shard.
+        self, previous: lease_data.Lease | None, request: outage_data.GatherAsk
+    ) -> GatherResult:
+        """Gather rows of a shard that the platform may not have.
 
         Args:
-            before: The lease as it was taken.
-            ask: The shard and its new owner's token.
+            previous: The lease of the previous owner, None if there was none.
+            request: The shard and its new owner's fencing token.
         """
-        own = self._leases.own()
-        reply = await self.answer(ask)
-        if before is None or not outage.must_gather(before, own, reply):
-            return Gathered((), complete=True)
-        names = [candidate.name for candidate in before.candidates]
-        # The earlier owner may live, and hold rows itself.
-        replies = await self._ask_all({*names, before.holder}, ask)
-        replies[own.name] = reply
-        rows = _rows(replies.values())
-        complete = outage.is_complete(before, replies)
+        this_process = self._leases.own()
+        reply = await self.answer(request)
+        if previous is None or not outage.must_gather(
+            previous, this_process, reply
+        ):
+            return GatherResult((), complete=True)
+        names = [candidate.name for candidate in previous.candidates]
+        # The earlier owner may still run and hold rows itself.
+        replies = await self._ask_all({*names, previous.holder}, request)
+        replies[this_process.name] = reply
+        rows = _unique_rows(replies.values())
+        complete = outage.is_complete(previous, replies)
         logging.warning(
             'event=copies_gathered shard=%d rows=%d complete=%s',
-            ask.shard,
+            request.shard,
             len(rows),
             complete,
         )
-        return Gathered(rows, complete)
+        return GatherResult(rows, complete)
 
-    async def copy(self, ask: outage_data.CopyAsk) -> outage_data.CopyReply:
-        """Keep copies for the owner of a shard."""
+    async def copy(self, request: outage_data.CopyAsk) -> outage_data.CopyReply:
+        """Store copies for the owner of a shard."""
         now = time.monotonic()
-        outage.expire(self._kept, now)
-        return outage_data.CopyReply(outage.keep(self._kept, ask, now))
+        outage.expire(self._stored, now)
+        return outage_data.CopyReply(outage.keep(self._stored, request, now))
 
-    async def drop(self, ask: outage_data.FlushedAsk) -> rpc_data.Empty:
-        """Drop copies that are durable now."""
-        outage.flushed(self._kept, ask)
+    async def drop(self, request: outage_data.FlushedAsk) -> rpc_data.Empty:
+        """Drop copies of rows that are durable now."""
+        outage.flushed(self._stored, request)
         return rpc_data.Empty()
 
     async def answer(
-        self, ask: outage_data.GatherAsk
+        self, request: outage_data.GatherAsk
     ) -> outage_data.GatherReply:
-        """Answer a new owner, and act as an earlier one no longer."""
-        await self._surrender(ask.shard, ask.fencing)
-        kept = outage.gather(self._kept, ask)
+        """Return copies to a new owner, and stop an older local owner."""
+        await self._stop_older_owner(request.shard, request.fencing)
+        stored_rows = outage.gather(self._stored, request)
         return outage_data.GatherReply(
             self._leases.own().started,
-            self._promised_to(ask.boot),
-            kept,
+            self._promised_to(request.boot),
+            stored_rows,
         )
 
     async def _ask_all(
-        self, names: set[str], ask: outage_data.GatherAsk
+        self, names: set[str], request: outage_data.GatherAsk
     ) -> dict[str, outage_data.GatherReply]:
-        others = sorted(names - {self._leases.own().name})
+        peer_names = sorted(names - {self._leases.own().name})
         replies = await asyncio.gather(
-            *(self._ask_for_copies(name, ask) for name in others)
+            *(self._ask_for_copies(name, request) for name in peer_names)
         )
-        pairs = zip(others, replies, strict=True)
+        pairs = zip(peer_names, replies, strict=True)
         return {name: reply for name, reply in pairs if reply is not None}
 
     async def _ask_for_copies(
-        self, name: str, ask: outage_data.GatherAsk
+        self, name: str, request: outage_data.GatherAsk
     ) -> outage_data.GatherReply | None:
-        return await self._calls.call(name, methods.GATHER, ask, GATHER_S)
+        return await self._calls.call(name, methods.GATHER, request, GATHER_S)
 
 
-def _rows(
+def _unique_rows(
     replies: Iterable[outage_data.GatherReply],
 ) -> tuple[journal_data.Row, ...]:
-    """Return the rows of all replies, each once."""
+    """Return the rows of all replies without duplicates."""
     found = {row.request_id: row for reply in replies for row in reply.rows}
     return tuple(found.values())
--- a/beryllug/control/images.py
+++ b/beryllug/control/images.py
@@ -1,4 +1,7 @@
-"""Images of shards and sums of usage in the platform."""
+"""Storage of shard images and usage totals in the platform.
+
+An image is a snapshot of a shard's state.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator, Sequence
@@ -21,7 +24,7 @@
 PREFIX = 'beryllug/journal-index'
 USAGE_PREFIX = 'beryllug/usage'
 ROOT = 'root'
-READS_AT_ONCE = 16
+CONCURRENT_READS = 16
 NO_IMAGE = image_data.Image(
     0, 0, (), image_data.PackedTable(b'', b'', 0), float('-inf'), ()
 )
@@ -33,18 +36,18 @@
 
 
 class Base(NamedTuple):
-    """What stands for the older segments of a shard."""
+    """Stored data that replaces the older segments of a shard."""
 
     usage: usage_data.Usage
     image: image_data.Image
 
 
 class Restored(NamedTuple):
-    """What a new owner knows after it has read a shard.
+    """State of a shard that a new owner has read from the platform.
 
     Attributes:
         state: The shard's state.
-        totals: Usage of each segment that is not in the stored usage.
+        totals: Usage of each segment not yet added to the stored usage.
     """
 
     state: shard_state.ShardState
@@ -57,7 +60,7 @@
 
 
 def table_key(shard: int, name: str) -> str:
-    """Return the key of one table of a shard's index."""
+    """Return the key of a table of a shard's index."""
     return f'{PREFIX}/{shard}/{name}'
 
 
@@ -82,7 +85,7 @@
     image: image_data.Image,
     expected: int,
 ) -> int:
-    """Write a shard's image on condition and return its new version."""
+    """Write a shard's image if its version matches; return the new one."""
     return await api.write(image_key(shard), _encode(image), expected)
 
 
@@ -92,7 +95,7 @@
     name: str,
     table: image_data.PackedTable,
 ) -> None:
-    """Write one full table; its name holds the owner's fencing token."""
+    """Write a table; its name is unique as it holds the fencing token."""
     await api.write(table_key(shard, name), _encode(table), None)
 
 
@@ -112,36 +115,36 @@
     content: usage_data.Usage,
     expected: int,
 ) -> int:
-    """Write a shard's usage on condition and return its new version."""
+    """Write a shard's usage if its version matches; return the new one."""
     return await api.write(usage_key(shard), _encode(content), expected)
 
 
 async def read_base(api: object_api.ObjectApi, shard: int) -> Base:
-    """Read what stands for the older segments of a shard."""
-    _, counted = await read_usage(api, shard)
+    """Read the stored usage and image of a shard."""
+    _, stored_usage = await read_usage(api, shard)
     _, image = await read_image(api, shard)
-    return Base(counted, image or NO_IMAGE)
+    return Base(stored_usage, image or NO_IMAGE)
 
 
 async def restore(
     api: object_api.ObjectApi, shard: int, base: Base, last: int
 ) -> Restored:
-    """Read a shard: its image, then the rows after it.
+    """Restore a shard from its image and the rows after it.
 
     Args:
         api: The platform.
         shard: The shard.
-        base: What stands for its older segments.
-        last: Its last segment, closed for earlier owners.
+        base: Its stored usage and image.
+        last: Its last segment, sealed against earlier owners.
 
     Raises:
-        ObjectApiError: The platform failed; start anew.
+        ObjectApiError: The platform failed; start again.
     """
     image = base.image
     state = await _restore_state(api, shard, image)
     restored = Restored(state, {})
-    later = range(after(base) + 1, last + 1)
-    async for seq, segment in read_all(api, shard, later):
+    unread = range(after(base) + 1, last + 1)
+    async for seq, segment in read_segments(api, shard, unread):
         if seq > image.upto:
             journal_log.replay(state, segment.rows, seq, segment.at)
         if seq > base.usage.folded:
@@ -150,12 +153,12 @@
 
 
 def after(base: Base) -> int:
-    """Return the segment up to which none need be read."""
+    """Return the last segment that is covered by both image and usage."""
     return min(base.image.upto, base.usage.folded)
 
 
 async def report(api: object_api.ObjectApi, shards: int) -> usage_data.Usage:
-    """Return what all accounts used, each request once.
+    """Return the usage of all accounts, each request counted once.
 
     Args:
         api: The platform.
@@ -166,21 +169,21 @@
     """
     totals = usage.Totals()
     for shard in range(shards):
-        _, counted = await read_usage(api, shard)
-        usage.add(totals, counted)
-        last = await segments.find_last(api, shard, counted.folded)
-        later = range(counted.folded + 1, last + 1)
-        async for _, segment in read_all(api, shard, later):
+        _, stored_usage = await read_usage(api, shard)
+        usage.add(totals, stored_usage)
+        last = await segments.find_last(api, shard, stored_usage.folded)
+        unread = range(stored_usage.folded + 1, last + 1)
+        async for _, segment in read_segments(api, shard, unread):
             usage.add(totals, usage.stored(usage.of_rows(segment.rows), 0))
     return usage.stored(totals, 0)
 
 
-async def read_all(
+async def read_segments(
     api: object_api.ObjectApi, shard: int, seqs: Sequence[int]
 ) -> AsyncIterator[tuple[int, segment_data.SegmentRows]]:
-    """Yield segments in their order, a few read at once."""
-    for start in range(0, len(seqs), READS_AT_ONCE):
-        chunk = seqs[start : start + READS_AT_ONCE]
+    """Yield existing segments in order, reading several concurrently."""
+    for start in range(0, len(seqs), CONCURRENT_READS):
+        chunk = seqs[start : start + CONCURRENT_READS]
         found = await asyncio.gather(
             *(segments.read_rows(api, shard, seq) for seq in chunk)
         )
@@ -203,7 +206,7 @@
 ) -> image_data.PackedTable:
     stored = await api.read(table_key(shard, name))
     if stored is None:
-        # Without it keys would be forgotten that are remembered: do not
-        # serve, try again.
-        raise object_data.UnavailableError(f'no table {name}')
+        # Without the table the owner would forget keys and could grant them
+        # again, so the takeover fails and is retried.
+        raise object_data.UnavailableError(f'table {name} does not exist')
     return _decode_table(stored.value)
--- a/beryllug/control/journal.py
+++ b/beryllug/control/journal.py
@@ -1,7 +1,7 @@
-"""Service 'journal': at most once, and billed once.
+"""Service 'journal': at-most-once execution, and billing exactly once.
 
-It takes rows of entry processes and of peers, sorts them by shard, decides
-about those of shards it owns and hands the others to their owners.
+It receives rows from entry processes and from peers, groups them by shard,
+processes the rows of shards it owns and forwards the others to their owners.
 """
 
 import asyncio
@@ -29,10 +29,10 @@
     def __init__(
         self, parts: shards.Parts, cfg: settings_data.Control, boot: str
     ) -> None:
-        """Make the service.
+        """Initialize the service.
 
         Args:
-            parts: Services it works with.
+            parts: Services it depends on.
             cfg: Settings.
             boot: Random id of this process start.
         """
@@ -41,18 +41,18 @@
         self._shards = shards.Shards(parts, cfg, boot)
 
     def serve(self, server: candidate_calls.Server) -> None:
-        """Add the journal's methods to the server of this process."""
+        """Register the RPC methods of the journal."""
         server.unary(methods.BEGIN, self.begin)
         server.unary(methods.FINISH, self.finish)
         server.unary(methods.LOOKUP, self.lookup)
         self._shards.serve(server)
 
     async def start(self) -> None:
-        """Want the lease of every shard."""
+        """Start to acquire the lease of every shard."""
         self._shards.start()
 
     async def stop(self, grace_s: float) -> None:
-        """Make pending rows durable; the leases are given back after."""
+        """Make pending rows durable; the leases are released afterwards."""
         await self._shards.stop(grace_s)
 
     def dump(self) -> dict[str, Any]:
@@ -63,7 +63,7 @@
         """Make intents durable and grant their dispatch."""
         grants = await self._by_shard(
             batch.rows,
-            lambda shard, rows: self._begin_in(shard, rows, batch.hops),
+            lambda shard, rows: self._begin_in_shard(shard, rows, batch.hops),
         )
         return rpc_data.GrantBatch(grants)
 
@@ -71,18 +71,18 @@
         """Make outcomes durable."""
         durable = await self._by_shard(
             batch.rows,
-            lambda shard, rows: self._finish_in(shard, rows, batch.hops),
+            lambda shard, rows: self._finish_in_shard(shard, rows, batch.hops),
         )
         return rpc_data.Ack(durable)
 
-    async def lookup(self, ask: rpc_data.LookupAsk) -> rpc_data.LookupReply:
-        """Return the latest row of a kind under a key."""
-        shard = self._shard_of(ask.account_id, ask.shard_key)
-        forwarded = ask._replace(hops=ask.hops + 1)
+    async def lookup(self, request: rpc_data.LookupAsk) -> rpc_data.LookupReply:
+        """Return the latest row of a kind for a key."""
+        shard = self._shard_of(request.account_id, request.shard_key)
+        forwarded = request._replace(hops=request.hops + 1)
         reply = await self._shards.route(
             shard,
             shards.Routed(methods.LOOKUP, forwarded, forwarded.hops),
-            lambda owner: owner.lookup(ask),
+            lambda owner: owner.lookup(request),
         )
         if isinstance(reply, shards.Lost):
             return rpc_data.LookupReply(None, available=False)
@@ -93,7 +93,7 @@
         return self._shards.owners
 
     async def usage(self) -> usage_data.Usage:
-        """Return what all accounts used, each request once.
+        """Return the usage of all accounts, each request counted once.
 
         Raises:
             ObjectApiError: The platform failed.
@@ -107,16 +107,16 @@
             [int, Sequence[journal_data.Row]], Awaitable[Sequence[Reply]]
         ],
     ) -> tuple[Reply, ...]:
-        """Handle the rows of each shard together; replies in their order."""
+        """Process rows grouped by shard; return replies in row order."""
         groups: dict[int, list[int]] = {}
-        for place, row in enumerate(rows):
+        for position, row in enumerate(rows):
             shard = self._shard_of(row.account_id, row.shard_key)
-            groups.setdefault(shard, []).append(place)
+            groups.setdefault(shard, []).append(position)
         if len(groups) == 1:
             return tuple(await handle(next(iter(groups)), rows))
         handled = (
-            handle(shard, [rows[index] for index in places])
-            for shard, places in groups.items()
+            handle(shard, [rows[index] for index in positions])
+            for shard, positions in groups.items()
         )
         ordered: dict[int, Reply] = {}
         replies = await asyncio.gather(*handled)
@@ -124,27 +124,27 @@
             ordered.update(zip(indexes, group, strict=True))
         return tuple(ordered[index] for index in range(len(rows)))
 
-    async def _begin_in(
+    async def _begin_in_shard(
         self, shard: int, rows: Sequence[journal_data.Row], hops: int
     ) -> Sequence[journal_data.Grant]:
         batch = rpc_data.IntentBatch(tuple(rows), hops + 1)
         reply = await self._shards.route(
             shard,
-            shards.Routed(methods.BEGIN, batch, batch.hops, _is_missed),
-            lambda owner: _begin_at(owner, rows),
+            shards.Routed(methods.BEGIN, batch, batch.hops, _is_not_owner),
+            lambda owner: _begin_with_owner(owner, rows),
         )
         if isinstance(reply, shards.Lost):
-            return [_lost(row, reply, hops) for row in rows]
+            return [_unavailable_grant(row, reply, hops) for row in rows]
         return reply.grants
 
-    async def _finish_in(
+    async def _finish_in_shard(
         self, shard: int, rows: Sequence[journal_data.Row], hops: int
     ) -> Sequence[bool]:
         batch = rpc_data.OutcomeBatch(tuple(rows), hops + 1)
         reply = await self._shards.route(
             shard,
             shards.Routed(methods.FINISH, batch, batch.hops),
-            lambda owner: _finish_at(owner, rows),
+            lambda owner: _finish_with_owner(owner, rows),
         )
         if isinstance(reply, shards.Lost):
             return [False for _ in rows]
@@ -154,7 +154,7 @@
         return shard_state.shard_of(account_id, shard_key, self._count)
 
 
-def _lost(
+def _unavailable_grant(
     row: journal_data.Row, lost: shards.Lost, hops: int
 ) -> journal_data.Grant:
     return journal.unavailable(row)._replace(
@@ -162,29 +162,29 @@
     )
 
 
-def _is_missed(reply: rpc_data.GrantBatch) -> bool:
+def _is_not_owner(reply: rpc_data.GrantBatch) -> bool:
     return not any(grant.is_owner or grant.doubtful for grant in reply.grants)
 
 
-async def _each(
+async def _process_concurrently(
     handle: Callable[[journal_data.Row], Awaitable[Reply]],
     rows: Sequence[journal_data.Row],
 ) -> Sequence[Reply]:
-    """Handle rows side by side; one alone needs no task of its own."""
+    """Process rows concurrently; a single row needs no extra task."""
     if len(rows) == 1:
         return [await handle(rows[0])]
     return await asyncio.gather(*map(handle, rows))
 
 
-async def _begin_at(
+async def _begin_with_owner(
     owner: shard_owner.ShardOwner, rows: Sequence[journal_data.Row]
 ) -> rpc_data.GrantBatch:
-    grants = await _each(owner.begin, rows)
+    grants = await _process_concurrently(owner.begin, rows)
     return rpc_data.GrantBatch(tuple(grants))
 
 
-async def _finish_at(
+async def _finish_with_owner(
     owner: shard_owner.ShardOwner, rows: Sequence[journal_data.Row]
 ) -> rpc_data.Ack:
-    durable = await _each(owner.finish, rows)
+    durable = await _process_concurrently(owner.finish, rows)
     return rpc_data.Ack(tuple(durable))
--- a/beryllug/control/lasting.py
+++ b/beryllug/control/lasting.py
@@ -1,9 +1,8 @@
-"""Tasks that go on for as long as their process.
+"""Background tasks that run for the lifetime of their process.
 
-A round that fails in a way nobody thought of is logged, and the next one
-comes after a pause. Without this the task would end without a word: leases
-would no longer be renewed, or rows no longer be written, while the process
-looks healthy.
+An unexpected exception in a round is logged, and the next round starts after a
+pause. Otherwise the task would end silently: leases would no longer be
+renewed, or rows no longer be written, while the process looks healthy.
 """
 
 import asyncio
@@ -15,15 +14,15 @@
 
 
 class DoneError(Exception):
-    """Ends a lasting task: there is nothing left to do."""
+    """Raised by a round to end its background task."""
 
 
 async def repeat(name: str, work: Callable[[], Awaitable[None]]) -> None:
-    """Do some work again and again, until cancelled or done.
+    """Run a round repeatedly until cancelled or done.
 
     Args:
-        name: What the log calls it.
-        work: One round; it waits by itself, and may raise `DoneError`.
+        name: Name of the task in the log.
+        work: Runs one round, including its waits; may raise `DoneError`.
     """
     while True:
         try:
--- a/beryllug/control/lasting_test.py
+++ b/beryllug/control/lasting_test.py
@@ -1,4 +1,4 @@
-"""Tests of lasting tasks, in virtual time."""
+"""Tests of background tasks, in virtual time."""
 
 import time
 import unittest
@@ -7,13 +7,13 @@
 
 
 class LastingTest(virtual_time_test.VirtualTimeCase):
-    """Rounds go on after a failure, and end when they are done."""
+    """Rounds go on after a failure and end with `DoneError`."""
 
     async def test_failures(self) -> None:
-        """A lease task meets an answer that it can't read, twice.
+        """A round fails twice, as when a lease task can't decode a reply.
 
-        It must go on: a task that ended would let the lease lapse, and its
-        process would never want it again.
+        The task must go on: if it ended, the lease would expire and its
+        process would never request it again.
         """
         rounds: list[float] = []
 
@@ -27,8 +27,8 @@
         with self.assertLogs(level='ERROR'):
             await lasting.repeat('work', work)
         self.assertEqual(len(rounds), 4)
-        paused_s = rounds[-1] - rounds[0]
-        self.assertAlmostEqual(paused_s, 2 * lasting.PAUSE_S, places=3)
+        pause_s = rounds[-1] - rounds[0]
+        self.assertAlmostEqual(pause_s, 2 * lasting.PAUSE_S, places=3)
 
 
 if __name__ == '__main__':
--- a/beryllug/control/part_fetch.py
+++ b/beryllug/control/part_fetch.py
@@ -1,4 +1,4 @@
-"""Puts a peer's newer configuration together from what is held and missing."""
+"""Fetches a peer's newer configuration, reusing parts that are held."""
 
 from collections.abc import Iterable
 
@@ -17,19 +17,20 @@
     """Return the configuration that a peer offers.
 
     Args:
-        calls: Calls of peers.
+        calls: RPC client for peers.
         offer: The peer's offer.
-        held: What this process holds.
+        held: The configuration that this process holds.
 
     Raises:
-        LookupError: The peer has gone on and holds its parts no more.
+        LookupError: The peer has a newer revision and no longer holds the
+            parts of this one.
         RpcError: The peer can't be reached.
-        ValueError: What it sent is no document.
+        ValueError: The received parts are not a valid document.
     """
     known = dict(held.chunks)
-    _add_whole(known, offer.parts)
+    _add_verified(known, offer.parts)
     digests = await _digests(calls, offer, held, known)
-    await _complete(calls, offer.address, digests, known)
+    await _fetch_missing(calls, offer.address, digests, known)
     chunks = {digest: known[digest] for digest in digests}
     return config_state.hold(offer.revision, chunks, held)
 
@@ -40,41 +41,42 @@
     held: config_state.Held,
     known: dict[str, bytes],
 ) -> tuple[str, ...]:
-    """Return the peer's list of parts.
+    """Return the digests of the parts that the peer offers.
 
-    The splice only fits if this process holds what the peer held before.
-    The manifest's digest tells; where it differs the list is fetched.
+    The splice only applies if this process holds the peer's previous list.
+    The digest of the manifest is compared; if it differs, the manifest is
+    fetched.
     """
     if offer.splice is not None:
         digests = config_state.spliced(held.digests, offer.splice)
         if document_parts.manifest(digests).digest == offer.manifest:
             return digests
-    await _complete(calls, offer.address, (offer.manifest,), known)
+    await _fetch_missing(calls, offer.address, (offer.manifest,), known)
     return document_parts.read_manifest(known[offer.manifest])
 
 
-async def _complete(
+async def _fetch_missing(
     calls: rpc_peers.Caller,
     address: str,
     digests: Iterable[str],
     known: dict[str, bytes],
 ) -> None:
-    """Fetch the parts that are missing; the peer may send some at a time."""
+    """Fetch missing parts; the peer may return only some of them per call."""
     for _ in range(MAX_ROUNDS):
         missing = [digest for digest in digests if digest not in known]
         if not missing:
             return
-        ask = rpc_data.PartsAsk(tuple(missing))
-        reply = await calls.call(address, methods.FETCH_PARTS, ask, CALL_S)
-        if not _add_whole(known, reply.parts):
+        request = rpc_data.PartsAsk(tuple(missing))
+        reply = await calls.call(address, methods.FETCH_PARTS, request, CALL_S)
+        if not _add_verified(known, reply.parts):
             break
     raise LookupError('the peer no longer holds all parts')
 
 
-def _add_whole(
+def _add_verified(
     known: dict[str, bytes], parts: Iterable[rpc_data.ConfigPart]
 ) -> bool:
-    """Add the parts whose bytes are those that their digest names."""
+    """Add the parts whose content matches their digest."""
     added = False
     for part in parts:
         content = _content(known, part)
@@ -85,7 +87,7 @@
 
 
 def _content(known: dict[str, bytes], part: rpc_data.ConfigPart) -> bytes:
-    """Return the bytes of a part; empty where its base isn't held."""
+    """Return the content of a part; empty if its base is not held."""
     if not part.base:
         return part.content
     try:
--- a/beryllug/control/readback.py
+++ b/beryllug/control/readback.py
@@ -15,48 +15,48 @@
 
 
 class Read(NamedTuple):
-    """Rows of a segment, in order and by what they are deduplicated by."""
+    """Rows of a segment, in order and by their deduplication key."""
 
     rows: list[journal_data.Row]
     by_id: dict[shard_state.RowId, journal_data.Row]
 
 
 class RowReader:
-    """Reads the rows that an index names.
+    """Reads the rows that the index of a shard refers to.
 
-    Readers of one segment at one time share the read: an entry that sends
-    hundreds of outcomes again would else have each read the same rows.
+    Concurrent readers of a segment share one read. Otherwise, when an entry
+    process sends hundreds of outcomes again, each would read the same rows.
     """
 
     def __init__(
         self, api: object_api.ObjectApi, shard: int, log: segments.ShardLog
     ) -> None:
-        """Bind the reader to a shard; the head is read from memory."""
+        """Initialize for a shard; the head segment is read from memory."""
         self._api = api
         self._shard = shard
         self._log = log
-        self._reading: dict[int, asyncio.Task[Read | None]] = {}
+        self._pending_reads: dict[int, asyncio.Task[Read | None]] = {}
 
     async def read(self, seq: int) -> Read | None:
-        """Return a segment's rows, or None when it can't be read now."""
-        task = self._reading.get(seq)
+        """Return a segment's rows, or None if it can't be read at present."""
+        task = self._pending_reads.get(seq)
         if task is None:
             task = asyncio.create_task(self._read(seq))
-            self._reading[seq] = task
-            task.add_done_callback(lambda _: self._reading.pop(seq))
+            self._pending_reads[seq] = task
+            task.add_done_callback(lambda _: self._pending_reads.pop(seq))
         return await asyncio.shield(task)
 
     async def about_key(
         self, seq: int, row: journal_data.Row
     ) -> journal.Found | None:
-        """Find the row that decides about the key of an intent."""
+        """Find the row that determines the state of an intent's key."""
         found = await self.read(seq)
         if found is None:
             return None
-        chosen = journal_log.about_key(
+        deciding_row = journal_log.about_key(
             found.rows, row.account_id, row.shard_key
         )
-        return journal.Found(seq, chosen)
+        return journal.Found(seq, deciding_row)
 
     async def outcome(
         self, seq: int, row: journal_data.Row
@@ -68,13 +68,13 @@
         return journal.Found(seq, found.by_id.get(shard_state.row_id(row)))
 
     async def latest(
-        self, seq: int, ask: rpc_data.LookupAsk
+        self, seq: int, request: rpc_data.LookupAsk
     ) -> rpc_data.LookupReply:
-        """Find the latest row that a lookup asks for."""
+        """Find the latest row that matches a lookup."""
         found = await self.read(seq)
         if found is None:
             return rpc_data.LookupReply(None, available=False)
-        matching = [row for row in found.rows if matches(row, ask)]
+        matching = [row for row in found.rows if matches(row, request)]
         return rpc_data.LookupReply(matching[-1] if matching else None)
 
     async def _read(self, seq: int) -> Read | None:
@@ -94,10 +94,10 @@
         return [] if segment is None else segment.rows
 
 
-def matches(row: journal_data.Row, ask: rpc_data.LookupAsk) -> bool:
-    """Tell whether a row is of the kind and key that is asked for."""
+def matches(row: journal_data.Row, request: rpc_data.LookupAsk) -> bool:
+    """Tell whether a row has the kind and key of a lookup."""
     return (row.kind, row.account_id, row.shard_key) == (
-        ask.kind,
-        ask.account_id,
-        ask.shard_key,
+        request.kind,
+        request.account_id,
+        request.shard_key,
     )
--- a/beryllug/control/segments.py
+++ b/beryllug/control/segments.py
@@ -1,11 +1,11 @@
 """The log of one shard: segment objects in the platform.
 
-Rows are appended by rewriting the newest segment on the condition of its
-version; a full one is followed by the next number, created on the condition
-that it is not there. A new owner first closes the newest segment under its
-fencing token and creates the next one. An earlier owner that was paused past
-its lease then fails whatever it tries: its rewrite meets another version,
-its creation meets an existing object.
+Rows are appended by rewriting the newest segment, conditional on its version.
+After a full segment the one with the next number is created, on condition that
+it does not exist. A new owner first seals the newest segment under its fencing
+token and creates the next one. Writes of an earlier owner that was paused past
+its lease then fail: a rewrite finds another version, a creation finds an
+existing object.
 """
 
 import contextlib
@@ -20,10 +20,10 @@
 
 PREFIX = 'beryllug/journal'
 SEQ_DIGITS = 12
-# A segment takes more rows until it holds about as many bytes as a few
-# commits bring: small ones cost objects, large ones are rewritten often.
-LEAST_SEAL_BYTES = 16384
-MOST_SEAL_BYTES = 131072
+# A segment is full when it holds about as many bytes as a few commits add:
+# small segments need many objects, large ones are rewritten often.
+MIN_SEAL_BYTES = 16384
+MAX_SEAL_BYTES = 131072
 SEAL_COMMITS = 3
 SMOOTHING = 0.1
 BATCH_BYTES = 262144
@@ -34,12 +34,12 @@
 _decode_row = msgspec.msgpack.Decoder(journal_data.Row).decode
 
 
-class LostError(lasting.DoneError):
-    """Another process owns the shard now; nothing more can be appended."""
+class ShardLostError(lasting.DoneError):
+    """Another process owns the shard; nothing more can be appended."""
 
 
 def encode_row(row: journal_data.Row) -> msgspec.Raw:
-    """Encode a row once, for all the rewrites of its segment."""
+    """Encode a row once for all rewrites of its segment."""
     return msgspec.Raw(_encode(row))
 
 
@@ -49,7 +49,7 @@
 
 
 def prefix_of(shard: int) -> str:
-    """Return the prefix of a shard's segments."""
+    """Return the key prefix of a shard's segments."""
     return f'{PREFIX}/{shard}/'
 
 
@@ -59,7 +59,7 @@
 
 
 async def list_seqs(api: object_api.ObjectApi, shard: int) -> list[int]:
-    """Return the numbers of a shard's segments in order."""
+    """Return the numbers of a shard's segments in ascending order."""
     prefix = prefix_of(shard)
     listing = await api.list_keys(prefix)
     return sorted(
@@ -75,13 +75,13 @@
 async def find_last(api: object_api.ObjectApi, shard: int, after: int) -> int:
     """Return the number of a shard's last segment, 0 when there is none.
 
-    Segments have no gaps from `after` on, so a few reads find the end; a
-    listing of a day of segments would be megabytes.
+    Segment numbers have no gaps from `after` on, so an exponential search
+    needs few reads; listing the segments of a day would take megabytes.
 
     Args:
         api: The platform.
         shard: The shard.
-        after: A segment up to which all is known, 0 for none.
+        after: A segment that is known to have existed, 0 for none.
     """
     known, step = after, 1
     while await api.read(key_of(shard, known + step)) is not None:
@@ -93,7 +93,7 @@
             known += step
     if known > after or not after:
         return known
-    # The next segment must be there, unless what was read is old.
+    # The segment after `after` must exist, unless `after` is out of date.
     return max(await list_seqs(api, shard), default=0)
 
 
@@ -108,7 +108,7 @@
 async def read(
     api: object_api.ObjectApi, shard: int, seq: int
 ) -> segment_data.Stored | None:
-    """Read one segment as it stands; None where there is none."""
+    """Read one segment with its rows encoded; None if it does not exist."""
     found = await api.read(key_of(shard, seq))
     if found is None:
         return None
@@ -119,18 +119,18 @@
 class ShardLog:
     """Appends to one shard's log under one fencing token.
 
-    It has one caller at a time: the shard's commit task.
+    It must be called by one task only: the shard's commit task.
 
     Attributes:
-        head: The newest segment as it was last known.
-        writes: Platform writes made.
+        head: The newest segment as last read or written.
+        writes: Number of platform writes made.
     """
 
     def __init__(
         self, api: object_api.ObjectApi, shard: int, fencing: int, boot: str
     ) -> None:
-        """Bind the log to its shard; `take_over` must come first."""
-        self.head = _empty(0, fencing, '')
+        """Initialize the log; `take_over` must be called first."""
+        self.head = _empty_segment(0, fencing, '')
         self.writes = 0
         self._head_bytes = 0
         self._commit_bytes = 0.0
@@ -140,13 +140,13 @@
         self._boot = boot
 
     async def take_over(self, after: int) -> int:
-        """Shut out earlier owners; return their last segment's number.
+        """Fence off earlier owners; return the number of their last segment.
 
         Args:
-            after: A segment up to which all is known, 0 for none.
+            after: A segment that is known to have existed, 0 for none.
 
         Raises:
-            LostError: A later owner was here already.
+            ShardLostError: A later owner has already taken over.
             ObjectApiError: The platform failed; call again.
         """
         last = await find_last(self._api, self._shard, after)
@@ -161,11 +161,11 @@
         """Append rows and return the number of their segment.
 
         Raises:
-            ConflictError: The head is another; call `settle`.
+            ConflictError: The head has changed; call `settle`.
             UncertainError: They may have been appended; call `settle`.
-            UnavailableError: They surely were not appended.
+            UnavailableError: They were not appended.
         """
-        base = self._base()
+        base = self._append_target()
         nonce = self._nonce()
         added = sum(map(size_of, raws))
         segment = segment_data.Segment(
@@ -176,24 +176,24 @@
             rows=[*base.segment.rows, *raws],
         )
         version = await self._write(base.seq, segment, base.version)
-        kept = self._head_bytes if base.version else 0
+        head_bytes = self._head_bytes if base.version else 0
         self.head = segment_data.Stored(base.seq, version, segment)
-        self._head_bytes = kept + added
+        self._head_bytes = head_bytes + added
         self._commit_bytes += SMOOTHING * (added - self._commit_bytes)
         return base.seq
 
     async def settle(self) -> list[msgspec.Raw]:
-        """Find out what became of an append that went wrong.
+        """Resolve the result of an append that failed or is uncertain.
 
         Returns:
-            The rows that turned out to have been appended, which can be of
-            an earlier append that was believed to have failed.
+            The rows that have been appended after all. They can belong to an
+            earlier append that was believed to have failed.
 
         Raises:
-            LostError: Another owner has closed the log.
+            ShardLostError: Another owner has sealed the log.
             ObjectApiError: The platform failed; call again.
         """
-        base = self._base()
+        base = self._append_target()
         found = await self._read(base.seq)
         if found is None or found.version <= base.version:
             return []
@@ -202,16 +202,16 @@
         self._head_bytes = sum(map(size_of, found.segment.rows))
         return found.segment.rows[len(base.segment.rows) :]
 
-    def _base(self) -> segment_data.Stored:
-        """Return what the next append goes onto."""
-        full = SEAL_COMMITS * self._commit_bytes
-        full = min(max(full, LEAST_SEAL_BYTES), MOST_SEAL_BYTES)
-        if self._head_bytes < full:
+    def _append_target(self) -> segment_data.Stored:
+        """Return the segment for the next append: the head or a new one."""
+        seal_bytes = SEAL_COMMITS * self._commit_bytes
+        seal_bytes = min(max(seal_bytes, MIN_SEAL_BYTES), MAX_SEAL_BYTES)
+        if self._head_bytes < seal_bytes:
             return self.head
-        return _empty(self.head.seq + 1, self._fencing, '')
+        return _empty_segment(self.head.seq + 1, self._fencing, '')
 
     async def _seal(self, seq: int) -> None:
-        """Close a segment under our token, whatever its owner does."""
+        """Seal a segment under this token, despite writes of its owner."""
         while True:
             found = await self._read(seq)
             if found is None:
@@ -219,28 +219,28 @@
             self._check_owner(found.segment, sealing=True)
             if found.segment.sealed and found.segment.fencing == self._fencing:
                 return
-            closed = found.segment._replace(
+            sealed_segment = found.segment._replace(
                 fencing=self._fencing, sealed=True, nonce=self._nonce()
             )
             with contextlib.suppress(
                 object_data.ConflictError, object_data.UncertainError
             ):
-                await self._write(seq, closed, found.version)
+                await self._write(seq, sealed_segment, found.version)
 
     async def _create(self, seq: int) -> bool:
-        """Create an empty segment; False when an earlier owner has."""
-        empty = _empty(seq, self._fencing, self._nonce())
+        """Create an empty segment; False if an earlier owner created it."""
+        empty = _empty_segment(seq, self._fencing, self._nonce())
         try:
             version = await self._write(seq, empty.segment, 0)
         except (object_data.ConflictError, object_data.UncertainError):
-            return await self._created(empty)
+            return await self._resolve_create(empty)
         self.head = empty._replace(version=version)
         return True
 
-    async def _created(self, empty: segment_data.Stored) -> bool:
+    async def _resolve_create(self, empty: segment_data.Stored) -> bool:
         found = await self._read(empty.seq)
         if found is None:
-            # Surely not created, or not to be seen yet: try again.
+            # It was not created, or the write is delayed: try again.
             return await self._create(empty.seq)
         if found.segment.nonce != empty.segment.nonce:
             return False
@@ -261,31 +261,31 @@
     def _check_owner(
         self, segment: segment_data.Segment, *, sealing: bool = False
     ) -> None:
-        closed = segment.sealed and not sealing
-        if segment.fencing > self._fencing or closed:
-            raise LostError(f'shard {self._shard} has another owner')
+        is_closed = segment.sealed and not sealing
+        if segment.fencing > self._fencing or is_closed:
+            raise ShardLostError(f'shard {self._shard} has another owner')
 
     def _nonce(self) -> str:
         return f'{self._boot}:{self.writes}'
 
 
-def batch_of(raws: Iterable[msgspec.Raw]) -> list[msgspec.Raw]:
-    """Return as many rows of the front as one append may carry."""
+def first_batch(raws: Iterable[msgspec.Raw]) -> list[msgspec.Raw]:
+    """Return as many of the first rows as one append may hold."""
     batch: list[msgspec.Raw] = []
-    room = BATCH_BYTES
+    bytes_left = BATCH_BYTES
     for raw in raws:
-        room -= size_of(raw)
-        if batch and room < 0:
+        bytes_left -= size_of(raw)
+        if batch and bytes_left < 0:
             break
         batch.append(raw)
     return batch
 
 
 def size_of(raw: msgspec.Raw) -> int:
-    """Return the bytes of an encoded row."""
+    """Return the size of an encoded row in bytes."""
     return memoryview(raw).nbytes
 
 
-def _empty(seq: int, fencing: int, nonce: str) -> segment_data.Stored:
+def _empty_segment(seq: int, fencing: int, nonce: str) -> segment_data.Stored:
     segment = segment_data.Segment(fencing, False, nonce, time.time(), [])
     return segment_data.Stored(seq, 0, segment)
--- a/beryllug/control/shard_cover.py
+++ b/beryllug/control/shard_cover.py
@@ -1,8 +1,8 @@
-"""What covers a shard's grants while the platform is down.
+"""Replication of a shard's intents while the platform is down.
 
-One object belongs to one ownership of a shard. It has intents copied before
-they are granted, gathers copies before the shard is served, and tells the
-candidates when all of it is durable.
+There is one replicator for each ownership of a shard. It copies intents to a
+lease candidate before they are granted, gathers copies before the shard is
+served, and tells the candidates to drop them when all rows are durable.
 """
 
 import time
@@ -26,72 +26,75 @@
 from beryllug.drivers import object_data
 
 
-MOST_TELLINGS = 50
+MAX_FLUSH_NOTICES = 50
 
 
-class OutageParts(NamedTuple):
-    """What the shards of a process share for outages."""
+class OutageServices(NamedTuple):
+    """Services for outages, shared by the shards of a process."""
 
     leases: lease_outage.LeaseOutage
     promises: promises.Promises
     copies: copies.Copies
 
 
-class Tenure(NamedTuple):
-    """One ownership of a shard."""
+class ShardOwnership(NamedTuple):
+    """One ownership of a shard, identified by its fencing token."""
 
     lease_name: str
     shard: int
     fencing: int
 
 
-class ShardCover:
-    """Copies of one shard's intents, got and given."""
+class OutageReplicator:
+    """Sends and gathers copies of one shard's intents."""
 
-    def __init__(self, parts: OutageParts, tenure: Tenure) -> None:
-        """Bind to an ownership.
+    def __init__(
+        self, services: OutageServices, ownership: ShardOwnership
+    ) -> None:
+        """Initialize for one ownership of a shard.
 
-        Where the shard was not given back, others must gather as this
-        process does, until it has and all is durable.
+        If the previous owner did not release the lease, it is marked as
+        unflushed: any next owner has to gather copies too, until this
+        process has gathered them and all rows are durable.
         """
-        self._parts = parts
-        self._tenure = tenure
+        self._services = services
+        self._ownership = ownership
         self._queue = copy_queue.CopyQueue(self._send)
-        self._told: set[str] = set()
-        self._refuse_until = float('-inf')
-        self._settled = False
-        self._tellings = 0
-        before = parts.leases.before(tenure.lease_name)
-        if before is not None and before.holder:
-            parts.leases.mark(tenure.lease_name, unflushed=True)
+        self._copy_holders: set[str] = set()
+        self._refuse_new_until = float('-inf')
+        self._flush_announced = False
+        self._flush_notices = 0
+        previous = services.leases.before(ownership.lease_name)
+        if previous is not None and previous.holder:
+            services.leases.mark(ownership.lease_name, unflushed=True)
 
     def dump(self) -> dict[str, Any]:
         """Return the state."""
         return {
-            'settled': self._settled,
-            'copies_at': sorted(self._told),
+            'settled': self._flush_announced,
+            'copies_at': sorted(self._copy_holders),
             'covered_s': self.valid_s(),
             'refuses_new': self.refuses_new(time.monotonic()),
         }
 
     def valid_s(self) -> float:
-        """Return for how long surely nobody takes the lease."""
-        return self._parts.promises.valid_s(self._tenure.lease_name)
+        """Return for how long it is certain that nobody takes the lease."""
+        return self._services.promises.valid_s(self._ownership.lease_name)
 
     def refuses_new(self, now: float) -> bool:
-        """Tell whether copies may be missing.
+        """Tell whether unknown keys are refused as copies may be missing.
 
-        A key that is not known may have been granted by the earlier owner,
-        and its copy be lost with the process that kept it.
+        An unknown key may have been granted by the earlier owner, and its
+        copy lost with the process that stored it.
         """
-        return now < self._refuse_until
+        return now < self._refuse_new_until
 
     async def cover(self, row: journal_data.Row) -> bool:
-        """Have an intent copied; tell whether it may be granted."""
-        if await self._parts.promises.cover(self._tenure.lease_name) <= 0:
+        """Copy an intent to a candidate; tell whether it may be granted."""
+        if await self._services.promises.cover(self._ownership.lease_name) <= 0:
             return False
-        self._settled = False
-        self._parts.leases.mark(self._tenure.lease_name, unflushed=True)
+        self._flush_announced = False
+        self._services.leases.mark(self._ownership.lease_name, unflushed=True)
         return await self._queue.put(row)
 
     async def prepare(
@@ -100,28 +103,28 @@
         """Gather copies before the shard is served."""
         if not await self._gather(state, reader):
             now = time.monotonic()
-            self._refuse_until = now + outage.QUARANTINE_S
+            self._refuse_new_until = now + outage.QUARANTINE_S
 
     async def tend(
         self, state: shard_state.ShardState, reader: readback.RowReader
     ) -> None:
-        """Gather what is missing, or say that all is durable."""
+        """Gather missing copies, replace lost ones, or announce the flush."""
         now = time.monotonic()
         if self.refuses_new(now) and await self._gather(state, reader):
-            self._refuse_until = now
+            self._refuse_new_until = now
         if state.unflushed:
-            await self._copy_again(state)
-        elif not self.refuses_new(now) and not self._settled:
+            await self._replace_lost_copies(state)
+        elif not self.refuses_new(now) and not self._flush_announced:
             await self.settle()
 
     async def end(self, state: shard_state.ShardState) -> bool:
-        """End the ownership; tell whether the lease may be given back.
+        """End the ownership; tell whether the lease may be released.
 
-        Where it may not, the next owner must gather; the copies it will ask
-        for may have been lost with their keepers, so they are sent anew.
+        If not, the next owner has to gather copies. The processes that
+        stored them may be gone, so unflushed intents are copied again.
         """
         if state.unflushed:
-            await self._send(_unflushed(state))
+            await self._send(_unflushed_rows(state))
             return False
         if self.refuses_new(time.monotonic()):
             return False
@@ -129,79 +132,84 @@
         return True
 
     async def settle(self) -> None:
-        """Tell candidates to drop copies, then let the lease say so."""
-        ask = outage_data.FlushedAsk(self._tenure.shard, self._tenure.fencing)
-        for name in sorted(self._told):
-            if await self._parts.copies.tell_flushed(name, ask):
-                self._told.discard(name)
-        self._tellings += 1
-        if self._tellings > MOST_TELLINGS:
-            # A keeper that is gone for good; should it come back, its copies
-            # are of keys that have ended, which who gathers them drops.
-            self._told.clear()
-        await self._parts.copies.drop(ask)
-        self._settled = not self._told
-        if self._settled:
-            self._parts.leases.mark(self._tenure.lease_name, unflushed=False)
+        """Tell candidates to drop copies, then mark the lease as flushed."""
+        request = outage_data.FlushedAsk(
+            self._ownership.shard, self._ownership.fencing
+        )
+        for name in sorted(self._copy_holders):
+            if await self._services.copies.notify_flushed(name, request):
+                self._copy_holders.discard(name)
+        self._flush_notices += 1
+        if self._flush_notices > MAX_FLUSH_NOTICES:
+            # The candidate is considered gone. If it does return, its copies
+            # belong to keys with a final outcome, and `_gather` skips them.
+            self._copy_holders.clear()
+        await self._services.copies.drop(request)
+        self._flush_announced = not self._copy_holders
+        if self._flush_announced:
+            self._services.leases.mark(
+                self._ownership.lease_name, unflushed=False
+            )
 
     def keep_own(self, state: shard_state.ShardState) -> None:
-        """Keep what is not durable when the shard is lost."""
-        rows = _unflushed(state)
+        """Store the rows that are not durable when the shard is lost."""
+        rows = _unflushed_rows(state)
         if rows:
-            self._parts.copies.keep_own(self._ask(rows))
+            self._services.copies.keep_own(self._copy_request(rows))
 
-    async def _copy_again(self, state: shard_state.ShardState) -> None:
-        """Copy anew what a lost candidate kept.
+    async def _replace_lost_copies(self, state: shard_state.ShardState) -> None:
+        """Copy intents again when the candidates that stored them are lost.
 
-        Otherwise the loss of this process too would leave nobody who knows
-        the keys.
+        Otherwise no process would know the keys if this one failed too.
         """
         lost = {
             candidate.name
-            for candidate in self._parts.leases.candidates(
-                self._tenure.lease_name
+            for candidate in self._services.leases.candidates(
+                self._ownership.lease_name
             )
-            if not self._parts.promises.is_held(
-                self._tenure.lease_name, candidate
+            if not self._services.promises.is_held(
+                self._ownership.lease_name, candidate
             )
         }
-        if self._told and self._told <= lost:
-            self._told.clear()
-            await self._send(_unflushed(state))
+        if self._copy_holders and self._copy_holders <= lost:
+            self._copy_holders.clear()
+            await self._send(_unflushed_rows(state))
 
     async def _gather(
         self, state: shard_state.ShardState, reader: readback.RowReader
     ) -> bool:
-        before = self._parts.leases.before(self._tenure.lease_name)
-        ask = outage_data.GatherAsk(
-            self._tenure.shard,
-            self._tenure.fencing,
-            before.boot if before else '',
+        previous = self._services.leases.before(self._ownership.lease_name)
+        request = outage_data.GatherAsk(
+            self._ownership.shard,
+            self._ownership.fencing,
+            previous.boot if previous else '',
         )
-        gathered = await self._parts.copies.gather(before, ask)
+        gathered = await self._services.copies.gather(previous, request)
         for row in gathered.rows:
             if not await _is_ended(state, reader, row):
                 journal_log.gathered(state, row, time.monotonic())
-        if before is not None and gathered.rows:
-            names = (candidate.name for candidate in before.candidates)
-            self._told.update(names)
+        if previous is not None and gathered.rows:
+            names = (candidate.name for candidate in previous.candidates)
+            self._copy_holders.update(names)
         return gathered.complete
 
     async def _send(self, rows: tuple[journal_data.Row, ...]) -> bool:
-        name = await self._parts.copies.send(
-            self._tenure.lease_name, self._ask(rows)
+        name = await self._services.copies.send(
+            self._ownership.lease_name, self._copy_request(rows)
         )
         if name is not None:
-            self._told.add(name)
+            self._copy_holders.add(name)
         return name is not None
 
-    def _ask(self, rows: tuple[journal_data.Row, ...]) -> outage_data.CopyAsk:
+    def _copy_request(
+        self, rows: tuple[journal_data.Row, ...]
+    ) -> outage_data.CopyAsk:
         return outage_data.CopyAsk(
-            self._tenure.shard, self._tenure.fencing, rows
+            self._ownership.shard, self._ownership.fencing, rows
         )
 
 
-def _unflushed(
+def _unflushed_rows(
     state: shard_state.ShardState,
 ) -> tuple[journal_data.Row, ...]:
     return tuple(
@@ -216,13 +224,13 @@
     reader: readback.RowReader,
     row: journal_data.Row,
 ) -> bool:
-    """Tell whether another try of a copy's key has ended for good.
+    """Tell whether another attempt of a copy's key has a final outcome.
 
-    Then the copy is of a try that was denied, or was flushed long ago.
-    As an open try it would hide that outcome from a resend.
+    The copy then belongs to an attempt that was denied, or was flushed long
+    ago. As an open attempt it would hide that outcome from a resend.
 
     Raises:
-        ObjectApiError: The log can't be read now.
+        ObjectApiError: The log can't be read at present.
     """
     if journal.ends_soon(state, row):
         return True
@@ -233,6 +241,6 @@
         return False
     found = await reader.about_key(seq, row)
     if found is None:
-        raise object_data.UnavailableError(f'segment {seq}')
-    first = found.row
-    return first is not None and journal.is_final(first)
+        raise object_data.UnavailableError(f'segment {seq} is unreadable')
+    deciding_row = found.row
+    return deciding_row is not None and journal.is_final(deciding_row)
--- a/beryllug/control/shard_owner.py
+++ b/beryllug/control/shard_owner.py
@@ -1,4 +1,4 @@
-"""The owner of one shard: answers intents, outcomes and lookups."""
+"""The owner of one shard: processes intents, outcomes and lookups."""
 
 import asyncio
 import time
@@ -17,19 +17,19 @@
 from beryllug.drivers import object_api
 
 BEGIN_WAIT_S = 2.0
-# A write that takes longer counts as a sign of an outage.
+# A write that takes longer is treated as a possible platform outage.
 SLOW_S = 0.8
 FINISH_WAIT_S = 2.0
 MAX_PENDING = 20000
-TEND_S = 0.2
+COPY_CHECK_INTERVAL_S = 0.2
 
 
 class ShardOwner:
-    """Decides about the rows of one shard while its lease holds.
+    """Processes the rows of one shard while its lease is valid.
 
     Attributes:
         fencing: Fencing token of its lease.
-        upkeep: Its occasional work.
+        upkeep: Its periodic maintenance.
     """
 
     def __init__(
@@ -37,71 +37,75 @@
         api: object_api.ObjectApi,
         cfg: commit.OwnerCfg,
         valid_s: Callable[[], float],
-        cover: shard_cover.ShardCover,
+        replicator: shard_cover.OutageReplicator,
     ) -> None:
-        """Make an owner; it serves after `start`.
+        """Initialize the owner; it serves after `start`.
 
         Args:
             api: The platform.
-            cfg: What it is bound to.
-            valid_s: Tells for how many more seconds the lease surely holds.
-            cover: Covers grants while the platform is down.
+            cfg: Settings of the shard and its lease.
+            valid_s: Returns for how many more seconds the lease is
+                guaranteed.
+            replicator: Replicates intents while the platform is down.
         """
         self.fencing = cfg.fencing
-        self._lease_s = valid_s
-        self._cover = cover
-        self._commits = commit.Committer(api, cfg, self._complete)
-        self.upkeep = upkeep.Upkeep(api, self._commits, cfg.retention_s)
+        self._lease_valid_s = valid_s
+        self._replicator = replicator
+        self._committer = commit.Committer(api, cfg, self._gather_copies)
+        self.upkeep = upkeep.Upkeep(api, self._committer, cfg.retention_s)
         self._tasks: list[asyncio.Task[None]] = []
-        self._reader = readback.RowReader(api, cfg.shard, self._commits.log)
-        self._late = late_rows.LateRows(
-            api, self._commits, self.upkeep, self._reader
+        self._reader = readback.RowReader(api, cfg.shard, self._committer.log)
+        self._late_rows = late_rows.LateRows(
+            api, self._committer, self.upkeep, self._reader
         )
 
     @property
     def state(self) -> shard_state.ShardState:
-        """What is remembered of the shard."""
-        return self._commits.state
+        """The in-memory state of the shard."""
+        return self._committer.state
 
     @property
     def serving(self) -> bool:
-        """Whether it has taken over and not lost the shard since."""
-        return self._commits.serving
+        """Whether it has taken the shard over and still owns it."""
+        return self._committer.serving
 
     def start(self) -> None:
         """Take the shard over, then serve."""
-        self._commits.start()
+        self._committer.start()
         self._tasks = [
             asyncio.create_task(lasting.repeat('upkeep', self.upkeep.run)),
-            asyncio.create_task(lasting.repeat('cover', self._tend)),
+            asyncio.create_task(lasting.repeat('cover', self._maintain_copies)),
         ]
 
     async def stop(self) -> None:
-        """Stop; whoever waits learns that nothing was promised."""
+        """Stop; callers still waiting get no durability guarantee."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self._commits.stop()
-        self._cover.keep_own(self.state)
+        await self._committer.stop()
+        self._replicator.keep_own(self.state)
 
     async def flush(self, grace_s: float) -> bool:
-        """Make all durable; False when something stays in memory only."""
-        await self._commits.flush(grace_s)
-        if not self._commits.serving:
+        """Make all rows durable; False if some stay in memory only."""
+        await self._committer.flush(grace_s)
+        if not self._committer.serving:
             return False
-        return await self._cover.end(self.state)
+        return await self._replicator.end(self.state)
 
-    def may_end(self) -> bool:
+    def can_hand_over(self) -> bool:
         """Tell whether the shard can be handed over now."""
-        return not self._cover.refuses_new(time.monotonic())
+        return not self._replicator.refuses_new(time.monotonic())
 
     def dump(self) -> dict[str, Any]:
         """Return the owner's state."""
-        return {**self._commits.dump(), 'cover': self._cover.dump()}
+        return {**self._committer.dump(), 'cover': self._replicator.dump()}
 
     async def begin(self, row: journal_data.Row) -> journal_data.Grant:
-        """Answer an intent when it is durable, or why it is not."""
-        if not await self._commits.ready(BEGIN_WAIT_S) or self._valid_s() <= 0:
+        """Grant an intent once it is durable, or return why it is refused."""
+        if (
+            not await self._committer.ready(BEGIN_WAIT_S)
+            or self._valid_s() <= 0
+        ):
             return journal.unavailable(row)
         decision = journal.begin(self.state, row, time.monotonic())
         while isinstance(decision, journal.ReadBack):
@@ -114,82 +118,84 @@
         return await self._grant(row)
 
     async def finish(self, row: journal_data.Row) -> bool:
-        """Return whether a row is durable; when not it is kept pending."""
+        """Return whether a row is durable; if not, it must be sent again."""
         if (
-            not await self._commits.ready(FINISH_WAIT_S)
+            not await self._committer.ready(FINISH_WAIT_S)
             or len(self.state.pending) >= MAX_PENDING
         ):
             return False
-        written = await self._late.is_written(row)
-        if written is not False:
-            return written is True and self._valid_s() > 0
-        self._recall(row)
+        is_in_log = await self._late_rows.is_written(row)
+        if is_in_log is not False:
+            return is_in_log is True and self._valid_s() > 0
+        self._add_missing_intent(row)
         decision = journal.finish(self.state, row)
         while isinstance(decision, journal.ReadBack):
             found = await self._reader.outcome(decision.seq, row)
             if found is None:
                 return False
             decision = journal.finish(self.state, row, found)
-        durable = decision is True or await self._commits.wait(
+        durable = decision is True or await self._committer.wait(
             row, FINISH_WAIT_S
         )
         return durable and self._valid_s() > 0
 
-    async def lookup(self, ask: rpc_data.LookupAsk) -> rpc_data.LookupReply:
-        """Return the latest row of a kind under a key."""
-        if not await self._commits.ready(FINISH_WAIT_S):
+    async def lookup(self, request: rpc_data.LookupAsk) -> rpc_data.LookupReply:
+        """Return the latest row of a kind for a key."""
+        if not await self._committer.ready(FINISH_WAIT_S):
             return rpc_data.LookupReply(None, available=False)
-        if ask.kind is journal_data.RowKind.INTENT:
-            return rpc_data.LookupReply(journal.open_intent(self.state, ask))
+        if request.kind is journal_data.RowKind.INTENT:
+            return rpc_data.LookupReply(
+                journal.open_intent(self.state, request)
+            )
         for row in reversed(self.state.pending.values()):
-            if readback.matches(row, ask):
+            if readback.matches(row, request):
                 return rpc_data.LookupReply(row)
         seq = journal.find_latest(
-            self.state, ask.kind, ask.account_id, ask.shard_key
+            self.state, request.kind, request.account_id, request.shard_key
         )
         if seq is None:
             return rpc_data.LookupReply(None)
-        return await self._reader.latest(seq, ask)
+        return await self._reader.latest(seq, request)
 
     async def _grant(self, row: journal_data.Row) -> journal_data.Grant:
-        """Grant an intent once it is durable, or copied in an outage.
+        """Grant an intent once it is durable, or replicated in an outage.
 
-        Each await can have taken longer than the lease held, and a new owner
-        may have answered for this key meanwhile: the time that is left is
-        read after it.
+        The lease may expire during any await, and a new owner may have
+        decided about this key since: the remaining validity is read after
+        each await.
         """
         now = time.monotonic()
         is_new = journal.is_new(self.state, row)
-        if is_new and self._cover.refuses_new(now):
+        if is_new and self._replicator.refuses_new(now):
             journal.deny(self.state, row)
             return journal.unavailable(row)
-        if await self._commits.wait(row, SLOW_S):
+        if await self._committer.wait(row, SLOW_S):
             return journal.grant(self.state, row, self._valid_s())
-        if await self._cover.cover(row):
-            valid_s = self._cover.valid_s()
+        if await self._replicator.cover(row):
+            valid_s = self._replicator.valid_s()
             return journal.grant_unflushed(self.state, row, valid_s)
-        if await self._commits.wait(row, BEGIN_WAIT_S):
+        if await self._committer.wait(row, BEGIN_WAIT_S):
             return journal.grant(self.state, row, self._valid_s())
         journal.deny(self.state, row)
         return journal.unavailable(row)
 
-    def _recall(self, row: journal_data.Row) -> None:
-        """Remember a try of which only the outcome is left.
+    def _add_missing_intent(self, row: journal_data.Row) -> None:
+        """Add the intent of an attempt of which only the outcome is known.
 
-        Where copies may be missing, an outcome can be all that is known of
-        a key; with its intent in the log a resend finds it.
+        If copies of intents may be missing, the outcome can be the only
+        record of a key. With the intent in the log, a resend finds it.
         """
-        if self._cover.refuses_new(time.monotonic()):
+        if self._replicator.refuses_new(time.monotonic()):
             journal.recall(self.state, row, time.monotonic())
 
     def _valid_s(self) -> float:
-        """Return for how long surely no other process owns the shard."""
-        return max(self._lease_s(), self._cover.valid_s())
+        """Return for how long no other process can own the shard."""
+        return max(self._lease_valid_s(), self._replicator.valid_s())
 
-    async def _complete(self, state: shard_state.ShardState) -> None:
-        await self._cover.prepare(state, self._reader)
+    async def _gather_copies(self, state: shard_state.ShardState) -> None:
+        await self._replicator.prepare(state, self._reader)
 
-    async def _tend(self) -> None:
-        await asyncio.sleep(TEND_S)
-        if self._commits.serving:
-            await self._cover.tend(self.state, self._reader)
+    async def _maintain_copies(self) -> None:
+        await asyncio.sleep(COPY_CHECK_INTERVAL_S)
+        if self._committer.serving:
+            await self._replicator.tend(self.state, self._reader)
--- a/beryllug/control/shards.py
+++ b/beryllug/control/shards.py
@@ -1,4 +1,4 @@
-"""The shards of the journal: those owned here, and the way to the others."""
+"""Owners of the local journal shards, and routing to remote ones."""
 
 import asyncio
 import time
@@ -23,20 +23,20 @@
 LEASE_PREFIX = 'journal/'
 MAX_HOPS = 2
 CALL_S = 3.0
-# Seconds for which a message waits for a shard that is handed over: a flush
-# and the return of a lease take that long on a slow platform.
+# Seconds for which a message waits while its shard is handed over: on a slow
+# platform the flush and the release of the lease take that long.
 HAND_OVER_S = 2.5
 RETRY_S = 0.05
-# gRPC gives one status to a connection that was refused and to one that broke
-# in the middle of a call; only its text tells them apart.
-NOT_REACHED = 'failed to connect'
+# gRPC reports the same status for a refused connection and for one that broke
+# during a call; only the error text distinguishes them.
+NOT_CONNECTED_TEXT = 'failed to connect'
 
 Ask = TypeVar('Ask')
 Reply = TypeVar('Reply')
 
 
 class Parts(NamedTuple):
-    """The services that the journal works with."""
+    """Services that the journal depends on."""
 
     api: object_api.ObjectApi
     leases: leases.Leases
@@ -44,28 +44,29 @@
 
 
 class Routed(NamedTuple, Generic[Ask, Reply]):
-    """A message that is passed on to a shard's owner.
+    """A message to be forwarded to the owner of a shard.
 
     Attributes:
-        method: The method to pass it on by.
+        method: The RPC method to forward it with.
         ask: The message.
-        hops: Processes that it will have reached so.
-        is_missed: Tells a reply of a process that does not own the shard;
-            None where such a process waits for the owner itself.
+        hops: Number of processes it has reached once it is forwarded.
+        is_not_owner: Tells whether a reply comes from a process that does not
+            own the shard; None where such a process waits for the owner
+            itself.
     """
 
     method: rpc.Method[Ask, Reply]
     ask: Ask
     hops: int
-    is_missed: Callable[[Reply], bool] | None = None
+    is_not_owner: Callable[[Reply], bool] | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """No owner answered.
+    """No owner replied.
 
     Attributes:
-        doubtful: Whether one may have taken the message all the same.
+        doubtful: Whether an owner may have processed the message anyway.
     """
 
     doubtful: bool
@@ -75,44 +76,53 @@
     """Owners of the shards whose leases this process holds.
 
     Attributes:
-        owners: They by shard.
+        owners: The owners by shard.
     """
 
     def __init__(
         self, parts: Parts, cfg: settings_data.Control, boot: str
     ) -> None:
-        """Make the table; it owns nothing before `start`."""
+        """Initialize without any shard; `start` requests the leases."""
         self._parts = parts
         self._cfg = cfg
         self._boot = boot
         self._stopping = False
         self._unflushed: set[int] = set()
-        self._ending: dict[int, shard_owner.ShardOwner] = {}
+        self._stopping_owners: dict[int, shard_owner.ShardOwner] = {}
         self.owners: dict[int, shard_owner.ShardOwner] = {}
         calls = candidate_calls.CandidateCalls(parts.leases.outage, parts.peers)
-        given = promises.Promises(parts.api, parts.leases.outage, calls, boot)
-        kept = copies.Copies(
-            parts.leases.outage, calls, given.given_to, self.surrender
+        lease_promises = promises.Promises(
+            parts.api, parts.leases.outage, calls, boot
+        )
+        intent_copies = copies.Copies(
+            parts.leases.outage,
+            calls,
+            lease_promises.given_to,
+            self.stop_older_owner,
+        )
+        self._outage = shard_cover.OutageServices(
+            parts.leases.outage, lease_promises, intent_copies
         )
-        self._outage = shard_cover.OutageParts(parts.leases.outage, given, kept)
 
     def serve(self, server: candidate_calls.Server) -> None:
-        """Add the methods for outages to the server of this process."""
+        """Register the RPC methods used during platform outages."""
         self._outage.promises.serve(server)
         self._outage.copies.serve(server)
 
     def start(self) -> None:
-        """Want the lease of every shard."""
+        """Start to acquire the lease of every shard."""
         for shard in range(self._cfg.shards):
             self._parts.leases.want(lease_name(shard), self)
         self._outage.promises.start()
 
     async def stop(self, grace_s: float) -> None:
-        """Make pending rows durable; the leases are given back after."""
+        """Make pending rows durable; the leases are released afterwards."""
         self._stopping = True
         await self._outage.promises.stop()
         shards = list(self.owners)
-        await asyncio.gather(*(self._end(shard, grace_s) for shard in shards))
+        await asyncio.gather(
+            *(self._flush_and_stop(shard, grace_s) for shard in shards)
+        )
 
     def dump(self) -> dict[str, Any]:
         """Return the state of every owned shard."""
@@ -121,37 +131,41 @@
         }
 
     def dump_outage(self) -> dict[str, Any]:
-        """Return promises and copies."""
+        """Return the state of lease promises and intent copies."""
         return {
             'promises_s': self._outage.promises.dump(),
             'copies': self._outage.copies.dump(),
         }
 
     async def on_lease(self, name: str, fencing: int) -> None:
-        """Begin or end to own a shard."""
+        """Start or stop the owner of a shard when its lease changes."""
         shard = shard_of_lease(name)
         owner = self.owners.pop(shard, None)
         if owner is not None:
             await owner.stop()
         if fencing:
-            self._own(shard, fencing)
+            self._start_owner(shard, fencing)
 
     async def before_release(self, name: str) -> bool:
-        """Make the rows of a shard durable that is to be handed over."""
+        """Flush a shard before its lease is released.
+
+        Returns:
+            Whether the lease may be released.
+        """
         shard = shard_of_lease(name)
         owner = self.owners.get(shard)
-        if owner is not None and not owner.may_end():
+        if owner is not None and not owner.can_hand_over():
             return False
-        if await self._end(shard, self._cfg.drain_s):
+        if await self._flush_and_stop(shard, self._cfg.drain_s):
             return True
         if owner is not None and not self._stopping:
-            # The lease stays here, so the shard goes on being served.
-            self._own(shard, owner.fencing)
+            # This process keeps the lease, so it must go on serving the shard.
+            self._start_owner(shard, owner.fencing)
         return False
 
-    async def surrender(self, shard: int, fencing: int) -> None:
-        """End an owner that is older than a fencing token."""
-        for table in (self.owners, self._ending):
+    async def stop_older_owner(self, shard: int, fencing: int) -> None:
+        """Stop the local owner if its fencing token is older."""
+        for table in (self.owners, self._stopping_owners):
             owner = table.get(shard)
             if owner is not None and owner.fencing < fencing:
                 table.pop(shard)
@@ -163,24 +177,26 @@
         routed: Routed[Ask, Reply],
         local: Callable[[shard_owner.ShardOwner], Awaitable[Reply]],
     ) -> Reply | Lost:
-        """Hand a message to the shard's owner.
+        """Process a message at the shard's owner, local or remote.
+
+        Two processes that each take the other for the owner would forward a
+        message forever, so the hop count of a message is limited. A message
+        may reach owners twice; they deduplicate its rows by their ids.
 
-        Two processes that each believe the other to be the owner would pass
-        a message on for ever: it carries its hops, and their number ends it.
-        A message may reach owners twice; they know its rows by their ids.
-        While a shard is handed over, a short wait spares a refusal. Only the
-        first process waits for a message that says so: one that was passed
-        it and does not own the shard answers at once, and the first asks for
-        the owner anew. Waiting there, on a host that stops, an intent was
-        refused although the next owner was in place.
+        While a shard is handed over, the message is retried for a short time
+        instead of being refused. If it has an `is_not_owner` check, only the
+        first process waits: a process that it was forwarded to and that does
+        not own the shard replies at once, and the first process looks the
+        owner up again. When the forwarded message waited on a host that was
+        stopping, an intent was refused although the next owner was in place.
 
         Returns:
-            The owner's reply, or that there was none.
+            The owner's reply, or `Lost` if no owner replied.
         """
         doubtful = False
-        is_missed = routed.is_missed or _is_no_miss
+        is_not_owner = routed.is_not_owner or _always_false
         wait_s = HAND_OVER_S
-        if routed.is_missed and routed.hops > 1:
+        if routed.is_not_owner and routed.hops > 1:
             wait_s = 0
         deadline = time.monotonic() + wait_s
         while True:
@@ -190,7 +206,7 @@
             reply = await self._forward(shard, routed)
             if isinstance(reply, Lost):
                 doubtful = doubtful or reply.doubtful
-            elif not is_missed(reply):
+            elif not is_not_owner(reply):
                 return reply
             if time.monotonic() >= deadline:
                 break
@@ -200,16 +216,16 @@
             logging.warning('event=shard_unreachable shard=%d', shard)
         return Lost(doubtful)
 
-    async def _end(self, shard: int, grace_s: float) -> bool:
-        """Flush a shard; what comes from now on waits for its next owner."""
+    async def _flush_and_stop(self, shard: int, grace_s: float) -> bool:
+        """Flush a shard and stop its owner; new messages wait for the next."""
         owner = self.owners.pop(shard, None)
         if owner is None:
             return shard not in self._unflushed
-        # A new owner that gathers meanwhile must find what it holds.
-        self._ending[shard] = owner
+        # A new owner that gathers copies meanwhile needs the rows it holds.
+        self._stopping_owners[shard] = owner
         flushed = await owner.flush(grace_s)
         await owner.stop()
-        self._ending.pop(shard, None)
+        self._stopping_owners.pop(shard, None)
         if not flushed:
             self._unflushed.add(shard)
         return flushed
@@ -226,9 +242,9 @@
                 address, routed.method, routed.ask, CALL_S
             )
         except rpc.RpcError as exc:
-            return Lost(doubtful=NOT_REACHED not in str(exc))
+            return Lost(doubtful=NOT_CONNECTED_TEXT not in str(exc))
 
-    def _own(self, shard: int, fencing: int) -> None:
+    def _start_owner(self, shard: int, fencing: int) -> None:
         self._unflushed.discard(shard)
         owner = shard_owner.ShardOwner(
             self._parts.api,
@@ -240,9 +256,9 @@
                 self._cfg.retention_s,
             ),
             lambda: self._valid_s(shard, fencing),
-            shard_cover.ShardCover(
+            shard_cover.OutageReplicator(
                 self._outage,
-                shard_cover.Tenure(lease_name(shard), shard, fencing),
+                shard_cover.ShardOwnership(lease_name(shard), shard, fencing),
             ),
         )
         self.owners[shard] = owner
@@ -256,7 +272,7 @@
         return token.valid_until - now
 
 
-def _is_no_miss(reply: object) -> bool:
+def _always_false(reply: object) -> bool:
     return False
 
 
@@ -266,5 +282,5 @@
 
 
 def shard_of_lease(name: str) -> int:
-    """Return the shard that a lease is for."""
+    """Return the shard of a lease name."""
     return int(name.removeprefix(LEASE_PREFIX))
--- a/beryllug/control/takeover.py
+++ b/beryllug/control/takeover.py
@@ -1,4 +1,4 @@
-"""Taking a shard over from its earlier owner."""
+"""Takeover of a shard from its earlier owner."""
 
 import asyncio
 import time
@@ -21,22 +21,23 @@
     log: segments.ShardLog,
     prepare: Prepare,
 ) -> images.Restored:
-    """Shut the earlier owner out and return the shard's state.
+    """Fence off the earlier owner and return the shard's state.
 
-    It goes on until it succeeds: until then nobody serves the shard.
+    Platform failures are retried without limit, as nobody serves the shard
+    until the takeover succeeds.
 
     Args:
         api: The platform.
         shard: The shard.
-        log: Its log, under the new owner's token.
-        prepare: Completes the state by what the platform may not have.
+        log: Its log, under the new owner's fencing token.
+        prepare: Adds to the state what the platform may not have.
 
     Raises:
-        LostError: A later owner was here already.
+        ShardLostError: A later owner has already taken over.
     """
     while True:
         try:
-            return await _try(api, shard, log, prepare)
+            return await _take_over_once(api, shard, log, prepare)
         except object_data.ObjectApiError as exc:
             logging.warning(
                 'event=takeover_failed shard=%d error=%s', shard, exc
@@ -44,7 +45,7 @@
             await asyncio.sleep(RETRY_S)
 
 
-async def _try(
+async def _take_over_once(
     api: object_api.ObjectApi,
     shard: int,
     log: segments.ShardLog,
@@ -52,8 +53,8 @@
 ) -> images.Restored:
     base = await images.read_base(api, shard)
     last = await log.take_over(images.after(base))
-    # The earlier owner can have written a newer image until it was shut out,
-    # and have deleted what an older one needs.
+    # Until it was fenced off, the earlier owner may have written a newer image
+    # and deleted tables and segments that the older one needs.
     base = await images.read_base(api, shard)
     restored = await images.restore(api, shard, base, last)
     journal_log.replayed(restored.state, time.monotonic())
--- a/beryllug/control/waiters.py
+++ b/beryllug/control/waiters.py
@@ -1,4 +1,4 @@
-"""Who waits for which row to become durable."""
+"""Futures of callers that wait for rows to become durable."""
 
 import asyncio
 from collections.abc import Iterable
@@ -7,38 +7,40 @@
 
 
 class Waiters:
-    """Futures by row; several may wait for one row."""
+    """Futures by row; several callers may wait for one row."""
 
     def __init__(self) -> None:
-        """Make an empty set."""
-        self._futs: dict[shard_state.RowId, list[asyncio.Future[bool]]] = {}
+        """Initialize without waiters."""
+        self._futures: dict[shard_state.RowId, list[asyncio.Future[bool]]] = {}
 
     async def wait(self, row_id: shard_state.RowId, wait_s: float) -> bool:
-        """Wait until a row is settled; False when that takes too long."""
-        fut: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._futs.setdefault(row_id, []).append(fut)
+        """Return whether a row became durable; False on timeout."""
+        future: asyncio.Future[bool] = (
+            asyncio.get_running_loop().create_future()
+        )
+        self._futures.setdefault(row_id, []).append(future)
         try:
             async with asyncio.timeout(wait_s):
-                return await fut
+                return await future
         except TimeoutError:
             return False
 
     def settle(
         self, row_ids: Iterable[shard_state.RowId], *, durable: bool
     ) -> None:
-        """Tell whoever waits for these rows what became of them."""
+        """Complete the futures of these rows with their result."""
         for row_id in row_ids:
-            for fut in self._futs.pop(row_id, ()):
-                if not fut.done():
-                    fut.set_result(durable)
+            for future in self._futures.pop(row_id, ()):
+                if not future.done():
+                    future.set_result(durable)
 
-    def give_up(self) -> None:
-        """Tell all that their rows were not made durable here."""
-        self.settle(list(self._futs), durable=False)
+    def fail_all(self) -> None:
+        """Complete all futures as not durable."""
+        self.settle(list(self._futures), durable=False)
 
 
 async def set_within(event: asyncio.Event, wait_s: float) -> bool:
-    """Wait until an event is set; False when that takes too long."""
+    """Wait until an event is set; False on timeout."""
     if event.is_set():
         return True
     try:
