--- a/beryllug/control/fake_platform_test.py
+++ b/beryllug/control/fake_platform_test.py
@@ -1,7 +1,7 @@
-"""An in-memory object API with fault switches, for tests of control.
+"""An in-memory object API with fault injection, for tests of control.
 
-Each process of a test has its own client, so that one can be cut off, or
-held at a call as if it were paused there.
+Each simulated process has its own client, so that it can be disconnected, or
+blocked at a call as if it were paused there.
 """
 
 import asyncio
@@ -16,11 +16,11 @@
 
 
 class Fault(StrEnum):
-    """What happens to one write.
+    """Fault of one write.
 
-    LOST_ANSWER: it takes effect, its answer is lost. LOST: it has no effect,
-    and the caller can't know. LATE: as LOST, but it takes effect at
-    `Store.land`. REFUSED: it surely has no effect.
+    LOST_ANSWER: it takes effect, but its reply is lost. LOST: it has no
+    effect, which the caller can't know. LATE: as LOST, but it takes effect
+    at `Store.land`. REFUSED: it has no effect, and the caller is told so.
     """
 
     LOST_ANSWER = 'lost_answer'
@@ -30,7 +30,7 @@
 
 
 class LateWrite(NamedTuple):
-    """A write that is still on its way."""
+    """A write that has not taken effect yet."""
 
     key: str
     body: bytes
@@ -45,8 +45,8 @@
         kept: Objects by key.
         revision: Revision of the last write.
         written: Keys of all writes that took effect, in order.
-        late: Writes on their way.
-        down: Whether nobody reaches the platform.
+        late: Writes that have not taken effect yet.
+        down: Whether the platform is unreachable for all clients.
     """
 
     kept: dict[str, object_data.Object] = field(default_factory=dict)
@@ -56,7 +56,7 @@
     down: bool = False
 
     def apply(self, key: str, body: bytes | None, expected: int | None) -> int:
-        """Write or delete an object on its condition."""
+        """Write or delete an object if its version is as expected."""
         found = self.kept.get(key)
         present = found.version if found else 0
         if expected is not None and present != expected:
@@ -71,7 +71,7 @@
         return self.revision
 
     def land(self) -> int:
-        """Let late writes take effect; return how many met their condition."""
+        """Apply late writes; return how many met their condition."""
         landed = 0
         while self.late:
             late = self.late.pop(0)
@@ -87,19 +87,19 @@
     """One process's access to the store; implements `ObjectApi`.
 
     Attributes:
-        cut: Whether this process alone can't reach the platform.
-        gate: Cleared to hold writes before they are sent.
-        held: Set while a write is held there.
-        reads: Reads made.
-        delay_s: How long each of its calls takes.
+        cut: Whether this client can't reach the platform.
+        gate: Cleared to block writes to `faulty` before they are sent.
+        held: Set once a write has been blocked by `gate`.
+        reads: Number of reads made.
+        delay_s: Duration of each call.
         applied: Called after a write to `faulty` has taken effect, before
-            its answer is seen.
-        faults: Faults of the next writes to keys with `faulty`.
-        faulty: Prefix of the keys that faults are for.
+            its caller gets the reply.
+        faults: Faults of the next writes to `faulty`.
+        faulty: Prefix of the keys that `gate`, `applied` and `faults` are for.
     """
 
     def __init__(self, store: Store) -> None:
-        """Make a client without faults."""
+        """Initialize a client without faults."""
         self.cut = False
         self.gate = asyncio.Event()
         self.gate.set()
@@ -114,18 +114,18 @@
     async def read(self, key: str) -> object_data.Object | None:
         """Read an object."""
         self.reads += 1
-        await self._reach()
+        await self._check_reachable()
         return self._store.kept.get(key)
 
     async def list_keys(self, prefix: str) -> object_data.Listing:
         """List keys."""
-        await self._reach()
-        lines = (
+        await self._check_reachable()
+        entries = (
             object_data.Listed(key, stored.version)
             for key, stored in sorted(self._store.kept.items())
             if key.startswith(prefix)
         )
-        return object_data.Listing(self._store.revision, tuple(lines))
+        return object_data.Listing(self._store.revision, tuple(entries))
 
     async def write(
         self, key: str, body: bytes, expected_version: int | None
@@ -135,7 +135,7 @@
         if matching and not self.gate.is_set():
             self.held.set()
             await self.gate.wait()
-        await self._reach()
+        await self._check_reachable()
         if not matching or not self.faults:
             version = self._store.apply(key, body, expected_version)
             if matching:
@@ -153,30 +153,30 @@
 
     async def delete(self, key: str, expected_version: int | None) -> int:
         """Delete an object."""
-        await self._reach()
+        await self._check_reachable()
         return self._store.apply(key, None, expected_version)
 
     async def watch(
         self, prefix: str, after: int, wait_s: float
     ) -> object_data.WatchBatch:
-        """Refuse: control's leases and journal do not watch."""
+        """Fail: the leases and the journal of control do not watch."""
         raise object_data.UnavailableError(prefix)
 
-    async def _reach(self) -> None:
+    async def _check_reachable(self) -> None:
         await asyncio.sleep(self.delay_s)
         if self.cut or self._store.down:
             raise object_data.UnavailableError('down')
 
 
 def _do_nothing() -> None:
-    """Let a write's answer be seen at once."""
+    """Do nothing after a write."""
 
 
 class FakePlatformTest(unittest.IsolatedAsyncioTestCase):
-    """The fake keeps its conditions."""
+    """The fake checks the expected versions of writes."""
 
     async def test_conditions(self) -> None:
-        """A late write meets its condition or has no effect."""
+        """A late write whose condition is not met has no effect."""
         store = Store()
         client = Client(store)
         client.faulty = ''
--- a/beryllug/control/journal_chaos_test.py
+++ b/beryllug/control/journal_chaos_test.py
@@ -1,9 +1,9 @@
-"""Random faults, together and twice, against at most once and billed once.
+"""Overlapping random faults against at-most-once and exactly-once billing.
 
-Four entries send and resend requests under shared keys to three control
-processes. Meanwhile processes are killed and restarted, paused, cut off; the
-platform goes down, loses answers, lets writes land late. Then all heals, and
-what ran is compared with what the platform holds.
+Four entry processes send and resend requests under shared keys to three
+control processes. Meanwhile control processes are killed, restarted, paused
+and disconnected; the platform goes down, loses replies and applies writes
+late. After recovery, the requests that ran are compared with the stored rows.
 """
 
 import asyncio
@@ -26,52 +26,54 @@
 KEYS = 6
 START_S = 1000000.0
 RUN_S = 150.0
-KEY_S = 60.0
-HEAL_S = 900.0
+KEY_PERIOD_S = 60.0
+RECOVERY_TIMEOUT_S = 900.0
 SHARDS = 2
 
 
 class Entry:
-    """An entry process as far as the journal sees it.
+    """A simulated entry process that uses the journal.
 
     Attributes:
         owed: Outcomes that are not acknowledged.
-        ran: Request ids that ran, by key.
-        kinds: Answers by kind.
+        ran: Ids of the requests that ran, by key.
+        kinds: Number of grants by kind.
     """
 
-    def __init__(self, world: 'ChaosCase', name: str) -> None:
-        """Make an entry."""
+    def __init__(self, case: 'ChaosCase', name: str) -> None:
+        """Initialize the entry process."""
         self.owed: list[journal_data.Row] = []
         self.ran: dict[str, list[str]] = {}
         self.kinds: Counter[Kind] = Counter()
-        self._world = world
+        self._case = case
         self._name = name
         self._count = 0
 
     async def send_forever(self) -> None:
-        """Send requests under keys that others use too."""
-        rand = self._world.rand
-        while not self._world.ending:
+        """Send requests under keys that other entry processes use too."""
+        rand = self._case.rand
+        while not self._case.ending:
             await asyncio.sleep(rand.uniform(0, 2))
-            key = f'{int(time.monotonic() / KEY_S)}-{rand.randrange(KEYS)}'
+            key = (
+                f'{int(time.monotonic() / KEY_PERIOD_S)}-{rand.randrange(KEYS)}'
+            )
             await self.send(key)
 
     async def finish_forever(self) -> None:
-        """Send what is owed until it is acknowledged."""
+        """Resend outcomes until they are acknowledged."""
         while True:
-            await asyncio.sleep(self._world.rand.uniform(0.2, 1))
+            await asyncio.sleep(self._case.rand.uniform(0.2, 1))
             for row in list(self.owed):
-                if await self._world.call_finish(row):
+                if await self._case.call_finish(row):
                     self.owed.remove(row)
 
     async def send(self, key: str) -> None:
-        """Send one request, and run it if it is granted in time."""
+        """Send one request and run it if it is granted in time."""
         self._count += 1
         row = nodes_test.intent(f'{self._name}-{self._count}', key)
         row = row._replace(entry=f'{self._name}/boot')
         sent_at = time.monotonic()
-        grant = await self._world.call_begin(row)
+        grant = await self._case.call_begin(row)
         if grant is None or grant.doubtful:
             self.owed.append(nodes_test.outcome(row, State.NOT_RUN))
             return
@@ -80,22 +82,22 @@
             await self._run(row, grant.valid_s - time.monotonic() + sent_at)
 
     async def _run(self, row: journal_data.Row, valid_s: float) -> None:
-        delay_s = self._world.rand.choice((0.0, 0.0, 0.0, 3.0))
+        delay_s = self._case.rand.choice((0.0, 0.0, 0.0, 3.0))
         if delay_s >= valid_s:
             self.owed.append(nodes_test.outcome(row, State.NOT_RUN))
             return
         self.ran.setdefault(row.shard_key, []).append(row.request_id)
-        await asyncio.sleep(self._world.rand.uniform(0, 8))
+        await asyncio.sleep(self._case.rand.uniform(0, 8))
         self.owed.append(nodes_test.outcome(row))
 
 
 class ChaosCase(nodes_test.NodesCase):
-    """Three nodes, four entries, and faults drawn by a seed."""
+    """Three control processes, four entry processes, seeded faults."""
 
     sizes = nodes_test.Sizes(shards=SHARDS)
 
     async def test_seeds(self) -> None:
-        """No key runs twice, every run is billed once, whatever fails."""
+        """No key runs twice and every run is billed once under faults."""
         granted = 0
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
@@ -103,7 +105,7 @@
         self.assertGreater(granted, SEEDS * KEYS)
 
     async def run_seed(self, seed: int) -> int:
-        """Run one schedule and check it; return the number of runs."""
+        """Run and check one seed; return the number of keys that ran."""
         self.rand = random.Random(seed)
         self.clock.now = START_S
         self.store = fake_platform_test.Store()
@@ -114,30 +116,34 @@
         for name in NAMES:
             await self._boot(name)
         entries = [Entry(self, f'entry-{num}') for num in range(ENTRIES)]
-        senders = [asyncio.create_task(one.send_forever()) for one in entries]
+        senders = [
+            asyncio.create_task(entry_process.send_forever())
+            for entry_process in entries
+        ]
         finishers = [
-            asyncio.create_task(one.finish_forever()) for one in entries
+            asyncio.create_task(entry_process.finish_forever())
+            for entry_process in entries
         ]
         try:
-            await self._break_things()
+            await self._inject_faults()
             self.ending = True
             await asyncio.gather(*senders)
-            await self._heal(entries)
+            await self._recover(entries)
         finally:
             await _cancel([*senders, *finishers])
         await self._check(entries)
         for node in self.up.values():
             await node.kill(self.network)
-        return sum(len(one.ran) for one in entries)
+        return sum(len(entry_process.ran) for entry_process in entries)
 
     async def call_begin(
         self, row: journal_data.Row
     ) -> journal_data.Grant | None:
-        """Ask some control process; None when its answer is lost."""
+        """Send an intent to a random process; None if the reply is lost."""
         return await self._call(lambda node: node.begin(row))
 
     async def call_finish(self, row: journal_data.Row) -> bool:
-        """Hand an outcome to some control process."""
+        """Send an outcome to a random process."""
         return bool(await self._call(lambda node: node.finish(row)))
 
     async def _call(
@@ -165,27 +171,27 @@
         self.up[name] = node
         await node.start()
 
-    async def _break_things(self) -> None:
-        """Let faults come one over the other for a time."""
+    async def _inject_faults(self) -> None:
+        """Inject overlapping faults for `RUN_S` seconds."""
         end = time.monotonic() + RUN_S
-        under_way: list[asyncio.Task[None]] = []
+        running_faults: list[asyncio.Task[None]] = []
         while time.monotonic() < end:
             await asyncio.sleep(self.rand.uniform(0, 10))
             fault = self.rand.choice(
                 (
-                    self._kill,
-                    self._pause,
-                    self._cut,
-                    self._silence,
-                    self._outage,
-                    self._spoil_writes,
-                    self._stop,
+                    self._kill_and_restart,
+                    self._pause_process,
+                    self._disconnect_platform,
+                    self._silence_peer,
+                    self._take_platform_down,
+                    self._inject_write_faults,
+                    self._restart_gracefully,
                 )
             )
-            under_way.append(asyncio.create_task(fault()))
-        await asyncio.gather(*under_way)
+            running_faults.append(asyncio.create_task(fault()))
+        await asyncio.gather(*running_faults)
 
-    async def _kill(self) -> None:
+    async def _kill_and_restart(self) -> None:
         node = self.up.pop(self.rand.choice(NAMES), None)
         if node is None:
             return
@@ -194,7 +200,7 @@
         await asyncio.sleep(self.rand.uniform(0, 20))
         await self._boot(node.name)
 
-    async def _stop(self) -> None:
+    async def _restart_gracefully(self) -> None:
         node = self.up.pop(self.rand.choice(NAMES), None)
         if node is None:
             return
@@ -204,7 +210,7 @@
         await asyncio.sleep(self.rand.uniform(0, 5))
         await self._boot(node.name)
 
-    async def _pause(self) -> None:
+    async def _pause_process(self) -> None:
         node = self.up.get(self.rand.choice(NAMES))
         if node is None:
             return
@@ -214,7 +220,7 @@
             node.wake(self.network)
         node.client.faulty = 'beryllug/journal/'
 
-    async def _cut(self) -> None:
+    async def _disconnect_platform(self) -> None:
         node = self.up.get(self.rand.choice(NAMES))
         if node is None:
             return
@@ -222,7 +228,7 @@
         await asyncio.sleep(self.rand.uniform(0, 20))
         node.client.cut = self.up.get(node.name) is not node
 
-    async def _silence(self) -> None:
+    async def _silence_peer(self) -> None:
         node = self.up.get(self.rand.choice(NAMES))
         if node is None:
             return
@@ -232,12 +238,12 @@
         if self.up.get(node.name) is node:
             self.network.silent.discard(address)
 
-    async def _outage(self) -> None:
+    async def _take_platform_down(self) -> None:
         self.store.down = True
         await asyncio.sleep(self.rand.uniform(0, 40))
         self.store.down = False
 
-    async def _spoil_writes(self) -> None:
+    async def _inject_write_faults(self) -> None:
         node = self.up.get(self.rand.choice(NAMES))
         if node is None:
             return
@@ -249,8 +255,8 @@
         await asyncio.sleep(self.rand.uniform(0, 5))
         self.store.land()
 
-    async def _heal(self, entries: list[Entry]) -> None:
-        """End all faults, and wait until nothing is owed."""
+    async def _recover(self, entries: list[Entry]) -> None:
+        """End all faults and wait until all outcomes are acknowledged."""
         self.store.land()
         self.store.down = False
         self.network.silent.clear()
@@ -258,13 +264,13 @@
             node.client.cut = False
             node.client.faults.clear()
             node.client.gate.set()
-        async with asyncio.timeout(HEAL_S):
-            while any(one.owed for one in entries):
+        async with asyncio.timeout(RECOVERY_TIMEOUT_S):
+            while any(entry_process.owed for entry_process in entries):
                 await asyncio.sleep(1)
         await asyncio.sleep(10)
 
     async def _check(self, entries: list[Entry]) -> None:
-        """Compare what ran with what the platform holds."""
+        """Compare the requests that ran with the stored rows."""
         ran = _ran(entries)
         self.assertEqual(max(map(len, ran.values())), 1, ran)
         kind = journal_data.RowKind.OUTCOME
@@ -281,10 +287,10 @@
 
 
 def _ran(entries: Sequence[Entry]) -> dict[str, list[str]]:
-    """Return the requests that ran, by key."""
+    """Return the ids of the requests that ran, by key."""
     ran: dict[str, list[str]] = {}
-    for one in entries:
-        for key, request_ids in one.ran.items():
+    for entry_process in entries:
+        for key, request_ids in entry_process.ran.items():
             ran.setdefault(key, []).extend(request_ids)
     return ran
 
--- a/beryllug/control/journal_test.py
+++ b/beryllug/control/journal_test.py
@@ -1,6 +1,6 @@
-"""At most once and billed once, under faults of the platform and of owners.
+"""At-most-once and exactly-once billing under platform and owner faults.
 
-What the log holds is read from the store, not from the nodes' own counts.
+The log is read from the store, not from the counters of the nodes.
 """
 
 import asyncio
@@ -14,15 +14,15 @@
 State = journal_data.OutcomeState
 
 
-class OneTryTest(nodes_test.NodesCase):
-    """One key is granted once."""
+class SingleGrantTest(nodes_test.NodesCase):
+    """A key is granted to one attempt only."""
 
     async def test_same_key_at_two_hosts(self) -> None:
-        """A guest taps twice, and each tap reaches another entry host.
+        """A double tap sends the same key to two entry hosts at once.
 
-        Both hosts ask for the same key at once; one of them owns it, the
-        other hands its intent over. One is granted, the other learns that
-        the first runs, because the owner decides in one order.
+        One node owns the shard, the other forwards its intents to it. The
+        owner serializes the decisions, so one intent is granted and the
+        others learn that it is running.
         """
         first = await self.start_owner('1')
         second = await self.start_node('2')
@@ -39,12 +39,11 @@
         self.assertEqual(len(self.log()), 1)
 
     async def test_owner_stops_slowly(self) -> None:
-        """A guest taps while the host that owns the shard is replaced.
+        """An intent arrives while the owner of its shard is stopping.
 
-        The return of its lease takes 1.5 s at the platform. The hold comes
-        by another host, which passes it on to the old owner; that one must
-        not keep it waiting there, or the new owner is asked too late and the
-        hold is refused.
+        The release of the lease takes 1.5 s at the platform. Another node
+        forwards the intent to the old owner. If the intent waited there, the
+        new owner would be asked too late and the intent refused.
         """
         first = await self.start_owner('1')
         second = await self.start_node('2')
@@ -53,14 +52,14 @@
         first.client.gate.clear()
         stopping = asyncio.create_task(first.stop())
         await asyncio.sleep(nodes_test.POLL_S)
-        asked = asyncio.create_task(second.begin(nodes_test.intent('one')))
+        begin_task = asyncio.create_task(second.begin(nodes_test.intent('one')))
         await asyncio.sleep(1.5)
         first.client.gate.set()
         await stopping
-        self.assertEqual((await asked).kind, Kind.GRANTED)
+        self.assertEqual((await begin_task).kind, Kind.GRANTED)
 
     async def test_resends(self) -> None:
-        """A resend learns of the first try, whatever became of it."""
+        """A resend gets the result of the first attempt, whatever it is."""
         owner = await self.start_owner('1')
         for state, expected in (
             (State.DONE, Kind.FINISHED),
@@ -80,11 +79,11 @@
                 grant = await owner.begin(other)
                 self.assertEqual(grant.kind, Kind.MISMATCH)
 
-    async def test_grant_lost_on_its_way(self) -> None:
-        """The owner's reply is lost and the entry asks again.
+    async def test_grant_reply_lost(self) -> None:
+        """The owner's reply is lost and the entry process asks again.
 
-        It asks under the same request id, because it has sent nothing to a
-        backend server. It is granted again; another try of the key is not.
+        As it has sent nothing to a backend server, it reuses its request id
+        and is granted again. Another attempt with the key is not granted.
         """
         await self.start_owner('1')
         second = await self.start_node('2')
@@ -102,11 +101,11 @@
         self.assertEqual(resend.kind, Kind.RUNNING)
         self.assertEqual(self.log(), [('intent', 'one')])
 
-    async def test_given_up_before_it_came(self) -> None:
-        """An intent that its entry gave up is not granted afterwards.
+    async def test_outcome_overtakes_intent(self) -> None:
+        """An intent is not granted after its entry process gave it up.
 
-        The entry's outcome NOT_RUN overtakes the intent. A grant would let
-        nobody run it, but would take the key from the caller's resend.
+        The outcome NOT_RUN overtakes the intent. Nobody would use a grant,
+        but it would block the key for the caller's resend.
         """
         owner = await self.start_owner('1')
         row = nodes_test.intent('one')
@@ -118,15 +117,14 @@
         self.assertEqual(resend.kind, Kind.GRANTED)
 
 
-class LostAnswerTest(nodes_test.NodesCase):
-    """Writes of the log whose answer is lost."""
+class UncertainWriteTest(nodes_test.NodesCase):
+    """Log writes whose reply is lost."""
 
-    async def test_answer_lost(self) -> None:
-        """A write of intents or outcomes goes wrong and is settled.
+    async def test_write_result_unknown(self) -> None:
+        """The result of a log write is unknown and gets resolved.
 
-        The caller sees nothing of it. The owner reads the segment back
-        before anything else, so that no row stands there twice and a row
-        that is not there is written.
+        The caller does not notice. The owner first reads the segment back,
+        so that no row is written twice and a missing row is written.
         """
         owner = await self.start_owner('1')
         for number, faults in enumerate(
@@ -151,17 +149,17 @@
     async def test_late_write(self) -> None:
         """A write believed lost takes effect after the request was refused.
 
-        The owner said that the request was not granted, and forgot it. Its
-        intent then lands in the log. The owner's next write conflicts, it
-        finds the intent and ends it as NOT_RUN: the caller was told so, and
-        its resend runs.
+        The owner has refused the request and dropped its state when the
+        intent appears in the log. The owner's next write conflicts; it finds
+        the intent and ends it as NOT_RUN, as the caller was told, so that a
+        resend runs.
         """
         owner = await self.start_owner('1')
         owner.client.faults.append(Fault.LATE)
-        asked = asyncio.create_task(owner.begin(nodes_test.intent('one')))
+        begin_task = asyncio.create_task(owner.begin(nodes_test.intent('one')))
         await nodes_test.until(lambda: self.store.late)
         self.store.down = True
-        grant = await asked
+        grant = await begin_task
         self.assertEqual(grant.kind, Kind.UNAVAILABLE)
         self.store.down = False
         self.assertEqual(self.store.land(), 1)
@@ -176,14 +174,14 @@
 
 
 class TakeoverTest(nodes_test.NodesCase):
-    """A new owner after the old one was killed or paused."""
+    """Takeover after the old owner was killed or paused."""
 
     async def test_killed_after_commit(self) -> None:
         """The owner is killed after the commit and before its reply.
 
-        The entry has no acknowledgement and sends the outcome to the next
-        control process. The new owner has read the row from the log and
-        acknowledges it without a second one: the request is billed once.
+        The entry process sends the unacknowledged outcome to the new owner,
+        which has read the row from the log and acknowledges it without
+        writing it again: the request is billed once.
         """
         owner = await self.start_owner('1')
         successor = await self.start_node('2')
@@ -199,20 +197,20 @@
         self.assertEqual(resend.first, nodes_test.outcome(row))
 
     async def test_killed_before_commit(self) -> None:
-        """The owner is killed after the answer and before the commit.
+        """The owner is killed before it commits an outcome.
 
-        The outcome stood in its memory only. The entry keeps it as owed and
-        sends it again until an owner has it in the log, once.
+        The outcome was only in its memory. The entry process resends it
+        until it is acknowledged, and the log holds it once.
         """
         owner = await self.start_owner('1')
         successor = await self.start_node('2')
         row = nodes_test.intent('one')
         await owner.begin(row)
         owner.client.gate.clear()
-        finishing = asyncio.create_task(owner.finish(nodes_test.outcome(row)))
+        finish_task = asyncio.create_task(owner.finish(nodes_test.outcome(row)))
         await owner.client.held.wait()
         await owner.kill(self.network)
-        self.assertFalse(await finishing)
+        self.assertFalse(await finish_task)
         await nodes_test.until(successor.owns)
         resend = nodes_test.intent('two')._replace(entry='entry-2/boot')
         grant = await successor.begin(resend)
@@ -222,11 +220,11 @@
         self.assertEqual(grant.kind, Kind.FINISHED)
         self.assertEqual(self.log(), [('intent', 'one'), ('done', 'one')])
 
-    async def test_entry_lives_on(self) -> None:
-        """Only the owner is lost, the request's entry runs on.
+    async def test_entry_outlives_owner(self) -> None:
+        """The owner is lost while the request's entry process runs on.
 
-        The new owner hears of the entry and says RUNNING; it says UNKNOWN
-        when the entry was started anew meanwhile.
+        The new owner replies RUNNING once it has had a request from that
+        entry process, and UNKNOWN if the entry process has been restarted.
         """
         owner = await self.start_owner('1')
         successor = await self.start_node('2')
@@ -245,57 +243,57 @@
                 grant = await successor.begin(again)
                 self.assertEqual(grant.kind, expected)
 
-    async def test_paused_before_its_write(self) -> None:
-        """The owner is paused past its lease, then woken.
+    async def test_paused_before_write(self) -> None:
+        """The owner is paused past its lease, right before a log write.
 
-        It had an intent ready to write. Meanwhile another owner took over
-        and granted the same key. The woken owner's write meets another
-        version: it grants nothing, and its row is not in the log.
+        Meanwhile another owner takes over and grants the same key. The
+        resumed owner's write conflicts: it grants nothing, and its row is
+        not in the log.
         """
         owner = await self.start_owner('1')
         successor = await self.start_node('2')
         owner.pause(self.network)
-        asked = asyncio.create_task(owner.begin(nodes_test.intent('one')))
+        begin_task = asyncio.create_task(owner.begin(nodes_test.intent('one')))
         await owner.client.held.wait()
         await nodes_test.until(successor.owns)
         grant = await successor.begin(nodes_test.intent('two'))
         self.assertEqual(grant.kind, Kind.GRANTED)
         owner.wake(self.network)
-        self.assertEqual((await asked).kind, Kind.UNAVAILABLE)
+        self.assertEqual((await begin_task).kind, Kind.UNAVAILABLE)
         await nodes_test.until(lambda: not owner.owns())
         self.assertEqual(self.log(), [('intent', 'two')])
 
-    async def test_paused_with_a_full_segment(self) -> None:
-        """The paused owner would create the next segment, not rewrite one.
+    async def test_paused_before_segment_creation(self) -> None:
+        """The owner is paused right before it creates the next segment.
 
-        The new owner has created that segment before it served, so the
-        creation meets an object and fails like a rewrite.
+        The new owner creates that segment before it serves, so the creation
+        conflicts just as a rewrite does.
         """
         owner = await self.start_owner('1')
         successor = await self.start_node('2')
         await self._fill_segment(owner)
         owner.pause(self.network)
-        asked = asyncio.create_task(owner.begin(nodes_test.intent('one')))
+        begin_task = asyncio.create_task(owner.begin(nodes_test.intent('one')))
         await owner.client.held.wait()
         await nodes_test.until(successor.owns)
         owner.wake(self.network)
-        self.assertEqual((await asked).kind, Kind.UNAVAILABLE)
+        self.assertEqual((await begin_task).kind, Kind.UNAVAILABLE)
         await nodes_test.until(lambda: not owner.owns())
         self.assertNotIn(('intent', 'one'), self.log())
 
-    async def test_paused_after_its_write(self) -> None:
-        """The owner is paused between its write and the grant.
+    async def test_paused_after_write(self) -> None:
+        """The owner is paused between its log write and the grant.
 
-        The intent is durable, the lease has lapsed when it wakes. It must
-        not grant: the new owner may have told a resend that the outcome is
-        unknown, and bills it so.
+        The intent is durable, but the lease has expired on resumption. It
+        must not grant: a new owner may have replied UNKNOWN to a resend and
+        billed the request as such.
         """
         owner = await self.start_owner('1')
-        owner.client.applied = self._pause
+        owner.client.applied = self._expire_lease
         grant = await owner.begin(nodes_test.intent('one'))
         self.assertEqual(grant.kind, Kind.UNAVAILABLE)
 
-    def _pause(self) -> None:
+    def _expire_lease(self) -> None:
         self.clock.now += nodes_test.LEASE_S
 
     async def _fill_segment(self, owner: nodes_test.Node) -> None:
@@ -305,12 +303,12 @@
 
 
 class OutageTest(nodes_test.NodesCase):
-    """The platform is down for a while."""
+    """The platform is temporarily down."""
 
     async def test_outage(self) -> None:
-        """Nothing is granted, outcomes are owed and committed once after.
+        """No intent is granted; outcomes are committed once afterwards.
 
-        The entry sends each outcome again while it is not acknowledged; the
+        The entry process resends each outcome until it is acknowledged. The
         owner keeps one copy and writes it when the platform is back.
         """
         owner = await self.start_owner('1')
@@ -330,7 +328,7 @@
         self.assertEqual(grant.kind, Kind.GRANTED)
 
     async def test_bounded_memory(self) -> None:
-        """An owner keeps so many rows and no more; entries keep the rest."""
+        """An owner keeps at most `MAX_PENDING` rows in an outage."""
         owner = await self.start_owner('1')
         self.store.down = True
         limit = shard_owner.MAX_PENDING
@@ -348,8 +346,8 @@
 class LookupTest(nodes_test.NodesCase):
     """Lookups by key."""
 
-    async def test_pin_while_one_is_written(self) -> None:
-        """A session is pinned anew while its first pin is being written."""
+    async def test_pin_during_pin_write(self) -> None:
+        """A session is pinned again while its first pin is being written."""
         owner = await self.start_owner('1')
         pin = nodes_test.intent('s1', 'session')._replace(
             kind=journal_data.RowKind.SESSION
@@ -366,9 +364,9 @@
         self.assertEqual([row.note for row in self.rows()], ['', 'second'])
 
     async def test_lookup(self) -> None:
-        """The latest row of a kind is found from any node, and after kills.
+        """Any node finds the latest row of a kind, also after a kill.
 
-        A session's older pin that comes again late does not take its place.
+        An older pin of a session that is resent late does not replace it.
         """
         owner = await self.start_owner('1')
         successor = await self.start_node('2')
--- a/beryllug/control/upkeep_test.py
+++ b/beryllug/control/upkeep_test.py
@@ -1,4 +1,4 @@
-"""Usage, images and expiry of a shard.
+"""Tests of usage totals, images and expiry of a shard.
 
 Rows are large, so that a few of them fill a segment.
 """
@@ -35,7 +35,7 @@
 
 
 class UpkeepCase(nodes_test.NodesCase):
-    """Bills requests and checks their sum."""
+    """Bills requests and checks the usage totals."""
 
     async def _bill(self, node: nodes_test.Node, start: int, end: int) -> None:
         for number in range(start, end):
@@ -61,14 +61,14 @@
 
 
 class UsageTest(UpkeepCase):
-    """Each request counts once, over owners and faults."""
+    """Each request is counted once despite takeovers and faults."""
 
     async def test_usage_counts_once(self) -> None:
-        """Usage is right before, between and after folds that go wrong.
+        """Usage is correct before, between and after failed folds.
 
-        A fold whose answer is lost is repeated, an owner is killed between
-        folds, its successor folds the same segments: the account's sum
-        counts each request once whoever asks, whenever.
+        A fold with a lost reply is repeated; an owner is killed between
+        folds and its successor folds the same segments. The account's total
+        counts each request once at any time and on any node.
         """
         owner = await self.start_owner('1')
         successor = await self.start_node('2')
@@ -95,39 +95,39 @@
         await self._check(successor, 45)
 
     async def test_paused_fold(self) -> None:
-        """Two owners fold the same segments, one of them by mistake.
+        """An earlier owner is paused right before it writes a fold.
 
-        The earlier owner was paused right before its write, and wakes after
-        the new owner has counted more and deleted what it counted. The late
-        write meets another version; else what was deleted would be lost.
+        Meanwhile the new owner folds more segments and deletes them. The
+        late write must conflict; otherwise the usage of the deleted segments
+        would be lost.
         """
         owner = await self.start_owner('1')
         successor = await self.start_node('2')
         await self._bill(owner, 0, 10)
         owner.client.faulty = 'beryllug/'
         owner.client.gate.clear()
-        folding = asyncio.create_task(_owner(owner).upkeep.round(PAST))
+        fold_task = asyncio.create_task(_owner(owner).upkeep.round(PAST))
         await owner.client.held.wait()
         await nodes_test.until(successor.owns)
         await _owner(successor).upkeep.round(FUTURE)
         owner.client.gate.set()
         with self.assertRaises(object_data.ConflictError):
-            await folding
+            await fold_task
         await self._check(successor, 10)
 
 
 class UpkeepTest(UpkeepCase):
-    """Images, expiry, and tries that never end."""
+    """Images, expiry, and attempts without an outcome."""
 
     async def test_takeover_reads_the_image(self) -> None:
         """A new owner knows old keys without reading old rows.
 
-        Of forty segments it reads the image and the rows after it; it still
-        answers for the first key and for an open try.
+        Instead of forty segments it reads the image and the rows after it,
+        and still knows the first key and an open attempt.
         """
         owner = await self.start_owner('1')
-        open_try = nodes_test.intent('open', 'open')
-        await owner.begin(open_try)
+        open_intent = nodes_test.intent('open', 'open')
+        await owner.begin(open_intent)
         first = nodes_test.intent('first', 'first')
         await owner.begin(first)
         await owner.finish(nodes_test.outcome(first))
@@ -142,7 +142,7 @@
         self.assertIn('open', _owner(second).state.tries)
         for row, expected in (
             (first, journal_data.GrantKind.FINISHED),
-            (open_try, journal_data.GrantKind.UNKNOWN),
+            (open_intent, journal_data.GrantKind.UNKNOWN),
         ):
             with self.subTest(expected):
                 again = row._replace(request_id='again', entry='e/2')
@@ -152,7 +152,7 @@
         await self._check(second, 121)
 
     async def test_tables_are_saved(self) -> None:
-        """An index of several tables survives a takeover."""
+        """An index of several tables is restored by a takeover."""
         self.addCleanup(
             setattr, digest_index, 'MAX_USED', digest_index.MAX_USED
         )
@@ -176,11 +176,11 @@
         self.assertEqual(len(self.rows()), before)
 
     async def test_forgotten_outcomes(self) -> None:
-        """An outcome comes again after the index has forgotten it.
+        """Outcomes are resent after the index has forgotten their time.
 
-        Its entry was cut off from all control processes for long. One that
-        was written is found in the log and not written twice; one that never
-        was is written.
+        Their entry process could not reach any control process for long. An
+        outcome in the log is found and not written again; one that is not in
+        the log is written.
         """
         for name, small in (('MAX_USED', 20), ('MAX_TABLES', 2)):
             self.addCleanup(
@@ -200,7 +200,7 @@
         self.assertEqual(written.count('r1'), 1)
 
     async def test_expiry(self) -> None:
-        """Old segments are deleted, what was used stays counted."""
+        """Expired segments are deleted, and their usage stays counted."""
         owner = await self.start_owner('1')
         await self._bill(owner, 0, 30)
         await _owner(owner).upkeep.round(PAST)
@@ -212,11 +212,11 @@
         await self._bill(owner, 30, 40)
         await self._check(owner, 40)
 
-    async def test_tries_end(self) -> None:
-        """A try whose outcome nobody sends ends as unknown, and is billed so.
+    async def test_attempts_end(self) -> None:
+        """An attempt without an outcome ends and is billed as unknown.
 
-        Its entry and its owner were lost; a resend still learns that the
-        outcome is unknown, and memory is not kept for ever.
+        Its entry process and its owner were lost. A resend still learns that
+        the outcome is unknown, and the attempt's memory is freed.
         """
         owner = await self.start_owner('1')
         await owner.begin(nodes_test.intent('one'))
--- a/beryllug/control/virtual_time_test.py
+++ b/beryllug/control/virtual_time_test.py
@@ -1,8 +1,8 @@
 """Virtual time for tests of asyncio services.
 
-Where a loop would wait, its clock jumps instead. Leases of real length lapse
-in milliseconds of real time, and a busy machine changes no outcome: nothing
-happens between two events.
+Instead of waiting, the event loop advances its clock. Leases of production
+length expire in milliseconds of real time, and results do not depend on the
+load of the machine, as no time passes between two events.
 """
 
 import asyncio
@@ -13,19 +13,19 @@
 
 
 class Clock:
-    """A monotonic clock that only moves when told."""
+    """A monotonic clock that only advances when set."""
 
     def __init__(self) -> None:
-        """Start at some second that is not zero."""
+        """Start at an arbitrary time other than zero."""
         self.now = 1000.0
 
     def time(self) -> float:
-        """Return the present second."""
+        """Return the current time in seconds."""
         return self.now
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Lets the clock jump instead of waiting."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """Advances the clock instead of waiting."""
 
     def __init__(self, clock: Clock) -> None:
         super().__init__()
@@ -37,51 +37,51 @@
         return super().select(0)
 
 
-class _Policy(asyncio.DefaultEventLoopPolicy):
-    """Makes loops that live in virtual time."""
+class _VirtualTimePolicy(asyncio.DefaultEventLoopPolicy):
+    """Creates event loops that run in virtual time."""
 
     def __init__(self, clock: Clock) -> None:
         super().__init__()
         self._clock = clock
 
     def new_event_loop(self) -> asyncio.AbstractEventLoop:
-        return asyncio.SelectorEventLoop(_JumpingSelector(self._clock))
+        return asyncio.SelectorEventLoop(_VirtualTimeSelector(self._clock))
 
 
 class VirtualTimeCase(IsolatedAsyncioTestCase):
     """Runs its tests in virtual time; they may use no real sockets.
 
     Attributes:
-        clock: The clock. A test that moves it pauses all processes at once,
-            in the middle of what they do.
+        clock: The clock. Advancing it in a test acts as a pause of all
+            simulated processes at the same time.
     """
 
     clock: Clock
 
     @classmethod
     def setUpClass(cls) -> None:
-        """Replace the clock and the event loops of this class's tests."""
+        """Replace the clock and the event loop policy for this class."""
         super().setUpClass()
         clock = Clock()
         cls.clock = clock
-        patched = mock.patch.object(time, 'monotonic', clock.time)
-        patched.start()
-        cls.addClassCleanup(patched.stop)
-        before = asyncio.get_event_loop_policy()
-        asyncio.set_event_loop_policy(_Policy(clock))
-        cls.addClassCleanup(asyncio.set_event_loop_policy, before)
+        clock_patch = mock.patch.object(time, 'monotonic', clock.time)
+        clock_patch.start()
+        cls.addClassCleanup(clock_patch.stop)
+        previous_policy = asyncio.get_event_loop_policy()
+        asyncio.set_event_loop_policy(_VirtualTimePolicy(clock))
+        cls.addClassCleanup(asyncio.set_event_loop_policy, previous_policy)
 
     async def asyncSetUp(self) -> None:
-        """Spare the cost of asyncio's debug mode."""
+        """Turn asyncio's debug mode off, as it is slow."""
         await super().asyncSetUp()
         asyncio.get_running_loop().set_debug(False)
 
 
 class JumpTest(VirtualTimeCase):
-    """The clock jumps."""
+    """The clock advances without waiting."""
 
     async def test_jump(self) -> None:
-        """Timeouts and sleeps of an hour pass at once, in their order."""
+        """Sleeps and timeouts of up to an hour end at once, in order."""
         start = time.monotonic()
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(1800):
