--- a/beryllug/control/answers.py
+++ b/beryllug/control/answers.py
@@ -17,7 +17,7 @@
 PREFIX = 'beryllug/answers/'
 EXPIRY_LEASE = 'answers'
 EXPIRE_INTERVAL_S = 600.0
-# Limits the rate of deletions, however many answers have expired.
+# Limits the platform writes of a pass, however many answers have expired.
 DELETE_INTERVAL_S = 0.1
 EXPIRED_DAYS_CHECKED = 3
 PART_BYTES = 900000
--- a/beryllug/control/copies.py
+++ b/beryllug/control/copies.py
@@ -96,7 +96,7 @@
         reply = await self._calls.call(name, methods.FLUSHED, request, COPY_S)
         return reply is not None
 
-    def keep_own(self, request: outage_data.CopyAsk) -> None:
+    def store_unflushed(self, request: outage_data.CopyAsk) -> None:
         """Store the unflushed rows of a shard that this process has lost."""
         outage.keep(self._stored, request, time.monotonic())
 
--- a/beryllug/control/images.py
+++ b/beryllug/control/images.py
@@ -95,7 +95,7 @@
     name: str,
     table: image_data.PackedTable,
 ) -> None:
-    """Write a table; its name is unique as it holds the fencing token."""
+    """Write one full table; its name holds the owner's fencing token."""
     await api.write(table_key(shard, name), _encode(table), None)
 
 
--- a/beryllug/control/journal.py
+++ b/beryllug/control/journal.py
@@ -81,7 +81,7 @@
         forwarded = request._replace(hops=request.hops + 1)
         reply = await self._shards.route(
             shard,
-            shards.Routed(methods.LOOKUP, forwarded, forwarded.hops),
+            shards.RoutedMessage(methods.LOOKUP, forwarded, forwarded.hops),
             lambda owner: owner.lookup(request),
         )
         if isinstance(reply, shards.Lost):
@@ -130,7 +130,9 @@
         batch = rpc_data.IntentBatch(tuple(rows), hops + 1)
         reply = await self._shards.route(
             shard,
-            shards.Routed(methods.BEGIN, batch, batch.hops, _is_not_owner),
+            shards.RoutedMessage(
+                methods.BEGIN, batch, batch.hops, _is_not_owner
+            ),
             lambda owner: _begin_with_owner(owner, rows),
         )
         if isinstance(reply, shards.Lost):
@@ -143,7 +145,7 @@
         batch = rpc_data.OutcomeBatch(tuple(rows), hops + 1)
         reply = await self._shards.route(
             shard,
-            shards.Routed(methods.FINISH, batch, batch.hops),
+            shards.RoutedMessage(methods.FINISH, batch, batch.hops),
             lambda owner: _finish_with_owner(owner, rows),
         )
         if isinstance(reply, shards.Lost):
--- a/beryllug/control/shard_cover.py
+++ b/beryllug/control/shard_cover.py
@@ -151,11 +151,11 @@
                 self._ownership.lease_name, unflushed=False
             )
 
-    def keep_own(self, state: shard_state.ShardState) -> None:
+    def store_unflushed(self, state: shard_state.ShardState) -> None:
         """Store the rows that are not durable when the shard is lost."""
         rows = _unflushed_rows(state)
         if rows:
-            self._services.copies.keep_own(self._copy_request(rows))
+            self._services.copies.store_unflushed(self._copy_request(rows))
 
     async def _replace_lost_copies(self, state: shard_state.ShardState) -> None:
         """Copy intents again when the candidates that stored them are lost.
--- a/beryllug/control/shard_owner.py
+++ b/beryllug/control/shard_owner.py
@@ -83,7 +83,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._committer.stop()
-        self._replicator.keep_own(self.state)
+        self._replicator.store_unflushed(self.state)
 
     async def flush(self, grace_s: float) -> bool:
         """Make all rows durable; False if some stay in memory only."""
@@ -118,7 +118,7 @@
         return await self._grant(row)
 
     async def finish(self, row: journal_data.Row) -> bool:
-        """Return whether a row is durable; if not, it must be sent again."""
+        """Return whether a row is durable; if not, it may still be pending."""
         if (
             not await self._committer.ready(FINISH_WAIT_S)
             or len(self.state.pending) >= MAX_PENDING
--- a/beryllug/control/shards.py
+++ b/beryllug/control/shards.py
@@ -43,7 +43,7 @@
     peers: rpc_peers.Caller
 
 
-class Routed(NamedTuple, Generic[Ask, Reply]):
+class RoutedMessage(NamedTuple, Generic[Ask, Reply]):
     """A message to be forwarded to the owner of a shard.
 
     Attributes:
@@ -174,7 +174,7 @@
     async def route(
         self,
         shard: int,
-        routed: Routed[Ask, Reply],
+        routed: RoutedMessage[Ask, Reply],
         local: Callable[[shard_owner.ShardOwner], Awaitable[Reply]],
     ) -> Reply | Lost:
         """Process a message at the shard's owner, local or remote.
@@ -231,7 +231,7 @@
         return flushed
 
     async def _forward(
-        self, shard: int, routed: Routed[Ask, Reply]
+        self, shard: int, routed: RoutedMessage[Ask, Reply]
     ) -> Reply | Lost:
         owner = await self._parts.leases.owner_of(lease_name(shard))
         address = owner.address if owner else ''
--- a/beryllug/control/upkeep_test.py
+++ b/beryllug/control/upkeep_test.py
@@ -176,7 +176,7 @@
         self.assertEqual(len(self.rows()), before)
 
     async def test_forgotten_outcomes(self) -> None:
-        """Outcomes are resent after the index has forgotten their time.
+        """Outcomes arrive after the index has forgotten rows of their time.
 
         Their entry process could not reach any control process for long. An
         outcome in the log is found and not written again; one that is not in
