--- a/beryllug/control/answers.py
+++ b/beryllug/control/answers.py
@@ -18,7 +18,7 @@
 EXPIRY_LEASE = 'answers'
 EXPIRE_INTERVAL_S = 600.0
 # Limits the platform writes of a pass, however many answers have expired.
-DELETE_INTERVAL_S = 0.1
+DELETE_EVERY_S = 0.1
 EXPIRED_DAYS_CHECKED = 3
 PART_BYTES = 900000
 FIRST = 0
@@ -128,7 +128,7 @@
             for entry in listing.entries:
                 await self._api.delete(entry.key, entry.version)
                 self._counts['expired'] += 1
-                await asyncio.sleep(DELETE_INTERVAL_S)
+                await asyncio.sleep(DELETE_EVERY_S)
 
     async def _run(self) -> None:
         while True:
