--- a/beryllug/entry/admission.py
+++ b/beryllug/entry/admission.py
@@ -30,8 +30,8 @@
     {
         limits.Why.SHARE: 'the account uses more than its share',
         limits.Why.FULL: 'no capacity is free',
-        limits.Why.LATE: 'the latency target can not be met now',
-        limits.Why.DOWN: 'no backend server is available now',
+        limits.Why.LATE: 'the target can not be met now',
+        limits.Why.DOWN: 'no backend server takes work now',
     }
 )
 
--- a/beryllug/entry/bills.py
+++ b/beryllug/entry/bills.py
@@ -179,6 +179,6 @@
         case _:
             return refusal.Refusal(
                 refusal.Code.JOURNAL_UNAVAILABLE,
-                'requests that may run only once can not be journaled now',
+                'requests that may run only once are not taken now',
                 retry_after_s=grant.retry_after_s,
             )
--- a/beryllug/entry/callers.py
+++ b/beryllug/entry/callers.py
@@ -186,7 +186,7 @@
             raise refusal.RefusedError(
                 refusal.Refusal(
                     refusal.Code.OVER_LIMIT,
-                    'this host serves too many requests now',
+                    'this host serves as many requests as it may',
                     retry_after_s=STOPPING_RETRY_S,
                 )
             )
--- a/beryllug/router/attempt_log.py
+++ b/beryllug/router/attempt_log.py
@@ -58,7 +58,7 @@
         yield metrics_data.Sample(
             'log_lines_dropped',
             self._lines.dropped,
-            'Log lines dropped: not read in time, or over the rate limit.',
+            'Log lines dropped since nobody read, or beyond the bound.',
             metrics_data.Kind.COUNTER,
         )
 
--- a/beryllug/router/eligible.py
+++ b/beryllug/router/eligible.py
@@ -190,7 +190,7 @@
         yield metrics_data.Sample(
             'servers_cold',
             sum(until > now for until in self._cold.until.values()),
-            'Backend servers that are sent few requests after their start.',
+            'Backend servers that bear few requests after their start.',
         )
 
     def _accepting(
--- a/beryllug/router/server_limits.py
+++ b/beryllug/router/server_limits.py
@@ -70,7 +70,7 @@
         yield metrics_data.Sample(
             'servers_limited',
             len(server_limits.limited(self.known)),
-            'Backend servers that name a limit on requests per second.',
+            'Backend servers that name a limit on requests a second.',
         )
 
     def per_s(self, instance: str) -> float | None:
--- a/beryllug/router/statements.py
+++ b/beryllug/router/statements.py
@@ -77,12 +77,12 @@
         yield metrics_data.Sample(
             'servers_leaving',
             len(self._leaving.listed(now)),
-            'Listed backend servers that have stated that they are leaving.',
+            'Listed backend servers that have stated that they leave.',
         )
         yield metrics_data.Sample(
             'servers_backing_off',
             len(self._backing_off_s(now)),
-            'Backend servers that have asked this process to back off.',
+            'Backend servers that this process sends nothing for a while.',
         )
 
     def heard(self, answer_head: dispatch.AnswerHead) -> None:
