--- a/beryllug/control/candidate_calls.py
+++ b/beryllug/control/candidate_calls.py
@@ -1,4 +1,4 @@
-"""Calls of candidates of a lease by their names."""
+"""RPC calls to the candidates of a lease, addressed by member name."""
 
 from typing import Any, Protocol
 
@@ -7,19 +7,19 @@
 
 
 class Server(Protocol):
-    """What these modules need of the process's server."""
+    """The part of the RPC server of this process that is used here."""
 
     def unary(self, method: rpc.Method[Any, Any], handler: rpc.Unary) -> None:
-        """Serve a method that takes one message and gives one."""
+        """Register the handler of a unary method."""
 
 
 class CandidateCalls:
-    """Calls of members by name; a failure is no answer."""
+    """Calls members by name; an RPC error counts as no answer."""
 
     def __init__(
         self, leases: lease_outage.LeaseOutage, calls: rpc_peers.Caller
     ) -> None:
-        """Bind to the members, as the leases know them."""
+        """Use the member addresses that the leases service knows."""
         self._leases = leases
         self._calls = calls
 
@@ -30,7 +30,7 @@
         ask: rpc.Ask,
         timeout_s: float,
     ) -> rpc.Reply | None:
-        """Call a member; None when it does not answer."""
+        """Call a member; return None when it does not answer."""
         address = self._leases.address_of(name)
         if address is None:
             return None
--- a/beryllug/control/fake_engines_test.py
+++ b/beryllug/control/fake_engines_test.py
@@ -1,4 +1,4 @@
-"""Engines, a lease and a weight store in memory, for tests of orders."""
+"""In-memory engines, lease and weight store for tests of orders."""
 
 import asyncio
 import time
@@ -24,21 +24,23 @@
 
 @dataclass
 class FakeEngine:
-    """One engine: what it has loaded and what it obeyed, with the time."""
+    """One engine with its loaded versions and the orders it executed."""
 
     checks: bool
     loaded: set[config_data.VersionRef]
     load_s: float = 0.0
     busy: int = 0
     fencing: int = 0
-    obeyed: list[tuple[float, engine_data.Order]] = field(default_factory=list)
+    executed: list[tuple[float, engine_data.Order]] = field(
+        default_factory=list
+    )
 
-    def obey(self, order: engine_data.Order) -> None:
-        """Carry an order out, or refuse its old token."""
+    def execute(self, order: engine_data.Order) -> None:
+        """Execute an order, or refuse it if its fencing token is stale."""
         if self.checks and order.fencing < self.fencing:
             raise engine_data.StaleOrderError(self.fencing)
         self.fencing = max(self.fencing, order.fencing)
-        self.obeyed.append((time.monotonic(), order))
+        self.executed.append((time.monotonic(), order))
         if order.kind is engine_data.OrderKind.UNLOAD:
             self.loaded.discard(order.version)
         else:
@@ -46,32 +48,32 @@
             loop.call_later(self.load_s, self.loaded.add, order.version)
 
 
-class Wires:
-    """One sender's way to the engines.
+class FaultyClient:
+    """The engine client of one sender, with injected faults.
 
     Attributes:
-        reading: Cleared to hold the sender where it reads back.
-        held: Set while it is held there.
-        late: Orders on their way, when they come late.
-        delays: Whether orders come late: the sender gets no answer.
-        loses: Whether answers to orders are lost.
+        read_gate: Cleared to block the sender when it reads a load report.
+        blocked: Set once the sender is blocked there.
+        delayed: Delayed orders with their addresses.
+        delays: Whether orders are delayed and get no answer.
+        loses_answers: Whether answers to orders are lost.
     """
 
     def __init__(self, engines: dict[str, FakeEngine]) -> None:
-        """Make a way without faults."""
-        self.reading = asyncio.Event()
-        self.reading.set()
-        self.held = asyncio.Event()
-        self.late: list[tuple[str, engine_data.Order]] = []
+        """Initialize without faults."""
+        self.read_gate = asyncio.Event()
+        self.read_gate.set()
+        self.blocked = asyncio.Event()
+        self.delayed: list[tuple[str, engine_data.Order]] = []
         self.delays = False
-        self.loses = False
+        self.loses_answers = False
         self._engines = engines
 
     async def load(self, address: str) -> engine_data.LoadReport:
-        """Report; measured now."""
-        if not self.reading.is_set():
-            self.held.set()
-            await self.reading.wait()
+        """Return a load report, measured now."""
+        if not self.read_gate.is_set():
+            self.blocked.set()
+            await self.read_gate.wait()
         await asyncio.sleep(0.01)
         engine = self._engines[address]
         return engine_data.LoadReport(
@@ -83,77 +85,77 @@
         )
 
     async def order(self, address: str, order: engine_data.Order) -> None:
-        """Hand an order over, unless it comes late."""
+        """Deliver an order, or delay it."""
         if self.delays:
-            self.late.append((address, order))
+            self.delayed.append((address, order))
             await asyncio.sleep(3600)
         await asyncio.sleep(0.01)
-        self._engines[address].obey(order)
-        if self.loses:
+        self._engines[address].execute(order)
+        if self.loses_answers:
             raise engine_data.UnknownRunError('answer lost')
 
-    def land(self) -> list[bool]:
-        """Let late orders arrive; return which were obeyed."""
-        landed = []
-        for address, order in self.late:
+    def deliver_late(self) -> list[bool]:
+        """Deliver the delayed orders; return which were executed."""
+        delivered = []
+        for address, order in self.delayed:
             try:
-                self._engines[address].obey(order)
+                self._engines[address].execute(order)
             except engine_data.StaleOrderError:
-                landed.append(False)
+                delivered.append(False)
             else:
-                landed.append(True)
-        self.late.clear()
-        return landed
+                delivered.append(True)
+        self.delayed.clear()
+        return delivered
 
 
 class Lease:
-    """The lease as one process sees it."""
+    """A fake lease of one process."""
 
     def __init__(self, fencing: int) -> None:
-        """Hold it without end."""
+        """Hold the lease without expiry."""
         self.token: lease_data.Token | None = lease_data.Token(
             'orders/p', 'holder', fencing, float('inf')
         )
 
     def held(self, name: str, now: float) -> lease_data.Token | None:
-        """Return the token while it holds."""
+        """Return the token while it is valid."""
         if self.token is None or now >= self.token.valid_until:
             return None
         return self.token
 
-    def lapse_in(self, left_s: float) -> None:
-        """Let it be renewed no more."""
+    def expire_in(self, left_s: float) -> None:
+        """Let the lease expire after some seconds."""
         assert self.token is not None
         until = time.monotonic() + left_s
         self.token = self.token._replace(valid_until=until)
 
 
 class Store:
-    """A weight store with a rate of its own."""
+    """A weight store that can refuse reads by its rate limit."""
 
     def __init__(self) -> None:
-        """Have every version."""
+        """Store every version, without a rate limit."""
         self.reads = 0
         self.limited = False
-        self.has = True
+        self.has_weights = True
 
     async def read(
         self, version: config_data.VersionRef
     ) -> weight_store.Weights | None:
-        """Read the facts on a version."""
+        """Return the weights of a version."""
         self.reads += 1
         if self.limited:
             raise weight_store.RateLimitedError(30)
-        return weight_store.Weights(1, 'digest') if self.has else None
+        return weight_store.Weights(1, 'digest') if self.has_weights else None
 
 
-class Scene:
-    """Engines, a document, and the senders before them."""
+class OrdersFixture:
+    """Engines, a configuration document, and senders for them."""
 
     def __init__(
         self, *, checks: bool, loaded: frozenset[config_data.VersionRef]
     ) -> None:
-        """Make three engines that have the same loaded."""
+        """Create three engines with the same versions loaded."""
         self.engines = {name: FakeEngine(checks, set(loaded)) for name in NAMES}
         self.store = Store()
         self.accepts = True
@@ -164,7 +166,7 @@
     def declare(
         self, *withdrawn: config_data.VersionRef
     ) -> config_data.Document:
-        """Put a document in force."""
+        """Replace the document; the given versions are withdrawn."""
         versions = tuple(
             config_data.Version(ref, POOL, 1, withdrawn=ref in withdrawn)
             for ref in (V1, V2)
@@ -175,7 +177,7 @@
         return self.document
 
     def parts(self) -> view_parts.ViewParts:
-        """Return the view, with load reports of now."""
+        """Return the view, with current load reports."""
         live = view_data.ServerState.LIVE
         return view_parts.ViewParts(
             document=self.document,
@@ -191,49 +193,51 @@
             ),
         )
 
-    def sender(self, lease: Lease, wires: Wires) -> order_sender.OrderSender:
-        """Make a sender."""
-        wired = order_sender.Wired(
-            engines=wires,
+    def sender(
+        self, lease: Lease, client: FaultyClient
+    ) -> order_sender.OrderSender:
+        """Create a sender."""
+        context = order_sender.SenderContext(
+            engines=client,
             leases=lease,
-            weights=order_weights.Weights(self.store),
+            weights=order_weights.LoadLimiter(self.store),
             parts=self.parts,
             accepts=lambda: self.accepts,
             lease_s=LEASE_S,
             grace_s=GRACE_S,
         )
-        return order_sender.OrderSender(POOL, wired)
+        return order_sender.OrderSender(POOL, context)
 
     def copies(self, ref: config_data.VersionRef) -> int:
-        """Return how many engines have a version."""
+        """Return how many engines have a version loaded."""
         return sum(ref in made.loaded for made in self.engines.values())
 
-    def settled(self, *refs: config_data.VersionRef) -> Callable[[], bool]:
-        """Return a look whether every engine has exactly some versions."""
+    def all_have(self, *refs: config_data.VersionRef) -> Callable[[], bool]:
+        """Return a condition: all engines have exactly these versions."""
         return lambda: self.loaded() == {frozenset(refs)}
 
     def loaded(self) -> set[frozenset[config_data.VersionRef]]:
-        """Return the sets of versions that engines have."""
+        """Return the distinct sets of loaded versions."""
         return {frozenset(engine.loaded) for engine in self.engines.values()}
 
     def orders(self) -> list[tuple[float, engine_data.Order]]:
-        """Return all obeyed orders in their order."""
-        found = [one for made in self.engines.values() for one in made.obeyed]
+        """Return all executed orders by time of execution."""
+        found = [one for made in self.engines.values() for one in made.executed]
         return sorted(found, key=lambda one: one[0])
 
 
 class FakeEngineTest(unittest.TestCase):
-    """The fake engine checks tokens, or not."""
+    """Tests of the fake engine itself."""
 
     def test_fencing(self) -> None:
-        """An old token is refused by an engine that checks it."""
+        """Only an engine that checks fencing tokens refuses a stale one."""
         unload = engine_data.Order('', engine_data.OrderKind.UNLOAD, V1, 1)
         checking = FakeEngine(checks=True, loaded={V1}, fencing=2)
         with self.assertRaises(engine_data.StaleOrderError):
-            checking.obey(unload)
+            checking.execute(unload)
         self.assertEqual(checking.loaded, {V1})
         ignoring = FakeEngine(checks=False, loaded={V1}, fencing=2)
-        ignoring.obey(unload)
+        ignoring.execute(unload)
         self.assertEqual(ignoring.loaded, set())
 
 
--- a/beryllug/control/lease_lookup.py
+++ b/beryllug/control/lease_lookup.py
@@ -1,7 +1,8 @@
-"""Who holds which lease, for processes that do not hold it.
+"""Looks up the holders of leases that this process does not hold.
 
-Holders pass on what they won with the heartbeats, so the platform is read
-only for what nobody told, or when a holder did not answer as one.
+Holders announce acquired leases with their heartbeats. The platform is read
+only for a lease that nobody announced, or when a call to the known holder
+failed or reached a process that does not hold the lease.
 """
 
 import time
@@ -11,13 +12,13 @@
 from beryllug.control import lease_task
 from beryllug.core import lease_data, member_data
 
-FRESH_S = 0.2
-KNOWN_S = 60.0
-NOTE = 'lease/'
+MAX_FRESH_AGE_S = 0.2
+MAX_CACHE_AGE_S = 60.0
+NOTE_PREFIX = 'lease/'
 
 
 class Members(Protocol):
-    """What leases need of the membership service."""
+    """The part of the membership service that leases use."""
 
     def live(self, now: float) -> tuple[str, ...]:
         """Return the names of live members, this process among them."""
@@ -29,61 +30,65 @@
         """Return a member's address."""
 
     def started(self, member: str) -> int:
-        """Return the number of a member's start, 0 when not known."""
+        """Return the start number of a member, 0 when it is not known."""
 
     def publish(self, note: member_data.Note) -> None:
-        """Pass a fact on to all members."""
+        """Spread a note to all members."""
 
     def note(self, key: str) -> member_data.Note | None:
-        """Return a fact that a member passed on."""
+        """Return a note that a member published, by its key."""
 
 
 class LeaseLookup:
-    """Answers who holds a lease."""
+    """Returns the current holders of leases."""
 
     def __init__(
         self,
-        tended: lease_task.Tended,
+        context: lease_task.TaskContext,
         tasks: Mapping[str, lease_task.LeaseTask],
         members: Members,
     ) -> None:
-        """Make a lookup.
+        """Initialize the lookup.
 
         Args:
-            tended: What lease tasks share.
-            tasks: The tasks of this process's own leases.
+            context: Dependencies that all lease tasks share.
+            tasks: Tasks of the leases that this process wants, by name.
             members: The membership service.
         """
-        self._tended = tended
+        self._context = context
         self._tasks = tasks
         self._members = members
-        self._seen: dict[str, lease_task.LeaseTask] = {}
+        self._lookup_tasks: dict[str, lease_task.LeaseTask] = {}
 
-    def tell(self, name: str, fencing: int, owner: lease_data.Owner) -> None:
-        """Tell all members that this process holds a lease."""
+    def announce(
+        self, name: str, fencing: int, owner: lease_data.Owner
+    ) -> None:
+        """Announce to all members that this process holds a lease."""
         body = f'{owner.name} {owner.address}'
-        self._members.publish(member_data.Note(NOTE + name, fencing, body))
+        self._members.publish(
+            member_data.Note(NOTE_PREFIX + name, fencing, body)
+        )
 
     async def owner_of(
         self, name: str, *, fresh: bool
     ) -> lease_data.Lease | None:
-        """Return a lease as it stands; the last known in an outage."""
+        """Return the current lease, or the last known one in an outage."""
         task = self._task(name)
-        told = _from_note(self._members.note(NOTE + name))
+        announced = _from_note(self._members.note(NOTE_PREFIX + name))
         age_s = time.monotonic() - task.state.read_at
-        stale = told is None and age_s > KNOWN_S
-        if stale or (fresh and age_s > FRESH_S):
+        stale = announced is None and age_s > MAX_CACHE_AGE_S
+        if stale or (fresh and age_s > MAX_FRESH_AGE_S):
             await task.read()
         known = task.state.lease
-        if told and (known is None or told.fencing > known.fencing):
-            return told
+        if announced and (known is None or announced.fencing > known.fencing):
+            return announced
         return known
 
     def _task(self, name: str) -> lease_task.LeaseTask:
-        task = self._tasks.get(name) or self._seen.get(name)
+        task = self._tasks.get(name) or self._lookup_tasks.get(name)
         if task is None:
-            task = lease_task.LeaseTask(name, self._tended)
-            self._seen[name] = task
+            task = lease_task.LeaseTask(name, self._context)
+            self._lookup_tasks[name] = task
         return task
 
 
--- a/beryllug/control/lease_outage.py
+++ b/beryllug/control/lease_outage.py
@@ -1,7 +1,7 @@
-"""What a platform outage needs to know of the leases, and changes in them.
+"""Access to the leases of this process for the handling of platform outages.
 
-While the platform is down a holder can't renew. It may go on when every
-process that could take its lease has promised not to for a while.
+While the platform is down a holder can't renew its lease. It may continue as
+long as every process that could acquire the lease has promised not to.
 """
 
 import time
@@ -10,16 +10,17 @@
 from beryllug.control import lease_balance, lease_task
 from beryllug.core import lease, lease_data, outage_data
 
-LATE_RENEWALS = 1.5
+OVERDUE_FACTOR = 1.5
 
 
 class LeaseOutage:
-    """The leases of a process in an outage.
+    """Reads and changes the leases of this process during an outage.
 
     Attributes:
-        terms: Durations of leases.
-        unflushed: Names of leases under which something was granted, or may
-            have to be gathered, that the platform does not have.
+        terms: Lease durations.
+        unflushed: Names of leases with rows that the platform does not have:
+            granted under the lease, or possibly still to be gathered from
+            the candidates.
     """
 
     def __init__(
@@ -28,27 +29,28 @@
         terms: lease_data.Terms,
         balance: lease_balance.Balance,
     ) -> None:
-        """Bind to the tasks of the process's leases."""
+        """Initialize with the lease tasks of this process."""
         self.terms = terms
         self.unflushed: set[str] = set()
         self._tasks = tasks
         self._balance = balance
-        self._no_take_until = float('-inf')
+        self._acquire_not_before = float('-inf')
 
-    def standing(self, name: str) -> lease_data.Standing:
-        """Return how this process stands to a lease."""
+    def claim(self, name: str) -> lease_data.Standing:
+        """Return the rank and the candidates of this process for a lease."""
         return lease_data.Standing(
             self._balance.rank(name),
             self._balance.candidates(name),
             name in self.unflushed,
-            time.monotonic() >= self._no_take_until,
+            time.monotonic() >= self._acquire_not_before,
         )
 
     def mark(self, name: str, *, unflushed: bool) -> None:
-        """Say with the next renewal whether something is unflushed.
+        """Set whether a lease has unflushed rows.
 
-        That nothing is any more is said at once: it spares the next holder
-        asking the candidates.
+        The flag is written with the next renewal. When it is cleared the
+        lease is renewed at once, because the next holder then does not need
+        to ask the candidates.
         """
         if unflushed:
             self.unflushed.add(name)
@@ -58,48 +60,50 @@
             task.renew_now()
         self.unflushed.discard(name)
 
-    def is_struggling(self, now: float) -> bool:
-        """Tell whether a held lease could not be renewed for a while."""
-        late_s = LATE_RENEWALS * self.terms.renew_s
+    def is_renewal_overdue(self, now: float) -> bool:
+        """Tell whether the renewal of a held lease is overdue."""
+        overdue_s = OVERDUE_FACTOR * self.terms.renew_s
         return any(
-            task.state.fencing and now - task.state.renewed_at > late_s
+            task.state.fencing and now - task.state.renewed_at > overdue_s
             for task in self._tasks.values()
         )
 
     def candidates(self, name: str) -> tuple[lease_data.Candidate, ...]:
-        """Return who may take a held lease, by its last known writes."""
+        """Return who may acquire a held lease, by its last known writes."""
         task = self._tasks.get(name)
         if task is None or not task.state.fencing:
             return ()
         return lease.candidates(task.state)
 
-    def limit(self, name: str) -> float:
-        """Return until when nobody else takes a held lease."""
+    def candidates_only_until(self, name: str) -> float:
+        """Return until when only candidates may acquire a held lease."""
         task = self._tasks.get(name)
         if task is None or not task.state.fencing:
             return float('-inf')
         return lease.outage_limit(task.state, self.terms)
 
     def before(self, name: str) -> lease_data.Lease | None:
-        """Return a held lease as it was when this process took it."""
+        """Return a held lease as it was before this process acquired it."""
         task = self._tasks.get(name)
         return task.state.before if task else None
 
-    def hold_off(self, until: float) -> bool:
-        """Take no lease before a second; False when one may be taken now.
+    def block_acquisition(self, until: float) -> bool:
+        """Acquire no lease before a given time of the monotonic clock.
 
-        A write that takes a lease may be on its way, and may take effect
-        after any promise.
+        Returns:
+            False when a write that acquires a lease may be in flight: it
+            could take effect after any promise.
         """
-        self._no_take_until = max(self._no_take_until, until)
-        for watching in self._tasks.values():
-            watching.watch_anew()
+        self._acquire_not_before = max(self._acquire_not_before, until)
+        for reset_task in self._tasks.values():
+            reset_task.reset_observation()
         return not any(task.state.taking for task in self._tasks.values())
 
     def held(self) -> tuple[outage_data.HeldLease, ...]:
         """Return the leases that this process holds, as far as it knows.
 
-        One that lapsed in an outage counts until it is seen with another.
+        A lease that expired in an outage counts until it is read with
+        another holder.
         """
         return tuple(
             outage_data.HeldLease(name, task.state.fencing)
@@ -108,14 +112,14 @@
         )
 
     def known_fencing(self, name: str) -> int:
-        """Return the highest fencing token of a lease that was seen here."""
+        """Return the highest fencing token of a lease known here."""
         task = self._tasks.get(name)
         if task is None or task.state.lease is None:
             return 0
         return task.state.lease.fencing
 
     def own(self) -> lease_data.Candidate:
-        """Return this process as others list it."""
+        """Return this process as a candidate."""
         return self._balance.own()
 
     def address_of(self, member: str) -> str | None:
--- a/beryllug/control/lease_task.py
+++ b/beryllug/control/lease_task.py
@@ -1,4 +1,4 @@
-"""The task that tends one lease, as `core.lease` decides."""
+"""The task that maintains one lease by the decisions of `core.lease`."""
 
 import asyncio
 import time
@@ -19,94 +19,95 @@
 decode = msgspec.msgpack.Decoder(lease_data.Lease).decode
 
 
-class Tended(NamedTuple):
-    """What all lease tasks of a process share.
+class TaskContext(NamedTuple):
+    """Dependencies that all lease tasks of a process share.
 
     Attributes:
         api: The platform.
         owner: This process.
-        terms: Durations.
-        standing: Returns how this process stands to a lease.
-        changed: Called with name and fencing token when a lease is won, and
-            with 0 when it is lost or given back.
+        terms: Lease durations.
+        claim: Returns the rank and the candidates of this process for a
+            lease.
+        changed: Called with the name and the fencing token when a lease is
+            acquired, and with the name and 0 when it is lost or released.
     """
 
     api: object_api.ObjectApi
     owner: lease_data.Owner
     terms: lease_data.Terms
-    standing: Callable[[str], lease_data.Standing]
+    claim: Callable[[str], lease_data.Standing]
     changed: Callable[[str, int], Awaitable[None]]
 
 
 class LeaseTask:
-    """Reads, takes, renews and gives back one lease.
+    """Reads, acquires, renews and releases one lease.
 
     Attributes:
-        state: What is known of it.
+        state: The known state of the lease.
     """
 
-    def __init__(self, name: str, tended: Tended) -> None:
-        """Make the task; it reads nothing before `start` or `read`."""
+    def __init__(self, name: str, context: TaskContext) -> None:
+        """Initialize; nothing is read before `start` or `read`."""
         self.state = lease.LeaseState(name)
-        self._tended = tended
-        self._told = 0
+        self._context = context
+        self._reported_fencing = 0
         self._wake = asyncio.Event()
-        self._idle = asyncio.Event()
+        self._not_held = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to tend the lease."""
+        """Start to maintain the lease."""
         name = f'lease {self.state.name}'
         self._task = asyncio.create_task(lasting.repeat(name, self._round))
 
     async def stop(self) -> None:
-        """Stop tending it, whatever its state."""
+        """Stop maintaining the lease, in whatever state it is."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    async def give_back(self, wait_s: float) -> bool:
-        """Give the lease back; False when that takes too long."""
+    async def release_lease(self, wait_s: float) -> bool:
+        """Release the lease; return False when that takes too long."""
         if self._task is None or not self.state.fencing:
             return True
-        self._idle.clear()
+        self._not_held.clear()
         self.state.releasing = True
         self._wake.set()
-        given = await waiters.set_within(self._idle, wait_s)
+        released = await waiters.set_within(self._not_held, wait_s)
         self.state.releasing = False
-        return given
+        return released
 
-    def nudge(self) -> None:
-        """Read the lease now: it was given back."""
+    def read_now(self) -> None:
+        """Read the lease now, because its holder released it."""
         if not self.state.fencing:
             self.state.known = False
             self._wake.set()
 
     def renew_now(self) -> None:
-        """Renew at once, so that others read what has changed."""
+        """Renew at once, so that others read the changed content."""
         if self.state.fencing:
             self.state.renewed_at = min(
                 self.state.renewed_at,
-                time.monotonic() - self._tended.terms.renew_s,
+                time.monotonic() - self._context.terms.renew_s,
             )
             self._wake.set()
 
-    def watch_anew(self) -> None:
-        """Forget for how long the lease was seen unchanged."""
+    def reset_observation(self) -> None:
+        """Restart the time for which the lease was seen unchanged."""
         self.state.read_at = float('-inf')
 
     async def read(self) -> bool:
-        """Read the lease; False when the platform does not answer."""
+        """Read the lease; return False when the platform does not answer."""
         try:
-            found = await self._tended.api.read(PREFIX + self.state.name)
+            found = await self._context.api.read(PREFIX + self.state.name)
         except object_data.ObjectApiError:
             return False
         version = found.version if found else 0
         content = decode(found.value) if found else None
         lease.observed(
             self.state,
-            self._tended.owner,
-            self._tended.terms,
+            self._context.owner,
+            self._context.terms,
             version,
             content,
             time.monotonic(),
@@ -115,15 +116,15 @@
 
     async def _round(self) -> None:
         await self._step()
-        await self._tell()
+        await self._report_change()
 
     async def _step(self) -> None:
         now = time.monotonic()
         action = lease.decide(
             self.state,
-            self._tended.owner,
-            self._tended.terms,
-            self._tended.standing(self.state.name),
+            self._context.owner,
+            self._context.terms,
+            self._context.claim(self.state.name),
             now,
         )
         match action:
@@ -140,7 +141,7 @@
         sent_at = time.monotonic()
         lease.sending(self.state, write)
         try:
-            version = await self._tended.api.write(
+            version = await self._context.api.write(
                 PREFIX + self.state.name,
                 _encode(write.lease),
                 write.expected_version,
@@ -154,21 +155,21 @@
         else:
             lease.written(
                 self.state,
-                self._tended.terms,
+                self._context.terms,
                 write,
                 version,
                 sent_at,
                 time.monotonic(),
             )
 
-    async def _tell(self) -> None:
+    async def _report_change(self) -> None:
         fencing = self.state.fencing
-        if fencing == self._told:
+        if fencing == self._reported_fencing:
             return
-        self._told = fencing
+        self._reported_fencing = fencing
         held = 'won' if fencing else 'lost'
         name = self.state.name
         logging.info('event=lease_%s name=%s fencing=%d', held, name, fencing)
-        await self._tended.changed(name, fencing)
+        await self._context.changed(name, fencing)
         if not fencing:
-            self._idle.set()
+            self._not_held.set()
--- a/beryllug/control/leases.py
+++ b/beryllug/control/leases.py
@@ -1,8 +1,9 @@
-"""Service 'leases': who may act alone for a name.
+"""Service 'leases': exclusive ownership of names among control processes.
 
-One task tends each wanted lease. It does what `core.lease` decides, and says
-when a lease was won or lost. Whether it holds *now* is asked of `held` each
-time before acting: a pause can fall between any two lines.
+One task maintains each wanted lease by the decisions of `core.lease`, and
+reports when the lease was acquired or lost. Callers check `held` right before
+each action under a lease, because the process can be paused between any two
+statements.
 """
 
 import asyncio
@@ -25,29 +26,29 @@
 )
 from beryllug.drivers import methods, object_api, rpc, rpc_peers
 
-HINT_S = 0.5
+NOTIFY_TIMEOUT_S = 0.5
 
 
-class Holder(Protocol):
-    """A service that acts under leases."""
+class LeaseListener(Protocol):
+    """A service that acts under leases and follows their changes."""
 
     async def on_lease(self, name: str, fencing: int) -> None:
-        """Take in that a lease is held with a token, or with 0 is not."""
+        """Handle a lease acquired with a fencing token, or lost (0)."""
 
     async def before_release(self, name: str) -> bool:
-        """Finish what is done under a lease that is to be given back.
+        """Finish the work under a lease that is about to be released.
 
         Returns:
-            False when it can't be given back, only lapse: something stands
-            in memory that the next holder must gather.
+            False when the lease must expire instead of being released,
+            because the next holder must gather rows that are only in memory.
         """
 
 
 class Leases:
-    """Holds leases of this process and knows the holders of others.
+    """Maintains the leases of this process and looks up other holders.
 
     Attributes:
-        outage: What a platform outage needs to know of the leases.
+        outage: Access to the leases during a platform outage.
     """
 
     def __init__(
@@ -58,14 +59,14 @@
         members: lease_lookup.Members,
         calls: rpc_peers.Caller | None = None,
     ) -> None:
-        """Make the service; it tends no lease before `start`.
+        """Initialize the service; leases are maintained from `start` on.
 
         Args:
             api: The platform.
             owner: This process.
-            lease_s: How long a lease holds without renewal.
+            lease_s: Duration of a lease without renewal.
             members: The membership service.
-            calls: Calls to peers, to tell one that a lease is free.
+            calls: Calls to peers, to notify one that a lease was released.
         """
         self._owner = owner
         self._calls = calls
@@ -78,21 +79,21 @@
         self.outage = lease_outage.LeaseOutage(
             self._tasks, terms, self._balance
         )
-        self._tended = lease_task.Tended(
-            api, owner, terms, self.outage.standing, self._changed
+        self._context = lease_task.TaskContext(
+            api, owner, terms, self.outage.claim, self._on_change
         )
-        self._holders: dict[str, Holder] = {}
+        self._listeners: dict[str, LeaseListener] = {}
         self._lookup = lease_lookup.LeaseLookup(
-            self._tended, self._tasks, members
+            self._context, self._tasks, members
         )
         self._task: asyncio.Task[None] | None = None
 
     def serve(self, server: candidate_calls.Server) -> None:
-        """Add the methods to the server of this process."""
-        server.unary(methods.LEASE_GIVEN, self.take_hint)
+        """Register the RPC methods at the server of this process."""
+        server.unary(methods.LEASE_GIVEN, self.handle_release)
 
     async def start(self) -> None:
-        """Begin to tend the wanted leases."""
+        """Start to maintain the wanted leases."""
         self._task = asyncio.create_task(
             lasting.repeat('balance', self._keep_balance)
         )
@@ -100,17 +101,17 @@
             task.start()
 
     async def stop(self, grace_s: float) -> None:
-        """Give back all leases, as far as the grace time allows."""
+        """Release all leases, as far as the grace period allows."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
         await asyncio.gather(
-            *(self._hand_over(name, grace_s) for name in self._held())
+            *(self._hand_over(name, grace_s) for name in self._held_names())
         )
         await asyncio.gather(*(task.stop() for task in self._tasks.values()))
 
     def dump(self) -> dict[str, Any]:
-        """Return all leases that this process tends."""
+        """Return the state of all wanted leases."""
         now = time.monotonic()
         return {
             name: {
@@ -121,89 +122,93 @@
             for name, task in self._tasks.items()
         }
 
-    def want(self, name: str, holder: Holder | None = None) -> None:
+    def want(self, name: str, listener: LeaseListener | None = None) -> None:
         """Try to hold a lease from now on.
 
         Args:
-            name: Name of the lease; what stands before a slash is its kind,
-                of which no member should hold more than its share.
-            holder: Told when it is won, lost, or about to be given back.
+            name: Name of the lease. The part before a slash is its kind; no
+                member should hold more than its share of one kind.
+            listener: Notified when the lease was acquired or lost, and before
+                it is released.
         """
         if name in self._tasks:
             return
-        task = lease_task.LeaseTask(name, self._tended)
+        task = lease_task.LeaseTask(name, self._context)
         self._tasks[name] = task
-        if holder is not None:
-            self._holders[name] = holder
+        if listener is not None:
+            self._listeners[name] = listener
         if self._task is not None:
             task.start()
 
     def held(self, name: str, now: float) -> lease_data.Token | None:
-        """Return the proof that this process holds a lease now, or None."""
+        """Return the token of a lease that is held now, else None."""
         task = self._tasks.get(name)
         if task is None:
             return None
         return lease.token(task.state, self._owner, now)
 
     async def release(self, name: str) -> None:
-        """Give a lease back and stop wanting it."""
+        """Release a lease and do not acquire it again."""
         if name not in self._tasks:
             return
         await self._hand_over(name, self._lease_s)
         await self._tasks.pop(name).stop()
-        self._holders.pop(name, None)
+        self._listeners.pop(name, None)
 
     async def owner_of(
         self, name: str, *, fresh: bool = False
     ) -> lease_data.Lease | None:
-        """Return a lease as it stands; the last known in an outage.
+        """Return the current lease, or the last known one in an outage.
 
         Args:
             name: Name of the lease.
-            fresh: Read it although it is known, because its holder did not
-                answer as one.
+            fresh: Read the lease even if it is cached, because a call to the
+                cached holder failed or found that it is not the holder.
         """
         return await self._lookup.owner_of(name, fresh=fresh)
 
-    async def take_hint(self, given: lease_data.Given) -> rpc_data.Empty:
-        """Take in that a lease was given back for this process to take."""
+    async def handle_release(self, given: lease_data.Given) -> rpc_data.Empty:
+        """Handle the notification that a lease was released."""
         task = self._tasks.get(given.name)
         if task is not None:
-            task.nudge()
+            task.read_now()
         return rpc_data.Empty()
 
-    def _held(self) -> list[str]:
+    def _held_names(self) -> list[str]:
         return [
             name for name, task in self._tasks.items() if task.state.fencing
         ]
 
-    async def _changed(self, name: str, fencing: int) -> None:
+    async def _on_change(self, name: str, fencing: int) -> None:
         if fencing:
-            self._lookup.tell(name, fencing, self._owner)
-        holder = self._holders.get(name)
-        if holder is not None:
-            await holder.on_lease(name, fencing)
+            self._lookup.announce(name, fencing, self._owner)
+        listener = self._listeners.get(name)
+        if listener is not None:
+            await listener.on_lease(name, fencing)
 
     async def _keep_balance(self) -> None:
-        """Hand leases over when this process holds more than its share."""
+        """Hand over a lease when this process holds more than its share."""
         await asyncio.sleep(self._lease_s)
-        name = self._balance.excess(self._held())
+        name = self._balance.excess(self._held_names())
         if name is not None:
             await self._hand_over(name, self._lease_s)
 
     async def _hand_over(self, name: str, wait_s: float) -> None:
-        holder = self._holders.get(name)
-        if holder is not None and not await holder.before_release(name):
+        listener = self._listeners.get(name)
+        if listener is not None and not await listener.before_release(name):
             return
-        if await self._tasks[name].give_back(wait_s):
-            await self._hint(name)
+        if await self._tasks[name].release_lease(wait_s):
+            await self._notify_successor(name)
 
-    async def _hint(self, name: str) -> None:
-        """Tell the process that is preferred now; it may be missed."""
-        address = self._balance.heir_address(name)
+    async def _notify_successor(self, name: str) -> None:
+        """Notify the preferred successor; best effort."""
+        address = self._balance.successor_address(name)
         if self._calls is None or address is None:
             return
         with contextlib.suppress(rpc.RpcError):
             await self._calls.call(
-                address, methods.LEASE_GIVEN, lease_data.Given(name), HINT_S
+                address,
+                methods.LEASE_GIVEN,
+                lease_data.Given(name),
+                NOTIFY_TIMEOUT_S,
             )
--- a/beryllug/control/leases_test.py
+++ b/beryllug/control/leases_test.py
@@ -1,4 +1,4 @@
-"""Leases between control processes: races, hand-overs, balance."""
+"""Tests of leases between control processes: races, hand-over, balance."""
 
 import asyncio
 import time
@@ -8,22 +8,22 @@
 from beryllug.core import journal_data
 
 Kind = journal_data.GrantKind
-HAND_OVER_S = 0.1
+MAX_HAND_OVER_S = 0.1
 
 
 class HandOverTest(nodes_test.NodesCase):
-    """Leases that change their holder as planned."""
+    """Planned changes of the holder."""
 
     async def asyncSetUp(self) -> None:
-        """Nothing is balanced yet."""
+        """Create the event that ends the requests of `_ask_all`."""
         await super().asyncSetUp()
         self.balanced = asyncio.Event()
 
     async def test_race(self) -> None:
-        """Four processes start at once and want one lease.
+        """Four processes start at once and want the same lease.
 
-        Each conditional creation but one meets an object. One process holds
-        the lease, and the others know it as the holder.
+        Only one conditional creation succeeds. That process holds the lease,
+        and the others look it up as the holder.
         """
         nodes = await asyncio.gather(
             *(self.start_node(name) for name in '1234')
@@ -38,11 +38,11 @@
             self.assertEqual(owner and owner.holder, holders[0].name)
 
     async def test_planned_stop(self) -> None:
-        """A control process is stopped under load, as when it is replaced.
+        """A control process is stopped under load, as in a rolling update.
 
-        Its rows are flushed and its lease given back; the next process is
-        told and takes it at once. No request is refused, and each row stands
-        in the log once.
+        It flushes its rows and releases its lease; the next process is
+        notified and acquires it at once. No request is refused, and each row
+        is in the log exactly once.
         """
         first = await self.start_owner('1')
         second = await self.start_node('2')
@@ -51,7 +51,7 @@
         await first.stop()
         stopped_at = time.monotonic()
         await nodes_test.until(second.owns)
-        self.assertLess(time.monotonic() - stopped_at, HAND_OVER_S)
+        self.assertLess(time.monotonic() - stopped_at, MAX_HAND_OVER_S)
         self.network.silent.add('127.0.0.1:1')
         kinds = await asking
         self.assertEqual(set(kinds), {Kind.GRANTED})
@@ -60,10 +60,10 @@
         self.assertTrue(second.owns())
 
     async def test_balance(self) -> None:
-        """A process that joins gets its share of the shards, and no more.
+        """A process that joins gets exactly its share of the shards.
 
-        The old holder gives up one at a time, after it has flushed: of the
-        requests that come meanwhile none is refused.
+        The old holder hands over one shard at a time, after flushing it, so
+        no request that arrives meanwhile is refused.
         """
         self.sizes = nodes_test.Sizes(shards=4)
         first = await self.start_owner('1')
@@ -79,7 +79,7 @@
         self.assertEqual(len(self._served(second)), 2)
 
     async def test_release(self) -> None:
-        """A lease that is no longer wanted is free at once."""
+        """A lease that is no longer wanted is released at once."""
         first = await self.start_node('1')
         first.leases.want('suspects')
         await nodes_test.until(
--- a/beryllug/control/membership.py
+++ b/beryllug/control/membership.py
@@ -1,4 +1,4 @@
-"""Service 'membership': which control processes are live."""
+"""Service 'membership': tracks which control processes are live."""
 
 import time
 from typing import Any, Protocol
@@ -7,56 +7,58 @@
 from beryllug.core import member_data, membership
 from beryllug.drivers import fleet_key, methods, rpc, rpc_peers
 
-MILLISECONDS = 1000
-ALONE = probing.Join('', (), 1.0, rpc_peers.Peers(fleet_key.KeyRing(())))
+MS_PER_S = 1000
+NO_PEERS = probing.Join('', (), 1.0, rpc_peers.Peers(fleet_key.KeyRing(())))
 
 
 class Server(Protocol):
-    """What this service needs of the process's server."""
+    """The part of the RPC server of this process that is used here."""
 
     def unary(self, method: rpc.Method[Any, Any], handler: rpc.Unary) -> None:
-        """Serve a method that takes one message and gives one."""
+        """Register the handler of a unary method."""
 
 
 class Membership:
-    """The live control processes, as far as this one knows."""
+    """The live control processes as this process knows them."""
 
     def __init__(
         self, name: str, address: str, join: probing.Join | None = None
     ) -> None:
-        """Make the service; it knows only itself before `start`.
+        """Initialize the service; it knows only itself before `start`.
 
         Args:
-            name: Name of this process in the fleet.
-            address: Where peers reach it.
-            join: How it takes part; None for a process that is alone.
+            name: Name of this process, unique in the fleet.
+            address: Address at which peers reach it.
+            join: Settings of the exchange with peers; None for a single
+                process without peers.
         """
-        # The wall clock in milliseconds is higher at each start; where it
-        # was set back, peers' reports of the last start raise it.
-        incarnation = round(time.time() * MILLISECONDS)
+        # The wall clock in milliseconds increases with each start. If the
+        # clock was set back, the incarnation is raised when peers report
+        # that of the previous start.
+        incarnation = round(time.time() * MS_PER_S)
         zone = join.zone if join else ''
         own = member_data.Member(
             name, address, zone, incarnation, started=incarnation
         )
-        self._alone = join is None
-        self._prober = probing.Prober(own, join or ALONE)
+        self._has_no_peers = join is None
+        self._prober = probing.Prober(own, join or NO_PEERS)
 
     def serve(self, server: Server) -> None:
-        """Add the methods to the server of this process."""
+        """Register the RPC methods at the server of this process."""
         server.unary(methods.HEARTBEAT, self._prober.answer)
-        server.unary(methods.PROBE, self._prober.probe_for)
+        server.unary(methods.PROBE, self._prober.probe_for_peer)
 
     async def start(self) -> None:
-        """Begin to probe."""
-        if not self._alone:
+        """Start to probe other members."""
+        if not self._has_no_peers:
             self._prober.start()
 
     async def stop(self, grace_s: float) -> None:
-        """Tell others that this process leaves."""
+        """Notify other members that this process leaves."""
         await self._prober.stop()
 
     def dump(self) -> dict[str, Any]:
-        """Return what is believed of every member, and the notes."""
+        """Return the status of every member, and the notes."""
         table = self._prober.table
         return {
             'own': table.own,
@@ -87,22 +89,22 @@
         return found and found.zone
 
     def started(self, member: str) -> int:
-        """Return the number of a member's start, 0 when not known."""
+        """Return the start number of a member, 0 when it is not known."""
         found = membership.find(self._prober.table, member)
         return found.started if found else 0
 
     def publish(self, note: member_data.Note) -> None:
-        """Pass a fact on to all members."""
+        """Spread a note to all members."""
         membership.merge_note(self._prober.table, note)
 
     def note(self, key: str) -> member_data.Note | None:
-        """Return a fact that a member passed on."""
+        """Return a note that a member published, by its key."""
         return self._prober.table.notes.get(key)
 
-    def announce(self, revision: int) -> None:
-        """Tell peers from now on which configuration this process holds."""
+    def announce_revision(self, revision: int) -> None:
+        """Set the configuration revision that heartbeats carry."""
         self._prober.revision = revision
 
-    def listen(self, listener: probing.Listener) -> None:
-        """Call a function with each member heard and its revision."""
+    def add_listener(self, listener: probing.Listener) -> None:
+        """Call a listener with sender and revision of each heartbeat."""
         self._prober.listeners.append(listener)
--- a/beryllug/control/membership_test.py
+++ b/beryllug/control/membership_test.py
@@ -1,7 +1,7 @@
-"""Members that come, go, die, and lose each other.
+"""Tests of members that join, leave, fail, and are partitioned.
 
-The members run in one process over a fake network; rounds are short, and all
-bounds are on rounds and messages.
+The members run in one process over a fake network. Rounds are short, and all
+bounds are on numbers of rounds and messages.
 """
 
 import asyncio
@@ -19,17 +19,17 @@
 
 
 class Network:
-    """Calls between members; some can be cut.
+    """Calls between members; links can be cut.
 
     Attributes:
         members: Members by address.
-        cut: Pairs of addresses, asker and asked, between which nothing goes.
-        silent: Addresses that neither ask nor answer.
-        calls: Calls by asker.
+        cut: Pairs of addresses, caller and callee, whose calls fail.
+        silent: Addresses whose calls fail in both directions.
+        calls: Numbers of calls by caller.
     """
 
     def __init__(self) -> None:
-        """Make an empty network."""
+        """Initialize an empty network."""
         self.members: dict[str, membership.Membership] = {}
         self.handlers: dict[tuple[str, str], rpc.Unary] = {}
         self.cut: set[tuple[str, str]] = set()
@@ -38,17 +38,17 @@
 
 
 class Link:
-    """One member's access to the network; implements `peers.Caller`."""
+    """One member's access to the network; implements `rpc_peers.Caller`."""
 
     def __init__(self, network: Network, address: str) -> None:
-        """Bind to the member's own address."""
+        """Use the address of the member as that of the caller."""
         self._network = network
         self._address = address
 
     def unary(
         self, method: rpc.Method[rpc.Ask, rpc.Reply], handler: rpc.Unary
     ) -> None:
-        """Serve a method, as `rpc.RpcServer` does."""
+        """Register a handler, as `rpc.RpcServer` does."""
         self._network.handlers[self._address, method.name] = handler
 
     async def call(
@@ -72,7 +72,7 @@
 
 
 class MembershipTest(virtual_time_test.VirtualTimeCase):
-    """What members believe of one another."""
+    """What members know of each other."""
 
     async def asyncSetUp(self) -> None:
         """Make an empty network."""
@@ -86,85 +86,85 @@
         )
 
     async def test_join_and_leave(self) -> None:
-        """All know each other by one seed; one that leaves is gone soon."""
+        """Members discover each other by a seed; one that leaves is removed."""
         names = await self._start(8)
-        await self._until(lambda: self._all_see(names, names))
+        await self._until(lambda: self._all_know(names, names))
         await self.network.members['3'].stop(0)
         rest = [name for name in names if name != '3']
-        await self._until(lambda: self._all_see(rest, rest))
+        await self._until(lambda: self._all_know(rest, rest))
 
     async def test_killed_and_restarted(self) -> None:
-        """A killed member is found dead, a new start of it is live again."""
+        """A killed member is detected as dead, and is live after a restart."""
         names = await self._start(8)
-        await self._until(lambda: self._all_see(names, names))
+        await self._until(lambda: self._all_know(names, names))
         self.network.silent.add('3')
         rest = [name for name in names if name != '3']
-        await self._until(lambda: self._all_see(rest, rest))
+        await self._until(lambda: self._all_know(rest, rest))
         await self.network.members['3'].stop(0)
         self.network.silent.clear()
         await self._start_one('3')
-        await self._until(lambda: self._all_see(names, names))
+        await self._until(lambda: self._all_know(names, names))
 
-    async def test_frozen(self) -> None:
-        """A member that was frozen long contradicts the report of its death.
+    async def test_frozen_member_refutes_death(self) -> None:
+        """A member that was frozen refutes the report that it is dead.
 
-        Others found it dead; it wakes, hears of that with the next heartbeat
-        and raises its incarnation.
+        Others marked it dead while it was frozen. When it runs again it
+        learns of this with the next heartbeat and raises its incarnation.
         """
         names = await self._start(5)
-        await self._until(lambda: self._all_see(names, names))
+        await self._until(lambda: self._all_know(names, names))
         rest = names[1:]
         self.network.silent.add(names[0])
-        await self._until(lambda: self._all_see(rest, rest))
+        await self._until(lambda: self._all_know(rest, rest))
         self.network.silent.clear()
-        await self._until(lambda: self._all_see(names, names))
+        await self._until(lambda: self._all_know(names, names))
 
-    async def test_broken_link(self) -> None:
-        """One link is cut, both ends live: others reach both.
+    async def test_cut_link_is_probed_indirectly(self) -> None:
+        """One link is cut while both ends are live and reachable by others.
 
-        Without asking others each end would believe the other dead, and
-        leases would be moved from a healthy process.
+        Without indirect probes each end would mark the other dead, and
+        leases would be moved away from a healthy process.
         """
         names = await self._start(6)
-        await self._until(lambda: self._all_see(names, names))
-        # The next on the ring is among those that a member probes.
+        await self._until(lambda: self._all_know(names, names))
+        # A member probes the next member on the ring, among others.
         first, second = self.network.members['0'].live(0)[:2]
         before = self._own(second).incarnation
         self.network.cut = {(first, second), (second, first)}
         for _ in range(40):
             await asyncio.sleep(ROUND_S)
-            self.assertTrue(self._all_see(names, names))
-        # It never had to contradict a suspicion.
+            self.assertTrue(self._all_know(names, names))
+        # An unchanged incarnation means that it was never suspected.
         self.assertEqual(self._own(second).incarnation, before)
 
     async def test_partition_heals(self) -> None:
-        """Two halves lose each other and meet again by themselves."""
+        """Both sides of a partition join again without intervention."""
         names = await self._start(6)
-        await self._until(lambda: self._all_see(names, names))
+        await self._until(lambda: self._all_know(names, names))
         left, right = names[:3], names[3:]
         self.network.cut = {
             *itertools.product(left, right),
             *itertools.product(right, left),
         }
         await self._until(
-            lambda: self._all_see(left, left) and self._all_see(right, right)
+            lambda: self._all_know(left, left) and self._all_know(right, right)
         )
         self.network.cut = set()
-        await self._until(lambda: self._all_see(names, names))
+        await self._until(lambda: self._all_know(names, names))
 
     async def test_notes_and_revisions(self) -> None:
-        """A fact and a revision reach all; of two facts the higher holds."""
+        """Notes and revisions reach all; the higher number of a note wins."""
         names = await self._start(8)
-        await self._until(lambda: self._all_see(names, names))
+        await self._until(lambda: self._all_know(names, names))
         heard: dict[str, int] = {}
         members = self.network.members
-        members['5'].listen(
+        members['5'].add_listener(
             lambda member, revision: heard.update({member.name: revision})
         )
         for number, body in ((2, 'new'), (1, 'old')):
             members['1'].publish(member_data.Note('lease/x', number, body))
-        for announcing in members.values():
-            announcing.announce(7)
+        for each_member in members.values():
+            each_member.announce_revision(7)
         await self._until(
             lambda: all(told.note('lease/x') for told in members.values())
         )
@@ -172,19 +172,19 @@
         self.assertEqual(note and note.body, 'new')
         await self._until(lambda: 7 in heard.values())
 
-    async def test_cost_does_not_grow(self) -> None:
-        """Calls of a member in a round are as many with 48 members as with 6.
+    async def test_calls_do_not_grow_with_members(self) -> None:
+        """Calls per member and round do not grow from 6 to 48 members.
 
-        Counted are the calls of forty rounds after they know each other.
+        The calls of forty rounds are counted once all know each other.
         """
-        few = await self._calls_a_round(6)
-        many = await self._calls_a_round(48)
+        few = await self._calls_per_round(6)
+        many = await self._calls_per_round(48)
         self.assertLess(many, 1.5 * few)
 
-    async def _calls_a_round(self, count: int) -> float:
+    async def _calls_per_round(self, count: int) -> float:
         self.network = Network()
         names = await self._start(count)
-        await self._until(lambda: self._all_see(names, names))
+        await self._until(lambda: self._all_know(names, names))
         self.network.calls.clear()
         start = self._rounds()
         await self._until(lambda: self._rounds() >= start + 40 * count)
@@ -216,11 +216,11 @@
         self.network.members[name] = member
         await member.start()
 
-    def _all_see(self, seers: list[str], seen: list[str]) -> bool:
-        expected = set(seen)
+    def _all_know(self, observers: list[str], visible: list[str]) -> bool:
+        expected = set(visible)
         return all(
             set(self.network.members[name].live(0)) == expected
-            for name in seers
+            for name in observers
         )
 
     async def _until(self, condition: Callable[[], bool]) -> None:
--- a/beryllug/control/neighbours.py
+++ b/beryllug/control/neighbours.py
@@ -1,9 +1,10 @@
-"""Which control processes to exchange configuration with.
+"""Selects the control processes to exchange configuration with.
 
-The peers of the settings are enough to join by; the membership service adds
-those that came later. Which processes of a zone watch the platform follows
-from the live members by rendezvous hash, so all agree without a message; two
-that disagree for a while watch both, which costs a call and harms nothing.
+The peers in the settings are sufficient to join; the membership service adds
+processes that joined later. The processes of a zone that watch the platform
+are selected from the live members by rendezvous hashing, so all processes
+agree without messages. While the members of two processes differ, an extra
+process may watch, which costs one call and is harmless.
 """
 
 from collections.abc import Callable, Iterable
@@ -11,13 +12,13 @@
 
 from beryllug.core import push_tree, rendezvous, settings_data
 
-WATCHERS = 'config watchers'
-CHORES = 'config chores'
-PARTNERS = 8
+WATCHERS_KEY = 'config watchers'
+SINGLETON_KEY = 'config chores'
+MAX_PARTNERS = 8
 
 
 class Members(Protocol):
-    """What the exchange needs of the membership service."""
+    """The part of the membership service that is used here."""
 
     def live(self, now: float) -> tuple[str, ...]:
         """Return the names of live control processes, this one included."""
@@ -30,7 +31,7 @@
 
 
 class Neighbours:
-    """The other control processes, as far as they are known."""
+    """The known other control processes."""
 
     def __init__(
         self,
@@ -39,43 +40,47 @@
         members: Members | None,
         clock: Callable[[], float],
     ) -> None:
-        """Bind to the membership service; without one all watch."""
+        """Initialize; without a membership service all processes watch."""
         self._process = process
         self._cfg = cfg
         self._members = members
         self._clock = clock
 
     def watches(self) -> bool:
-        """Tell whether this process is to watch the platform."""
+        """Tell whether this process should watch the platform."""
         return self._process.name in self._watchers()
 
     def is_first(self) -> bool:
-        """Tell whether this process does what one of the fleet has to do."""
+        """Tell whether this process runs the tasks of which a fleet has one."""
         own = self._process.name
-        return rendezvous.order(CHORES, {own, *self._live()})[0] == own
+        return (
+            rendezvous.order(SINGLETON_KEY, {own, *self._live_members()})[0]
+            == own
+        )
 
     def everyone(self) -> tuple[str, ...]:
         """Return the addresses of all other control processes."""
-        live = self._addresses(self._live())
+        live = self._addresses(self._live_members())
         seeds = self._cfg.peers
         own = self._cfg.listen
         known = dict.fromkeys((*live, *seeds))
         return tuple(address for address in known if address != own)
 
     def partners(self) -> tuple[str, ...]:
-        """Return the addresses of the few processes to compare with.
+        """Return the addresses of the processes to compare configuration with.
 
-        The same few as long as they live: to talk to any of a large fleet
-        would cost a connection each time, and a change still reaches all in
-        a few rounds. Without any, the peers of the settings.
+        These stay the same while they are live: random peers of a large
+        fleet would cost a new connection each time, and a change reaches all
+        processes in a few rounds anyway. When there are none, all known
+        addresses are returned, which include the peers in the settings.
         """
         own = self._process.name
-        others = [name for name in self._live() if name != own]
-        chosen = rendezvous.order(own, others)[:PARTNERS]
+        others = [name for name in self._live_members() if name != own]
+        chosen = rendezvous.order(own, others)[:MAX_PARTNERS]
         return self._addresses(chosen) or self.everyone()
 
     def children(self) -> tuple[str, ...]:
-        """Return the addresses of those who get changes from this one."""
+        """Return the addresses to which this process pushes changes."""
         order, roots = self._order()
         own = self._process.name
         return self._addresses(push_tree.children(order, roots, own))
@@ -85,22 +90,22 @@
         return frozenset(order[:roots])
 
     def _order(self) -> tuple[list[str], int]:
-        """Return the members of the zone, and how many of them watch."""
+        """Return the ordered members of the zone and the number of watchers."""
         zone = self._zone()
         roots = self._cfg.watchers or len(zone)
-        return rendezvous.order(WATCHERS, zone), roots
+        return rendezvous.order(WATCHERS_KEY, zone), roots
 
     def _zone(self) -> list[str]:
         """Return the live members of this zone, this process included."""
         own = self._process.name
-        found = [name for name in self._live() if self._in_zone(name)]
+        found = [name for name in self._live_members() if self._in_zone(name)]
         return found if own in found else [*found, own]
 
     def _in_zone(self, name: str) -> bool:
         assert self._members is not None
         return self._members.zone_of(name) == self._process.zone
 
-    def _live(self) -> tuple[str, ...]:
+    def _live_members(self) -> tuple[str, ...]:
         if self._members is None:
             return ()
         return self._members.live(self._clock())
--- a/beryllug/control/nodes_test.py
+++ b/beryllug/control/nodes_test.py
@@ -1,7 +1,7 @@
-"""Control processes in one process, for tests of leases and journal.
+"""Several control processes in one process, to test leases and journal.
 
-Each node has its own platform client; calls between nodes go through a fake
-network that can lose replies or cut a node off.
+Each node has its own platform client. Calls between nodes use a fake network
+that can drop replies or isolate a node.
 """
 
 import asyncio
@@ -43,14 +43,14 @@
 
     Attributes:
         handlers: Handlers by address and method name.
-        silent: Addresses that neither ask nor answer.
-        losing: Addresses whose replies are lost.
-        held: Names of methods whose calls wait.
-        calls: Calls made by method.
+        silent: Addresses whose calls fail in both directions.
+        losing: Addresses whose replies are dropped.
+        held: Names of methods whose calls are blocked.
+        calls: Numbers of calls by method name.
     """
 
     def __init__(self) -> None:
-        """Make an empty network."""
+        """Initialize an empty network."""
         self.handlers: dict[tuple[str, str], rpc.Unary] = {}
         self.silent: set[str] = set()
         self.losing: set[str] = set()
@@ -79,10 +79,10 @@
 
 
 class Link:
-    """One node's access to the network; implements `peers.Caller`."""
+    """One node's access to the network; implements `rpc_peers.Caller`."""
 
     def __init__(self, network: Network, address: str) -> None:
-        """Bind to the node's own address."""
+        """Use the address of the node as that of the caller."""
         self._network = network
         self._address = address
 
@@ -93,17 +93,17 @@
         ask: rpc.Ask,
         timeout_s: float,
     ) -> rpc.Reply:
-        """Call another node, unless this one is cut off or dead."""
+        """Call another node, unless this node is isolated or stopped."""
         if self._address in self._network.silent:
             raise rpc.RpcError('UNAVAILABLE', 'failed to connect')
         return await self._network.call(address, method, ask, timeout_s)
 
 
 class Members:
-    """The started nodes, all believed live."""
+    """A fake membership in which all started nodes are live."""
 
     def __init__(self) -> None:
-        """Make an empty membership."""
+        """Initialize an empty membership."""
         self.names: list[str] = []
         self.notes: dict[str, member_data.Note] = {}
         self.starts: dict[str, int] = {}
@@ -113,7 +113,7 @@
         return tuple(self.names)
 
     def live_s(self, member: str, now: float) -> float:
-        """Return a long time: members have settled."""
+        """Return a time long enough for any member to receive leases."""
         return WAIT_S
 
     def address_of(self, member: str) -> str | None:
@@ -121,26 +121,26 @@
         return f'127.0.0.1:{member}'
 
     def started(self, member: str) -> int:
-        """Return the number of a member's start."""
+        """Return the start number of a member."""
         return self.starts.get(member, 1)
 
     def publish(self, note: member_data.Note) -> None:
-        """Keep a fact; the fake network spreads none."""
+        """Discard the note; the fake network does not spread notes."""
 
     def note(self, key: str) -> member_data.Note | None:
-        """Return a kept fact."""
+        """Return a note set by the test."""
         return self.notes.get(key)
 
 
 class Sizes(NamedTuple):
-    """What the nodes of a test have in common."""
+    """Settings that all nodes of a test share."""
 
     shards: int = 1
     lease_s: float = LEASE_S
 
 
 class Node:
-    """One control process: its client, leases and journal."""
+    """One control process with its platform client, leases and journal."""
 
     def __init__(
         self,
@@ -150,7 +150,7 @@
         name: str,
         sizes: 'Sizes',
     ) -> None:
-        """Make a node; `start` runs it."""
+        """Initialize the node; `start` runs it."""
         address = f'127.0.0.1:{name}'
         boot = f'boot-{name}-{members.started(name)}'
         self.name = name
@@ -167,13 +167,13 @@
         )
         parts = journal.Parts(self.client, self.leases, Link(network, address))
         self.journal = journal.Journal(parts, cfg, boot)
-        self._served = network, address
+        self._endpoint = network, address
         self.journal.serve(self)
         self.leases.serve(self)
 
     def unary(self, method: rpc.Method[Any, Any], handler: rpc.Unary) -> None:
-        """Serve a method on the network, as `rpc.RpcServer` does."""
-        network, address = self._served
+        """Register a handler at the network, as `rpc.RpcServer` does."""
+        network, address = self._endpoint
         network.handlers[address, method.name] = handler
 
     async def start(self) -> None:
@@ -182,29 +182,29 @@
         await self.leases.start()
 
     def pause(self, network: Network) -> None:
-        """Hold this node at its next writes, and let it answer nobody.
+        """Block the writes of this node and isolate it from other nodes.
 
-        Its reads and timers go on, which a frozen process's do not; what
-        counts here is what it does with its old authority.
+        Unlike in a frozen process its reads and timers go on. The tests
+        check only what it does with a lease that has expired.
         """
         network.silent.add(f'127.0.0.1:{self.name}')
         self.client.faulty = 'beryllug/'
         self.client.gate.clear()
 
     def wake(self, network: Network) -> None:
-        """Let a paused node go on."""
+        """Resume a paused node."""
         network.silent.discard(f'127.0.0.1:{self.name}')
         self.client.gate.set()
 
     async def kill(self, network: Network) -> None:
-        """Stop at once, as by SIGKILL: nothing is flushed or given back."""
+        """Stop at once as by SIGKILL, without flushing or releasing."""
         network.silent.add(f'127.0.0.1:{self.name}')
         self.client.cut = True
         await self.journal.stop(0)
         await self.leases.stop(0)
 
     async def stop(self) -> None:
-        """Stop as planned."""
+        """Stop gracefully."""
         await self.journal.stop(WAIT_S)
         await self.leases.stop(WAIT_S)
 
@@ -219,30 +219,30 @@
         return self.leases.held(shards.lease_name(0), now) is not None
 
     async def begin(self, row: journal_data.Row) -> journal_data.Grant:
-        """Ask this node as an entry does."""
+        """Request a grant from this node as an entry does."""
         batch = await self.journal.begin(rpc_data.IntentBatch((row,)))
         return batch.grants[0]
 
     async def finish(self, row: journal_data.Row) -> bool:
-        """Hand an outcome to this node as an entry does."""
+        """Send an outcome to this node as an entry does."""
         ack = await self.journal.finish(rpc_data.OutcomeBatch((row,)))
         return ack.durable[0]
 
     async def finish_all(
         self, rows: Sequence[journal_data.Row]
     ) -> tuple[bool, ...]:
-        """Hand several outcomes to this node at once."""
+        """Send several outcomes to this node in one batch."""
         ack = await self.journal.finish(rpc_data.OutcomeBatch(tuple(rows)))
         return ack.durable
 
 
 class NodesCase(virtual_time_test.VirtualTimeCase):
-    """A store, a network and nodes that end with the test."""
+    """Creates a store and a network, and stops all nodes after the test."""
 
     sizes = Sizes()
 
     async def asyncSetUp(self) -> None:
-        """Make the store and the network."""
+        """Create the store and the network."""
         await super().asyncSetUp()
         self.store = fake_platform_test.Store()
         self.network = Network()
@@ -270,7 +270,7 @@
         return node
 
     async def restart_node(self, name: str) -> Node:
-        """Start a killed node anew, under its name."""
+        """Restart a killed node under the same name."""
         self.members.starts[name] = self.members.started(name) + 1
         self.network.silent.discard(f'127.0.0.1:{name}')
         node = Node(self.store, self.network, self.members, name, self.sizes)
@@ -285,7 +285,7 @@
                 await asyncio.sleep(POLL_S)
 
     def rows(self) -> list[journal_data.Row]:
-        """Return all rows of the log as the platform holds them."""
+        """Return all rows of the log that the platform stores."""
         found: list[journal_data.Row] = []
         for key, stored in sorted(self.store.kept.items()):
             if key.startswith(f'{segments.PREFIX}/'):
@@ -293,12 +293,12 @@
         return found
 
     def log(self) -> list[tuple[str, str]]:
-        """Return state or kind, and request id of each row of the log."""
+        """Return the state (else the kind) and request id of each log row."""
         return [(row.state or row.kind, row.request_id) for row in self.rows()]
 
 
 async def until(condition: Callable[[], Any]) -> None:
-    """Wait for a condition; a test that waits too long fails."""
+    """Wait until a condition holds; fail the test after `WAIT_S`."""
     async with asyncio.timeout(WAIT_S):
         while not condition():
             await asyncio.sleep(POLL_S)
@@ -307,7 +307,7 @@
 def intent(
     request_id: str, key: str = 'key', body_hash: str = 'body'
 ) -> journal_data.Row:
-    """Make an intent."""
+    """Create an intent."""
     return journal_data.Row(
         journal_data.RowKind.INTENT,
         request_id,
@@ -323,12 +323,12 @@
     row: journal_data.Row,
     state: journal_data.OutcomeState = journal_data.OutcomeState.DONE,
 ) -> journal_data.Row:
-    """Make the outcome of an intent."""
+    """Create the outcome of an intent."""
     return row._replace(kind=journal_data.RowKind.OUTCOME, state=state)
 
 
 class NodesTest(NodesCase):
-    """The nodes of these tests own and hand over as real ones do."""
+    """Tests of the test nodes themselves."""
 
     async def test_second_node_waits(self) -> None:
         """Only one of two nodes serves the shard."""
--- a/beryllug/control/order_sender.py
+++ b/beryllug/control/order_sender.py
@@ -1,27 +1,27 @@
 """Sends the orders of one pool while this process holds its lease.
 
-A sender can be paused between any two steps and wake when its lease has gone
-to another. Against this, in the order in which they apply:
-
-* Right before each write it looks at its lease on the monotonic clock. The
-  lease must hold for longer than the write may take, and the write is broken
-  off after that time.
-* Engines that check the fencing token refuse what comes later still. A new
-  holder shows its token to each engine, also where it has nothing to order.
-* Where they ignore it, a new holder sends nothing until a lease and a write
-  after it won, so what a holder sent in time arrived before.
-
-What cannot be excluded: a holder that is frozen after its look at the clock
-and before the operating system takes the bytes, or bytes that the network or
-the engine holds for longer than a lease. Such an order is obeyed by an engine
-that ignores the token. It can load a version, or unload one of which another
-engine keeps a copy, and the present holder puts either right once a load
-report shows it. A host that is suspended, so that its monotonic clock stands
-still, is in the same case.
-
-Orders to load cost reads of the rate-limited weight store, ours and the
-engine's. All senders of a process share one budget; as a pool has one sender
-at a time, a pool never uses more than that either.
+A sender can be paused between any two steps and resume after another process
+has acquired its lease. Three measures guard against this, in this order:
+
+* Right before each write the sender checks its lease against the monotonic
+  clock. The lease must be valid for longer than the timeout of the write.
+* Engines that check the fencing token refuse orders that arrive later. A new
+  holder presents its token to each engine, even without an order for it.
+* For engines that ignore the token, a new holder sends nothing for the duration
+  of a lease plus a write, so that all orders that the previous holder sent
+  under a valid lease have arrived before.
+
+Two cases remain: a holder that is frozen after the check of the clock and
+before the operating system accepts the bytes, and bytes that the network or the
+engine delays for longer than a lease. An engine that ignores the token executes
+such an order. The order can load a version, or unload one of which another
+engine keeps a copy, and the current holder corrects either once a load report
+shows it. The same holds for a host that is suspended, so that its monotonic
+clock does not advance.
+
+A load order causes reads of the rate-limited weight store by this process and
+by the engine. All senders of a process share one budget. As a pool has one
+sender at a time, one pool never exceeds that budget either.
 """
 
 import asyncio
@@ -42,44 +42,45 @@
 from beryllug.control import order_weights, order_world
 from beryllug.drivers import engine_data
 
-TICK_S = 1.0
+ROUND_INTERVAL_S = 1.0
 ORDER_ID_BYTES = 8
 LEASE_PREFIX = 'orders/'
 
 
-class Held(Protocol):
-    """What a sender needs of the leases."""
+class LeaseChecker(Protocol):
+    """The part of the leases service that a sender uses."""
 
     def held(self, name: str, now: float) -> lease_data.Token | None:
-        """Return the proof that this process holds a lease now, or None."""
+        """Return the token of a lease that is held now, else None."""
 
 
 class Engines(Protocol):
-    """What a sender needs of the engines; see `engine.Engine`."""
+    """The part of the engine client that a sender uses."""
 
     async def load(self, address: str) -> engine_data.LoadReport:
-        """Read the lagging load report."""
+        """Read the load report, which may be out of date."""
 
     async def order(self, address: str, order: engine_data.Order) -> None:
-        """Give an order."""
+        """Send an order."""
 
 
-class Wired(NamedTuple):
-    """What all senders of a process share.
+class SenderContext(NamedTuple):
+    """Dependencies and settings that all senders of a process share.
 
     Attributes:
-        engines: The engines.
-        leases: The leases.
-        weights: The weight store's budget.
-        parts: Returns the present view.
-        accepts: Tells whether that view is a present one.
-        lease_s: How long a lease holds.
-        grace_s: How long after a withdrawal no more work is sent.
+        engines: The engine client.
+        leases: The leases service.
+        weights: The read budget of the weight store.
+        parts: Returns the current view.
+        accepts: Tells whether that view is up to date.
+        lease_s: Duration of a lease.
+        grace_s: Seconds after a withdrawal until no entry sends requests for
+            the version any more.
     """
 
     engines: Engines
-    leases: Held
-    weights: order_weights.Weights
+    leases: LeaseChecker
+    weights: order_weights.LoadLimiter
     parts: Callable[[], view_parts.ViewParts]
     accepts: Callable[[], bool]
     lease_s: float
@@ -90,48 +91,49 @@
     """Brings the engines of one pool to their desired state.
 
     Attributes:
-        book: What it remembers while it holds the lease, else None.
+        book: State of the orders while the lease is held, else None.
     """
 
-    def __init__(self, pool: str, wired: Wired) -> None:
-        """Make a sender; `start` begins to look and to send."""
+    def __init__(self, pool: str, context: SenderContext) -> None:
+        """Initialize the sender; `start` runs it."""
         self.book: orders_data.Book | None = None
         self._pool = pool
         self._name = LEASE_PREFIX + pool
-        self._wired = wired
+        self._context = context
         self._counts: dict[str, int] = {}
         self._paused_until = float('-inf')
         self._lock = asyncio.Lock()
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to look and to send."""
+        """Start the rounds in which orders are sent."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Let orders under way end, then stop."""
+        """Wait for the orders in flight, then stop."""
         await self.pause()
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     async def pause(self) -> None:
-        """Let orders under way end and send none while a lease lasts.
+        """Wait for the orders in flight and send none for a lease duration.
 
-        By then it was handed over, or that failed and this process goes on.
+        After that time the lease was handed over, or the hand-over failed
+        and this process continues.
         """
-        self._paused_until = time.monotonic() + self._wired.lease_s
+        self._paused_until = time.monotonic() + self._context.lease_s
         async with self._lock:
             self.book = None
 
     def dump(self) -> dict[str, Any]:
-        """Return what is remembered, and counts of orders by outcome."""
-        shown: dict[str, Any] = {'counts': dict(self._counts)}
+        """Return the state, and counts of orders by outcome."""
+        state_dump: dict[str, Any] = {'counts': dict(self._counts)}
         book = self.book
         if book is None:
-            return shown
+            return state_dump
         return {
-            **shown,
+            **state_dump,
             'fencing': book.fencing,
             'superseded': book.superseded,
             'asserted': len(book.asserted),
@@ -150,46 +152,47 @@
         while True:
             async with self._lock:
                 await self._try_round()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(ROUND_INTERVAL_S)
 
     async def _try_round(self) -> None:
         try:
             await self._round()
         except Exception:
-            # A sender that ended here would hold the lease and do nothing.
+            # If the task ended here the lease would stay held, with no sender.
             logging.exception('event=orders_failed pool=%s', self._pool)
 
     async def _round(self) -> None:
-        """Send what is due to all engines at once, one order each."""
+        """Send the due orders to all engines in parallel, one order each."""
         now = time.monotonic()
-        parts = self._wired.parts()
+        parts = self._context.parts()
         pool = order_world.engine_pool(parts.document, self._pool)
-        book = self._open_book(now)
+        book = self._book_for_lease(now)
         if pool is None or book is None:
             return
         world = order_world.world(parts, self._pool, now - time.time())
         terms = order_world.terms(
-            parts.document, self._wired.lease_s, self._wired.grace_s
+            parts.document, self._context.lease_s, self._context.grace_s
         )
         orders.note(book, self._pool, world)
         orders.note_withdrawn(book, self._pool, world, now)
-        chosen = orders.steps(book, pool, world, terms, now)
+        due_steps = orders.steps(book, pool, world, terms, now)
         await asyncio.gather(
-            *(self._order(book, step, terms) for step in chosen)
+            *(self._order(book, step, terms) for step in due_steps)
         )
 
-    def _open_book(self, now: float) -> orders_data.Book | None:
-        """Return the book of the lease held now; a new one after a change.
+    def _book_for_lease(self, now: float) -> orders_data.Book | None:
+        """Return the book of the lease held now; a new one for a new token.
 
-        An old configuration must not order anything: a version it does not
-        know as live again would be unloaded.
+        Returns None without a lease, during a pause, and while the
+        configuration is out of date: orders by an old configuration could
+        unload a version that has been declared live again.
         """
-        token = self._wired.leases.held(self._name, now)
+        token = self._context.leases.held(self._name, now)
         if token is None or now < self._paused_until:
             self.book = None
         elif self.book is None or self.book.fencing != token.fencing:
             self.book = orders_data.Book(token.fencing, now)
-        return self.book if self._wired.accepts() else None
+        return self.book if self._context.accepts() else None
 
     async def _order(
         self,
@@ -197,7 +200,7 @@
         step: orders_data.Step,
         terms: orders_data.Terms,
     ) -> None:
-        """Read back, then order, if it is still right."""
+        """Read current load reports, then send the order if still needed."""
         try:
             may_send = await self._confirm(book, step, terms)
         except engine_data.EngineError:
@@ -213,21 +216,21 @@
         step: orders_data.Step,
         terms: orders_data.Terms,
     ) -> bool:
-        """Tell whether an order is still right by fresh reports."""
-        parts = self._wired.parts()
+        """Tell whether current load reports still require an order."""
+        parts = self._context.parts()
         now = time.monotonic()
         world = order_world.world(parts, self._pool, now - time.time())
-        asked = {step.server_id}
+        servers_to_read = {step.server_id}
         if isinstance(step, orders_data.Unload):
-            kept_by = orders.keeper(step.ref, world)
-            asked.add(kept_by or step.server_id)
+            keeper_id = orders.keeper(step.ref, world)
+            servers_to_read.add(keeper_id or step.server_id)
         for sight in world.sights:
-            if sight.server_id in asked:
-                report = await self._wired.engines.load(sight.address)
+            if sight.server_id in servers_to_read:
+                report = await self._context.engines.load(sight.address)
                 book.superseded |= report.fencing > book.fencing
-                world = order_world.refreshed(world, sight, report, now)
+                world = order_world.with_report(world, sight, report, now)
         if isinstance(step, orders_data.Load):
-            if not await self._wired.weights.admit(step.ref):
+            if not await self._context.weights.admit(step.ref):
                 return False
         pool = order_world.engine_pool(parts.document, self._pool)
         return pool is not None and orders.still_stands(
@@ -240,7 +243,7 @@
         step: orders_data.Step,
         terms: orders_data.Terms,
     ) -> None:
-        address = order_world.address(self._wired.parts(), step.server_id)
+        address = order_world.address(self._context.parts(), step.server_id)
         order = _order_of(step, book.fencing)
         now = time.monotonic()
         if address is None or not self._may_write(book, terms, now):
@@ -248,7 +251,7 @@
         orders.sent(book, step, now, read_back=True)
         try:
             async with asyncio.timeout(terms.write_s):
-                await self._wired.engines.order(address, order)
+                await self._context.engines.order(address, order)
         except engine_data.StaleOrderError as exc:
             book.superseded = True
             self._log(step, 'stale', exc)
@@ -263,12 +266,12 @@
     def _may_write(
         self, book: orders_data.Book, terms: orders_data.Terms, now: float
     ) -> bool:
-        """Look at the lease, right before the bytes are written.
+        """Check the lease right before the order is written.
 
-        A pause since the round began may have outlasted the lease. An order
-        that ends after it would meet those of the next holder.
+        The lease may have expired in a pause since the round began. A write
+        that ends after the lease could conflict with the next holder's orders.
         """
-        token = self._wired.leases.held(self._name, now)
+        token = self._context.leases.held(self._name, now)
         if token is None or token.fencing != book.fencing:
             self._count('lease_lost')
             return False
--- a/beryllug/control/order_world.py
+++ b/beryllug/control/order_world.py
@@ -1,14 +1,14 @@
-"""What the orders to a pool follow from, taken from the present view."""
+"""Derives the inputs of the order decisions from the current view."""
 
 from beryllug.core import config_data, orders_data, view_data, view_parts
 from beryllug.drivers import engine_data
 
-# Share of a lease that an order may take.
+# Timeout of an order as a share of the lease duration.
 WRITE_SHARE = 0.25
-# A request is taken to have ended after this many times its longest target.
-LONGEST_TARGETS = 5
-LONGEST_S = 600.0
-MS = 1000
+# A request is assumed to have ended after this multiple of the longest target.
+LONGEST_TARGET_FACTOR = 5
+MIN_LONGEST_REQUEST_S = 600.0
+MS_PER_S = 1000
 
 
 def engine_pools(
@@ -34,12 +34,13 @@
 def terms(
     document: config_data.Document | None, lease_s: float, grace_s: float
 ) -> orders_data.Terms:
-    """Return the durations of orders.
+    """Return the timeouts and delays of orders.
 
     Args:
         document: The document in force.
-        lease_s: How long a lease holds.
-        grace_s: How long after a withdrawal work may still be sent.
+        lease_s: Duration of a lease.
+        grace_s: Seconds after a withdrawal in which requests for the version
+            may still be sent.
     """
     targets = document.targets if document else ()
     longest_ms = max((target.total_ms for target in targets), default=0)
@@ -48,20 +49,22 @@
         write_s=write_s,
         settle_s=lease_s + write_s,
         grace_s=grace_s,
-        longest_s=max(LONGEST_S, LONGEST_TARGETS * longest_ms / MS),
+        longest_s=max(
+            MIN_LONGEST_REQUEST_S, LONGEST_TARGET_FACTOR * longest_ms / MS_PER_S
+        ),
     )
 
 
 def world(
     parts: view_parts.ViewParts, pool: str, clock_offset: float
 ) -> orders_data.World:
-    """Return what is known of a pool.
+    """Return the known state of a pool.
 
     Args:
-        parts: The present view.
-        pool: The pool.
-        clock_offset: What to add to a second of the wall clock to get one of
-            the monotonic clock.
+        parts: The current view.
+        pool: Name of the pool.
+        clock_offset: Difference from the wall clock to the monotonic clock,
+            in seconds.
     """
     loads = {load.server_id: load for load in parts.loads}
     sights = tuple(
@@ -75,27 +78,27 @@
     return orders_data.World(document, parts.rollouts, sights)
 
 
-def refreshed(
+def with_report(
     before: orders_data.World,
     sight: orders_data.Sight,
     report: engine_data.LoadReport,
     clock_offset: float,
 ) -> orders_data.World:
-    """Return the same with a fresh report of one engine."""
-    fresh = sight._replace(
+    """Return the state updated with a new load report of one engine."""
+    updated = sight._replace(
         loaded=frozenset(report.loaded),
         busy=report.running + report.queued,
         seen_at=report.measured_at + clock_offset,
     )
     sights = tuple(
-        fresh if one.server_id == sight.server_id else one
+        updated if one.server_id == sight.server_id else one
         for one in before.sights
     )
     return before._replace(sights=sights)
 
 
 def address(parts: view_parts.ViewParts, server_id: str) -> str | None:
-    """Return the address of a live server."""
+    """Return the address of a server; None if it is not live."""
     for server in parts.servers:
         if server.server_id == server_id:
             live = server.state is view_data.ServerState.LIVE
--- a/beryllug/control/orders.py
+++ b/beryllug/control/orders.py
@@ -1,7 +1,7 @@
 """Service 'orders': one sender of orders for each pool of model engines.
 
-The lease `orders/<pool>` decides which control process sends, and its fencing
-token goes with every order.
+The holder of the lease `orders/<pool>` sends the orders of a pool. Every order
+carries the fencing token of the lease.
 """
 
 import asyncio
@@ -18,18 +18,20 @@
 from beryllug.drivers import weight_store
 
 
-class Leases(order_sender.Held, Protocol):
-    """What the service needs of the leases."""
+class Leases(order_sender.LeaseChecker, Protocol):
+    """The part of the leases service that is used here."""
 
-    def want(self, name: str, holder: leases.Holder | None = None) -> None:
+    def want(
+        self, name: str, listener: leases.LeaseListener | None = None
+    ) -> None:
         """Try to hold a lease from now on."""
 
     async def release(self, name: str) -> None:
-        """Give a lease back and stop wanting it."""
+        """Release a lease and do not acquire it again."""
 
 
 class Orders:
-    """The senders of this process by pool."""
+    """Runs the order sender of each pool."""
 
     def __init__(
         self,
@@ -39,14 +41,15 @@
         engines: order_sender.Engines,
         store: weight_store.WeightStore | None,
     ) -> None:
-        """Bind to the view, the leases, the engines and the weight store."""
+        """Initialize with view, leases, engines and weight store."""
         self._leases = held
-        self._weights = order_weights.Weights(store)
+        self._weights = order_weights.LoadLimiter(store)
         self._view = view
-        # No entry process sends work of a withdrawn version after it was cut
-        # off for this long: control first, then itself from control.
+        # An entry process sends no requests for a withdrawn version after this
+        # time: control may lose the platform for one cut-off time, then the
+        # entry may lose control for another.
         grace_s = 2 * cfg.cut_off_s + cfg.lease_s
-        self._wired = order_sender.Wired(
+        self._context = order_sender.SenderContext(
             engines=engines,
             leases=held,
             weights=self._weights,
@@ -59,11 +62,11 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to want the leases of all pools of model engines."""
-        self._task = asyncio.create_task(self._follow())
+        """Start to acquire the leases of all pools of model engines."""
+        self._task = asyncio.create_task(self._follow_pools())
 
     async def stop(self, grace_s: float) -> None:
-        """Let orders under way end; the leases are given back later."""
+        """Wait for the orders in flight; the leases are released later."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -81,31 +84,31 @@
         }
 
     async def on_lease(self, name: str, fencing: int) -> None:
-        """Do nothing: a sender looks at its lease before each round."""
+        """Do nothing: a sender checks its lease in each round."""
 
     async def before_release(self, name: str) -> bool:
-        """Let orders under way end before the lease goes to another."""
+        """Wait for the orders in flight before the lease is released."""
         sender = self._senders.get(_pool_of(name))
         if sender is not None:
             await sender.pause()
         return True
 
-    async def _follow(self) -> None:
+    async def _follow_pools(self) -> None:
         while True:
             pools = order_world.engine_pools(self._view.feed.parts.document)
             for name in pools.keys() - self._senders.keys():
-                self._add(name)
+                self._add_pool(name)
             for name in self._senders.keys() - pools.keys():
-                await self._drop(name)
-            await asyncio.sleep(order_sender.TICK_S)
+                await self._drop_pool(name)
+            await asyncio.sleep(order_sender.ROUND_INTERVAL_S)
 
-    def _add(self, pool: str) -> None:
-        sender = order_sender.OrderSender(pool, self._wired)
+    def _add_pool(self, pool: str) -> None:
+        sender = order_sender.OrderSender(pool, self._context)
         self._senders[pool] = sender
         sender.start()
         self._leases.want(order_sender.LEASE_PREFIX + pool, self)
 
-    async def _drop(self, pool: str) -> None:
+    async def _drop_pool(self, pool: str) -> None:
         await self._senders.pop(pool).stop()
         await self._leases.release(order_sender.LEASE_PREFIX + pool)
 
--- a/beryllug/control/orders_test.py
+++ b/beryllug/control/orders_test.py
@@ -1,7 +1,7 @@
-"""Senders of orders that are paused, killed and answered badly.
+"""Tests of order senders that are paused, killed, or lose answers.
 
-Real senders, in virtual time, before engines in memory that check the fencing
-token or ignore it. The checks read what the engines obeyed and have loaded.
+Real senders run in virtual time against in-memory engines that check or ignore
+the fencing token. The tests check the executed orders and loaded versions.
 """
 
 import asyncio
@@ -22,243 +22,250 @@
 WRITE_S = LEASE_S * order_world.WRITE_SHARE
 BOTH = frozenset((V1, V2))
 ONE = frozenset((V1,))
-UNTIL_S = 300.0
+WAIT_TIMEOUT_S = 300.0
 
 
 async def until(is_true: Callable[[], object]) -> None:
-    """Wait for a condition, for a bounded virtual time."""
-    async with asyncio.timeout(UNTIL_S):
+    """Wait for a condition for a bounded virtual time."""
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not is_true():
             await asyncio.sleep(0.05)
 
 
 class OrdersCase(virtual_time_test.VirtualTimeCase):
-    """Starts senders and stops them."""
+    """Starts senders, and stops them after the test."""
 
     async def asyncSetUp(self) -> None:
-        """Let the wall clock follow the virtual one."""
+        """Replace the wall clock by the virtual clock."""
         await super().asyncSetUp()
         patched = mock.patch.object(time, 'time', self.clock.time)
         patched.start()
         self.addCleanup(patched.stop)
 
     def start(
-        self, scene: fake_engines_test.Scene, fencing: int
+        self, fixture: fake_engines_test.OrdersFixture, fencing: int
     ) -> tuple[
         fake_engines_test.Lease,
-        fake_engines_test.Wires,
+        fake_engines_test.FaultyClient,
         order_sender.OrderSender,
     ]:
         """Start a sender that holds the lease."""
         lease = fake_engines_test.Lease(fencing)
-        wires = fake_engines_test.Wires(scene.engines)
-        sender = scene.sender(lease, wires)
+        client = fake_engines_test.FaultyClient(fixture.engines)
+        sender = fixture.sender(lease, client)
         sender.start()
         self.addAsyncCleanup(sender.stop)
-        return lease, wires, sender
+        return lease, client, sender
 
 
-class PausedTest(OrdersCase):
-    """A holder acts on authority that it no longer has."""
+class LostLeaseTest(OrdersCase):
+    """A holder must not act on a lease that it lost."""
 
-    async def test_paused_before_the_look(self) -> None:
-        """A holder is paused while it reads back, past its lease.
+    async def test_paused_before_lease_check(self) -> None:
+        """A holder is paused during a load read until its lease has expired.
 
-        The next holder brings the engines to a newer state. The first wakes
-        with an order in hand, looks at its lease and sends nothing.
+        The next holder brings the engines to a newer state. The first resumes
+        with a pending order, checks its lease and sends nothing.
         """
         for checks in (True, False):
             with self.subTest(checks=checks):
-                scene = fake_engines_test.Scene(checks=checks, loaded=ONE)
-                lease, wires, _ = self.start(scene, 1)
-                wires.reading.clear()
-                await wires.held.wait()
-                lease.lapse_in(2)
+                fixture = fake_engines_test.OrdersFixture(
+                    checks=checks, loaded=ONE
+                )
+                lease, client, _ = self.start(fixture, 1)
+                client.read_gate.clear()
+                await client.blocked.wait()
+                lease.expire_in(2)
                 await asyncio.sleep(LEASE_S)
-                scene.declare(V2)
-                self.start(scene, 2)
+                fixture.declare(V2)
+                self.start(fixture, 2)
                 await asyncio.sleep(LEASE_S)
-                wires.reading.set()
+                client.read_gate.set()
                 await asyncio.sleep(60)
-                self.assertEqual(scene.loaded(), {ONE})
-                tokens = {order.fencing for _, order in scene.orders()}
+                self.assertEqual(fixture.loaded(), {ONE})
+                tokens = {order.fencing for _, order in fixture.orders()}
                 self.assertNotIn(1, tokens)
 
     async def test_late_order(self) -> None:
-        """An order arrives long after its holder lost the lease.
+        """An order arrives long after its sender lost the lease.
 
-        The version it unloads was declared as live again meanwhile. Engines
-        that check refuse it. Others obey it; another copy stays, so callers
-        are served, and the new holder loads the version again.
+        It unloads a version that has been declared live again. Engines that
+        check the token refuse it. Others execute it; another engine keeps a
+        copy, so requests are served, and the new holder loads it again.
         """
         for checks in (True, False):
             with self.subTest(checks=checks):
                 await self._check_late(checks=checks)
 
     async def test_last_copy_stays(self) -> None:
-        """A late unload meets a version of which few copies are left.
+        """A delayed unload arrives when few copies of the version are left.
 
-        Every engine but one has unloaded it when it is declared as live
-        again. Without the kept copy the late order would take the last one.
+        All engines but one have unloaded the version when it is declared
+        live again. If no copy were kept, the delayed order would unload the
+        last one.
         """
-        scene = fake_engines_test.Scene(checks=False, loaded=BOTH)
-        scene.declare(V2)
-        lease, wires, _ = self.start(scene, 1)
+        fixture = fake_engines_test.OrdersFixture(checks=False, loaded=BOTH)
+        fixture.declare(V2)
+        lease, client, _ = self.start(fixture, 1)
 
-        await until(lambda: scene.copies(V2) == 2)
-        wires.delays = True
+        await until(lambda: fixture.copies(V2) == 2)
+        client.delays = True
         await asyncio.sleep(120)
-        lease.lapse_in(0)
-        wires.land()
-        self.assertEqual(scene.copies(V2), 1)
-        scene.declare()
-        self.start(scene, 2)
-        await until(scene.settled(V1, V2))
+        lease.expire_in(0)
+        client.deliver_late()
+        self.assertEqual(fixture.copies(V2), 1)
+        fixture.declare()
+        self.start(fixture, 2)
+        await until(fixture.all_have(V1, V2))
 
     async def test_new_holder_waits(self) -> None:
-        """Orders of a holder before may come until a lease and a write later.
+        """A new holder waits a lease plus a write for the previous orders.
 
-        Only engines that ignore the token make the new holder wait for it.
+        It does so only for engines that ignore the fencing token.
         """
         for checks in (True, False):
             with self.subTest(checks=checks):
-                scene = fake_engines_test.Scene(checks=checks, loaded=ONE)
+                fixture = fake_engines_test.OrdersFixture(
+                    checks=checks, loaded=ONE
+                )
                 won_at = time.monotonic()
-                self.start(scene, 2)
-                await until(scene.settled(V1, V2))
-                waited_s = scene.orders()[0][0] - won_at
+                self.start(fixture, 2)
+                await until(fixture.all_have(V1, V2))
+                waited_s = fixture.orders()[0][0] - won_at
                 self.assertEqual(waited_s >= LEASE_S + WRITE_S, not checks)
 
     async def test_lease_too_short(self) -> None:
-        """The lease may end before the write does: nothing is sent."""
-        scene = fake_engines_test.Scene(checks=True, loaded=ONE)
-        lease, _, sender = self.start(scene, 1)
-        lease.lapse_in(WRITE_S)
+        """Nothing is sent if the lease may expire before the write ends."""
+        fixture = fake_engines_test.OrdersFixture(checks=True, loaded=ONE)
+        lease, _, sender = self.start(fixture, 1)
+        lease.expire_in(WRITE_S)
         await asyncio.sleep(60)
-        self.assertEqual(scene.orders(), [])
+        self.assertEqual(fixture.orders(), [])
         self.assertIsNone(sender.book)
 
     async def test_write_is_bounded(self) -> None:
-        """An engine takes orders and never answers: each is broken off."""
-        scene = fake_engines_test.Scene(checks=True, loaded=ONE)
-        _, wires, sender = self.start(scene, 1)
-        wires.delays = True
-        await until(lambda: wires.late)
+        """The write to an engine that never answers is cancelled in time."""
+        fixture = fake_engines_test.OrdersFixture(checks=True, loaded=ONE)
+        _, client, sender = self.start(fixture, 1)
+        client.delays = True
+        await until(lambda: client.delayed)
         started_at = time.monotonic()
         await sender.pause()
         self.assertLessEqual(time.monotonic() - started_at, WRITE_S)
 
     async def test_old_configuration(self) -> None:
-        """A holder that is cut off orders nothing by what it last knew."""
-        scene = fake_engines_test.Scene(checks=True, loaded=ONE)
-        scene.accepts = False
-        self.start(scene, 1)
+        """A holder with an outdated configuration sends no orders."""
+        fixture = fake_engines_test.OrdersFixture(checks=True, loaded=ONE)
+        fixture.accepts = False
+        self.start(fixture, 1)
         await asyncio.sleep(60)
-        self.assertEqual(scene.orders(), [])
+        self.assertEqual(fixture.orders(), [])
 
     async def test_newer_token_seen(self) -> None:
-        """An engine shows a newer token: its holder is gone by, and stops."""
-        scene = fake_engines_test.Scene(checks=False, loaded=ONE)
-        for engine in scene.engines.values():
+        """A sender stops when an engine reports a newer fencing token."""
+        fixture = fake_engines_test.OrdersFixture(checks=False, loaded=ONE)
+        for engine in fixture.engines.values():
             engine.fencing = 9
-        _, _, sender = self.start(scene, 1)
+        _, _, sender = self.start(fixture, 1)
         await asyncio.sleep(60)
-        self.assertEqual(scene.orders(), [])
+        self.assertEqual(fixture.orders(), [])
         self.assertTrue(sender.dump()['superseded'])
 
     async def _check_late(self, *, checks: bool) -> None:
-        scene = fake_engines_test.Scene(checks=checks, loaded=BOTH)
-        scene.declare(V2)
-        lease, wires, _ = self.start(scene, 1)
+        fixture = fake_engines_test.OrdersFixture(checks=checks, loaded=BOTH)
+        fixture.declare(V2)
+        lease, client, _ = self.start(fixture, 1)
         await asyncio.sleep(fake_engines_test.GRACE_S / 2)
-        wires.delays = True
-        await until(lambda: wires.late)
-        lease.lapse_in(0)
-        scene.declare()
-        self.start(scene, 2)
+        client.delays = True
+        await until(lambda: client.delayed)
+        lease.expire_in(0)
+        fixture.declare()
+        self.start(fixture, 2)
         await asyncio.sleep(2 * LEASE_S)
-        self.assertEqual(wires.land(), [not checks])
-        self.assertGreaterEqual(scene.copies(V2), 2)
-        await until(scene.settled(V1, V2))
+        self.assertEqual(client.deliver_late(), [not checks])
+        self.assertGreaterEqual(fixture.copies(V2), 2)
+        await until(fixture.all_have(V1, V2))
 
 
-class CarriedOutTest(OrdersCase):
-    """Orders are carried out, whatever is lost between."""
+class ExecutionTest(OrdersCase):
+    """Orders are executed in spite of crashes and lost answers."""
 
     async def test_killed_half_way(self) -> None:
-        """A controller is killed with some loads done and some under way.
+        """A sender is stopped with some loads done and some in progress.
 
-        The next one derives from the reports what is missing, and orders no
-        more than that.
+        The next one derives the missing loads from the load reports and
+        orders only these.
         """
         for checks in (True, False):
             with self.subTest(checks=checks):
                 await self._check_killed(checks=checks)
 
     async def test_work_ends_first(self) -> None:
-        """A withdrawn version still runs an answer for a long time.
+        """A withdrawn version still runs a long request.
 
-        Its engine is busy, so it is not unloaded under the answer; when the
-        answer has ended it is, from every engine that checks tokens.
+        The engines are busy, so the version is not unloaded. Once the request
+        has ended, every engine unloads it, as all check the fencing token.
         """
-        scene = fake_engines_test.Scene(checks=True, loaded=BOTH)
-        for engine in scene.engines.values():
+        fixture = fake_engines_test.OrdersFixture(checks=True, loaded=BOTH)
+        for engine in fixture.engines.values():
             engine.busy = 1
-        scene.declare(V2)
-        self.start(scene, 1)
+        fixture.declare(V2)
+        self.start(fixture, 1)
         await asyncio.sleep(120)
-        self.assertEqual(scene.loaded(), {BOTH})
-        for idle in scene.engines.values():
+        self.assertEqual(fixture.loaded(), {BOTH})
+        for idle in fixture.engines.values():
             idle.busy = 0
-        await until(scene.settled(V1))
+        await until(fixture.all_have(V1))
 
     async def test_answer_lost(self) -> None:
-        """Orders are carried out and their answers lost.
+        """Orders are executed and their answers lost.
 
-        The sender reads the load back and finds the version; it sends none
-        a second time.
+        The sender finds the version in the load reports and sends no order a
+        second time.
         """
-        scene = fake_engines_test.Scene(checks=True, loaded=ONE)
-        _, wires, _ = self.start(scene, 1)
-        wires.loses = True
-        await until(scene.settled(V1, V2))
+        fixture = fake_engines_test.OrdersFixture(checks=True, loaded=ONE)
+        _, client, _ = self.start(fixture, 1)
+        client.loses_answers = True
+        await until(fixture.all_have(V1, V2))
         await asyncio.sleep(120)
-        loads = [one for _, one in scene.orders() if one.version == V2]
+        loads = [one for _, one in fixture.orders() if one.version == V2]
         self.assertEqual(len(loads), len(fake_engines_test.NAMES))
 
     async def test_weight_budget(self) -> None:
-        """The weight store refuses reads; no load is ordered meanwhile."""
+        """No load is ordered while the weight store lacks or refuses it."""
         for title, limited, stored in (
             ('refuses', True, True),
-            ('has it not', False, False),
+            ('lacks it', False, False),
         ):
             with self.subTest(title):
-                scene = fake_engines_test.Scene(checks=True, loaded=ONE)
-                scene.store.limited = limited
-                scene.store.has = stored
-                self.start(scene, 1)
+                fixture = fake_engines_test.OrdersFixture(
+                    checks=True, loaded=ONE
+                )
+                fixture.store.limited = limited
+                fixture.store.has_weights = stored
+                self.start(fixture, 1)
                 await asyncio.sleep(60)
-                self.assertEqual(scene.loaded(), {ONE})
-                self.assertLess(scene.store.reads, 15)
-                scene.store.limited = False
-                scene.store.has = True
-                await until(scene.settled(V1, V2))
+                self.assertEqual(fixture.loaded(), {ONE})
+                self.assertLess(fixture.store.reads, 15)
+                fixture.store.limited = False
+                fixture.store.has_weights = True
+                await until(fixture.all_have(V1, V2))
 
     async def _check_killed(self, *, checks: bool) -> None:
-        scene = fake_engines_test.Scene(checks=checks, loaded=ONE)
-        scene.engines['z'].load_s = 20
-        _, _, sender = self.start(scene, 1)
-        await until(lambda: V2 in scene.engines['x'].loaded)
+        fixture = fake_engines_test.OrdersFixture(checks=checks, loaded=ONE)
+        fixture.engines['z'].load_s = 20
+        _, _, sender = self.start(fixture, 1)
+        await until(lambda: V2 in fixture.engines['x'].loaded)
         await sender.stop()
-        self.start(scene, 2)
-        await until(scene.settled(V1, V2))
+        self.start(fixture, 2)
+        await until(fixture.all_have(V1, V2))
         await asyncio.sleep(60)
         done, slow = (
-            [order for _, order in made.obeyed if order.version == V2]
-            for made in (scene.engines['x'], scene.engines['z'])
+            [order for _, order in made.executed if order.version == V2]
+            for made in (fixture.engines['x'], fixture.engines['z'])
         )
         self.assertEqual(len(done), 1)
-        # Repeated while the load goes on, ever less often.
+        # The order is repeated while the load runs, with backoff.
         self.assertLessEqual(len(slow), 4)
 
 
--- a/beryllug/control/outage_test.py
+++ b/beryllug/control/outage_test.py
@@ -1,7 +1,7 @@
-"""The platform is down and holds go on, at most once each.
+"""Tests that holds are granted at most once in a platform outage.
 
-Three control processes; the platform's store and each process's access to it
-are cut as the cases need.
+Three control processes run; the tests cut the store of the platform, or the
+access of single processes to it.
 """
 
 import asyncio
@@ -16,10 +16,10 @@
 
 
 class OutageCase(nodes_test.NodesCase):
-    """Three nodes, the first of which owns the shard."""
+    """Three nodes, of which the first owns the shard."""
 
     async def asyncSetUp(self) -> None:
-        """Start the nodes and let the lease list its candidates."""
+        """Start the nodes and wait until the lease lists the candidates."""
         await super().asyncSetUp()
         self.owner = await self.start_owner('1')
         self.second = await self.start_node('2')
@@ -27,23 +27,23 @@
         await nodes_test.until(self.is_settled)
 
     async def outage(self) -> None:
-        """Cut the platform off and wait until the owner is covered."""
+        """Stop the store and wait until promises cover the owner."""
         self.store.down = True
         await nodes_test.until(lambda: self.covered_s() > 0)
 
     def covered_s(self) -> float:
-        """Return for how long the owner is covered by promises."""
+        """Return for how long promises cover the owner."""
         cover = self.owner.journal.dump()['0']['cover']
         covered: float = cover['covered_s']
         return covered
 
     def copies(self, node: nodes_test.Node) -> int:
-        """Return how many copies a node keeps."""
+        """Return the number of copies that a node keeps."""
         kept = node.journal.dump()['outage']['copies']
         return sum(kept.values())
 
     async def grant(self, name: str) -> journal_data.Row:
-        """Have an intent granted by the owner."""
+        """Begin an intent that the owner grants."""
         row = nodes_test.intent(name, name)
         grant = await self.second.begin(row)
         self.assertEqual(grant.kind, Kind.GRANTED)
@@ -51,31 +51,31 @@
         return row
 
     async def ask(self, node: nodes_test.Node, name: str) -> Kind:
-        """Send a request again through another entry."""
+        """Resend a request through another entry."""
         row = nodes_test.intent(f'{name}-again', name)
         grant = await node.begin(row._replace(entry='entry-2/boot'))
         return grant.kind
 
     def is_settled(self) -> bool:
-        """Tell whether the lease lists both others and nothing unflushed."""
+        """Tell whether the lease lists both others and no unflushed rows."""
         content = self.lease()
         return len(content.candidates) == 2 and not content.unflushed
 
     def lease(self) -> lease_data.Lease:
-        """Return the lease as the platform holds it."""
+        """Return the lease that the platform stores."""
         stored = self.store.kept[lease_task.PREFIX + shards.lease_name(0)]
         return lease_task.decode(stored.value)
 
 
-class GoOnTest(OutageCase):
-    """The owner lives through the outage."""
+class OwnerAliveTest(OutageCase):
+    """The owner stays alive during the outage."""
 
-    async def test_holds_go_on(self) -> None:
-        """Guests hold slots while the platform is down.
+    async def test_holds_continue(self) -> None:
+        """Holds are granted while the platform is down.
 
-        Each hold is granted once, a resend learns of the first try and of
-        its answer, and when the platform is back every row is written once
-        and the copies are dropped.
+        Each hold is granted once, and a resend gets the state of the first
+        attempt. After the outage every row is written once and the copies
+        are dropped.
         """
         before = await self.grant('before')
         await self.outage()
@@ -106,10 +106,11 @@
             ],
         )
 
-    async def test_nobody_is_refused_at_the_start(self) -> None:
-        """The first guests of an outage wait for promises, not long.
+    async def test_no_refusal_at_outage_start(self) -> None:
+        """The first requests of an outage wait briefly and are not refused.
 
-        Then a write hangs instead of failing: they are not refused either.
+        They wait for promises. The same holds when writes hang instead of
+        failing.
         """
         self.store.down = True
         await self.grant('one')
@@ -121,11 +122,12 @@
         await self.grant('two')
         self.assertLess(time.monotonic() - start, 2)
 
-    async def test_somebody_reaches_the_platform(self) -> None:
-        """Only the owner is cut off: it must not go on, another takes over.
+    async def test_candidate_reaches_platform(self) -> None:
+        """Only the owner loses the platform, and another process takes over.
 
-        A candidate that reaches the platform refuses to promise. The owner's
-        guests are refused with "not run" until the lease has moved.
+        A candidate that reaches the platform refuses to promise, so the owner
+        must stop granting. Its requests are refused as "not run" until another
+        process has acquired the lease.
         """
         self.owner.client.cut = True
         row = nodes_test.intent('one')
@@ -137,7 +139,10 @@
         self.assertEqual(grant.kind, Kind.GRANTED)
 
     async def test_candidate_is_lost(self) -> None:
-        """A candidate does not answer: it may reach the platform."""
+        """The owner stops when a candidate does not answer.
+
+        That candidate may reach the platform and acquire the lease.
+        """
         await self.outage()
         self.network.silent.add('127.0.0.1:3')
         await nodes_test.until(lambda: not self.covered_s())
@@ -145,10 +150,10 @@
         self.assertEqual(grant.kind, Kind.UNAVAILABLE)
 
     async def test_copy_takes_too_long(self) -> None:
-        """The owner is paused while its intent is copied.
+        """The promises expire while the owner waits for a copy of an intent.
 
-        It wakes when its cover has ended. Others may have taken the lease
-        meanwhile, so it grants nothing.
+        Another process may have acquired the lease since, so the owner grants
+        nothing.
         """
         await self.outage()
         self.network.held.update(('Copy', 'Promise'))
@@ -158,7 +163,7 @@
         self.assertEqual((await asked).kind, Kind.UNAVAILABLE)
 
     async def test_no_room_for_copies(self) -> None:
-        """Copies are bounded; beyond, holds are refused as "not run"."""
+        """Holds beyond the maximum of copies are refused as "not run"."""
         await self.outage()
         self.addCleanup(setattr, outage, 'MAX_COPIES', outage.MAX_COPIES)
         outage.MAX_COPIES = 2
@@ -171,14 +176,14 @@
 
 
 class OwnerLostTest(OutageCase):
-    """The owner is killed in the outage."""
+    """The owner is killed during the outage."""
 
     async def test_owner_killed(self) -> None:
-        """The owner dies with rows that the platform never got.
+        """The owner is killed with rows that the platform does not have.
 
-        When the platform is back another process takes the lease, gathers
-        the copies and knows the key: its resend is told that the outcome is
-        unknown, and never runs. The entry's outcome then ends it.
+        After the outage another process acquires the lease, gathers the
+        copies and knows the key. A resend gets the state unknown and never
+        runs. The outcome that the entry then reports ends the key.
         """
         await self.outage()
         row = await self.grant('one')
@@ -191,12 +196,12 @@
         self.assertEqual(self.log(), [('intent', 'one'), ('done', 'one')])
         await self.grant_by(successor, 'other')
 
-    async def test_taken_by_a_process_that_joined_later(self) -> None:
-        """The platform is back and the owner dies before it has flushed.
+    async def test_taken_over_by_later_joiner(self) -> None:
+        """The owner is killed after the outage, before it has flushed.
 
-        It renewed its lease first. The process that takes it joined after
-        the outage and promised nothing, so only the lease itself tells it
-        that there are copies to gather.
+        It has renewed its lease before. The process that acquires the lease
+        joined after the outage and gave no promise, so only the lease itself
+        shows that there are copies to gather.
         """
         await self.outage()
         await self.grant('one')
@@ -212,50 +217,50 @@
         self.assertEqual(await self.ask(fourth, 'one'), Kind.UNKNOWN)
 
     async def test_copy_lost_too(self) -> None:
-        """The owner and the process with the copy are both lost.
+        """The owner and the process with the copy are both killed.
 
-        Nobody knows the key any more. The new owner can't tell its resend
-        from a new request, so for a time it refuses every key that it does
-        not know, with "not run"; keys that it knows it answers.
+        No process knows the key any more. The new owner can't distinguish a
+        resend from a new request, so for some time it refuses every unknown
+        key as "not run". It answers for known keys.
         """
         known = await self.grant('known')
         await self.outage()
         await self.grant('one')
-        keeper, last = self.second, self.third
+        copy_holder, survivor = self.second, self.third
         if self.copies(self.third):
-            keeper, last = self.third, self.second
+            copy_holder, survivor = self.third, self.second
         await self.owner.kill(self.network)
-        await keeper.kill(self.network)
+        await copy_holder.kill(self.network)
         self.store.down = False
-        await nodes_test.until(last.owns)
-        self.assertEqual(await self.ask(last, 'one'), Kind.UNAVAILABLE)
-        self.assertEqual(await self.ask(last, 'known'), Kind.UNKNOWN)
-        await self.finish_at_last(last, nodes_test.outcome(known))
-        self.assertEqual(await self.ask(last, 'known'), Kind.FINISHED)
+        await nodes_test.until(survivor.owns)
+        self.assertEqual(await self.ask(survivor, 'one'), Kind.UNAVAILABLE)
+        self.assertEqual(await self.ask(survivor, 'known'), Kind.UNKNOWN)
+        await self.finish_at_last(survivor, nodes_test.outcome(known))
+        self.assertEqual(await self.ask(survivor, 'known'), Kind.FINISHED)
 
-    async def test_keeper_lost_first(self) -> None:
-        """The process with the copy is lost, a while later the owner.
+    async def test_copy_holder_lost_first(self) -> None:
+        """The process with the copy is killed, and later the owner.
 
-        The owner has had the intent copied anew meanwhile, so the last
+        The owner has copied the intent again in between, so the remaining
         process knows the key.
         """
         await self.outage()
         await self.grant('one')
-        keeper, last = self.second, self.third
+        copy_holder, survivor = self.second, self.third
         if self.copies(self.third):
-            keeper, last = self.third, self.second
-        await keeper.kill(self.network)
-        await nodes_test.until(lambda: self.copies(last))
+            copy_holder, survivor = self.third, self.second
+        await copy_holder.kill(self.network)
+        await nodes_test.until(lambda: self.copies(survivor))
         await self.owner.kill(self.network)
         self.store.down = False
-        await nodes_test.until(last.owns)
-        self.assertEqual(await self.ask(last, 'one'), Kind.UNKNOWN)
+        await nodes_test.until(survivor.owns)
+        self.assertEqual(await self.ask(survivor, 'one'), Kind.UNKNOWN)
 
-    async def test_ordinary_takeover_asks_nobody(self) -> None:
-        """Without an outage a new owner serves as soon as it has the lease.
+    async def test_ordinary_takeover_gathers_nothing(self) -> None:
+        """Without an outage a new owner serves once it has the lease.
 
-        It promised nothing to the earlier owner, which therefore can't have
-        granted anything from memory.
+        It gave no promise to the previous owner, which therefore can't have
+        granted anything that the platform does not have.
         """
         await self.grant('one')
         await self.owner.kill(self.network)
@@ -266,7 +271,7 @@
         await self.grant_by(successor, 'two')
 
     async def grant_by(self, node: nodes_test.Node, name: str) -> None:
-        """Have an intent granted by a node."""
+        """Begin an intent that a node grants."""
         grant = await node.begin(nodes_test.intent(name, name))
         self.assertEqual(grant.kind, Kind.GRANTED)
 
@@ -276,36 +281,37 @@
         return self.second if self.second.owns() else self.third
 
 
-class OldAuthorityTest(OutageCase):
-    """A process that lost its lease unseen must not go on in an outage."""
+class StaleOwnerTest(OutageCase):
+    """An owner that does not know it lost the lease must not continue."""
 
-    async def test_taker_lives(self) -> None:
-        """The owner was cut off, its lease was taken, then all are cut off.
+    async def test_new_owner_lives(self) -> None:
+        """The owner loses its lease while isolated, then the platform fails.
 
-        The owner has not seen that it lost the lease. The process that took
-        it does not promise to leave it alone.
+        The owner has not read that it lost the lease. The new owner does not
+        give it a promise.
         """
-        taker = await self._take_over_unseen()
+        new_owner = await self._take_over_unseen()
         await asyncio.sleep(3 * self.sizes.lease_s)
         grant = await self.owner.begin(nodes_test.intent('two', 'one'))
         self.assertEqual(grant.kind, Kind.UNAVAILABLE)
-        self.assertEqual(await self.ask(taker, 'one'), Kind.RUNNING)
+        self.assertEqual(await self.ask(new_owner, 'one'), Kind.RUNNING)
 
-    async def test_taker_started_anew(self) -> None:
-        """The process that took the lease is killed and started anew.
+    async def test_new_owner_restarted(self) -> None:
+        """The process that acquired the lease is killed and restarted.
 
-        It does not know that it took the lease, and promises in good faith.
-        The owner's lease lists its earlier start, so it does not count.
+        It does not know that it acquired the lease, and gives a promise. The
+        promise does not count, because the lease of the first owner lists the
+        previous start of that process.
         """
-        taker = await self._take_over_unseen()
-        await taker.kill(self.network)
-        await self.restart_node(taker.name)
+        new_owner = await self._take_over_unseen()
+        await new_owner.kill(self.network)
+        await self.restart_node(new_owner.name)
         await asyncio.sleep(3 * self.sizes.lease_s)
         grant = await self.owner.begin(nodes_test.intent('two', 'one'))
         self.assertEqual(grant.kind, Kind.UNAVAILABLE)
 
     async def _take_over_unseen(self) -> nodes_test.Node:
-        """Let another take the lease and grant a key, then cut all off."""
+        """Let another process take over and grant, then stop the store."""
         self.owner.client.cut = True
         self.third.client.cut = True
         await nodes_test.until(self.second.owns)
@@ -318,32 +324,32 @@
         return self.second
 
 
-class StrayCopyTest(OutageCase):
-    """Copies of tries that were denied, and turn up late."""
+class DeniedCopyTest(OutageCase):
+    """Copies of denied attempts that are gathered later."""
 
     async def test_key_has_ended(self) -> None:
-        """The copy's key was ended by another try long ago.
+        """The key of the copy was ended by another attempt before.
 
-        Taken in as an open try it would end as NOT_RUN and free the key; a
-        resend would run a second time.
+        If the copy counted as an open attempt, it would end as NOT_RUN and
+        free the key, and a resend would run a second time.
         """
         row = await self.grant('one')
         await self.finish_at_last(self.owner, nodes_test.outcome(row))
-        successor = await self._gather_stray(row)
+        successor = await self._gather_denied(row)
         self.assertEqual(await self.ask(successor, 'one'), Kind.FINISHED)
 
     async def test_key_is_open(self) -> None:
-        """Another try of the copy's key is open, and its entry lives."""
+        """Another attempt of the key is open, and its entry is alive."""
         row = await self.grant('one')
-        successor = await self._gather_stray(row)
+        successor = await self._gather_denied(row)
         self.assertEqual(await self.ask(successor, 'one'), Kind.RUNNING)
         await self.finish_at_last(successor, nodes_test.outcome(row))
         self.assertEqual(await self.ask(successor, 'one'), Kind.FINISHED)
 
-    async def _gather_stray(self, row: journal_data.Row) -> nodes_test.Node:
-        """Let a successor gather a stray copy, whose entry then ends it."""
-        stray = row._replace(request_id='stray')
-        ask = outage_data.CopyAsk(0, 1, (stray,))
+    async def _gather_denied(self, row: journal_data.Row) -> nodes_test.Node:
+        """Let a successor gather a denied attempt, then end the attempt."""
+        denied = row._replace(request_id='denied')
+        ask = outage_data.CopyAsk(0, 1, (denied,))
         for name in '23':
             await self.network.call(f'127.0.0.1:{name}', methods.COPY, ask, 1)
         await self.outage()
@@ -352,48 +358,48 @@
         both = (self.second, self.third)
         await nodes_test.until(lambda: any(node.owns() for node in both))
         successor = self.second if self.second.owns() else self.third
-        ended = nodes_test.outcome(stray, journal_data.OutcomeState.NOT_RUN)
+        ended = nodes_test.outcome(denied, journal_data.OutcomeState.NOT_RUN)
         await self.finish_at_last(successor, ended)
         return successor
 
 
 class StopTest(OutageCase):
-    """Planned stops while something stands in memory only."""
+    """Planned stops while rows are only in memory."""
 
     async def test_owner_stops(self) -> None:
-        """The owner is stopped, can't flush, and its copy's keeper is lost.
+        """The owner is stopped and can't flush, and its copy is lost.
 
-        Its successor asks it while it still waits for the platform.
+        Its successor gathers from it while it still waits for the platform.
         """
         await self.outage()
         await self.grant('one')
-        keeper, last = self.second, self.third
+        copy_holder, survivor = self.second, self.third
         if self.copies(self.third):
-            keeper, last = self.third, self.second
-        await keeper.kill(self.network)
+            copy_holder, survivor = self.third, self.second
+        await copy_holder.kill(self.network)
         self.owner.client.cut = True
         self.store.down = False
         stopping = asyncio.create_task(self.owner.stop())
-        await nodes_test.until(last.owns)
-        self.assertEqual(await self.ask(last, 'one'), Kind.UNKNOWN)
+        await nodes_test.until(survivor.owns)
+        self.assertEqual(await self.ask(survivor, 'one'), Kind.UNKNOWN)
         await stopping
 
     async def test_quarantined_owner_stops(self) -> None:
-        """A process that refuses unknown keys is stopped, and hands over.
+        """A process that refuses unknown keys is stopped and hands over.
 
-        The next one does not know the lost keys either and refuses too.
+        The next owner does not know the lost keys either, and refuses too.
         """
         await self.outage()
         await self.grant('one')
-        keeper, last = self.second, self.third
+        copy_holder, survivor = self.second, self.third
         if self.copies(self.third):
-            keeper, last = self.third, self.second
+            copy_holder, survivor = self.third, self.second
         await self.owner.kill(self.network)
-        await keeper.kill(self.network)
+        await copy_holder.kill(self.network)
         self.store.down = False
-        await nodes_test.until(last.owns)
-        fresh = await self.restart_node(keeper.name)
-        await last.stop()
+        await nodes_test.until(survivor.owns)
+        fresh = await self.restart_node(copy_holder.name)
+        await survivor.stop()
         await nodes_test.until(fresh.owns)
         self.assertEqual(await self.ask(fresh, 'one'), Kind.UNAVAILABLE)
 
--- a/beryllug/control/probing.py
+++ b/beryllug/control/probing.py
@@ -1,7 +1,7 @@
-"""The task that probes other control processes and passes news on.
+"""Failure detection among control processes, and exchange of heartbeats.
 
-It probes one member a round. One that does not answer is suspected only when
-others can't reach it either, and has time to contradict.
+One member is probed per round. A member that does not answer is suspected only
+if other members can't reach it either, and then has time to refute that.
 """
 
 import asyncio
@@ -16,20 +16,20 @@
 from beryllug.core import member_data, membership
 from beryllug.drivers import methods, rpc, rpc_peers
 
-HELPERS = 2
+INDIRECT_PROBES = 2
 JOIN_ROUNDS = 10
-WHOLE_ROUNDS = 60
-TIMEOUT_SHARE = 0.5
+FULL_SYNC_ROUNDS = 60
+PROBE_TIMEOUT_SHARE = 0.5
 
 Listener = Callable[[member_data.Member, int], None]
 
 
 class Join(NamedTuple):
-    """How a process takes part.
+    """Settings of the exchange with other members.
 
     Attributes:
         zone: Its availability zone.
-        seeds: Addresses to join by.
+        seeds: Addresses to contact in order to join.
         heartbeat_s: Time between two probes.
         calls: Calls to peers.
     """
@@ -44,14 +44,14 @@
     """Exchanges heartbeats with other members.
 
     Attributes:
-        table: What is believed of them.
-        rounds: Rounds of probes so far.
-        revision: Revision of the configuration that peers are told.
-        listeners: Called with each member heard and its revision.
+        table: The known members and notes.
+        rounds: Number of finished probe rounds.
+        revision: Configuration revision that heartbeats carry.
+        listeners: Called with the sender and revision of each heartbeat.
     """
 
     def __init__(self, own: member_data.Member, join: Join) -> None:
-        """Make the prober; it knows only itself before `start`."""
+        """Initialize; only this process is known before `start`."""
         self.table = membership.Table(own)
         self.revision = 0
         self.rounds = 0
@@ -61,33 +61,36 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to probe."""
+        """Start to probe other members."""
         self._task = asyncio.create_task(
             lasting.repeat('membership', self._run)
         )
 
     async def stop(self) -> None:
-        """Tell the next members on the ring that this process leaves."""
+        """Notify the next members on the ring that this process leaves."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
         membership.leave(self.table)
-        told = membership.others(self.table)[:JOIN_ROUNDS]
+        receivers = membership.others(self.table)[:JOIN_ROUNDS]
         await asyncio.gather(
-            *(self._exchange(member.address, member.name) for member in told)
+            *(
+                self._exchange(member.address, member.name)
+                for member in receivers
+            )
         )
 
     async def answer(
         self, heartbeat: member_data.Heartbeat
     ) -> member_data.Heartbeat:
         """Answer a peer's heartbeat."""
-        self._take(heartbeat)
+        self._merge(heartbeat)
         return self._heartbeat(heartbeat.sender.name, heartbeat.whole)
 
-    async def probe_for(
+    async def probe_for_peer(
         self, ask: member_data.ProbeAsk
     ) -> member_data.ProbeReply:
-        """Probe a member for a peer that could not reach it."""
+        """Probe a member on behalf of a peer that could not reach it."""
         reply = await self._exchange(ask.address, '')
         return member_data.ProbeReply(reply is not None)
 
@@ -95,14 +98,14 @@
         started = time.monotonic()
         if self.rounds % JOIN_ROUNDS == 0 or len(self.table.ring) < 2:
             await self._join()
-        await self._probe(self.rounds % WHOLE_ROUNDS == 0)
+        await self._probe(self.rounds % FULL_SYNC_ROUNDS == 0)
         membership.expire(self.table, self._cfg.heartbeat_s, time.monotonic())
         self.rounds += 1
         spent_s = time.monotonic() - started
         await asyncio.sleep(self._cfg.heartbeat_s - spent_s)
 
     async def _join(self) -> None:
-        """Try a seed or a dead member: that is how two halves meet again."""
+        """Contact a seed or a dead member, which also heals a partition."""
         known = {member.address for member in membership.others(self.table)}
         known.add(self.table.own.address)
         dead = (member.address for member in membership.gone(self.table))
@@ -123,33 +126,33 @@
         own = membership.digest(self.table)
         if reply is not None and compare and reply.digest != own:
             await self._exchange(target.address, target.name, whole=True)
-        if reply is None and not await self._others_reach(target):
+        if reply is None and not await self._probe_indirectly(target):
             logging.warning('event=member_suspected member=%s', target.name)
             membership.suspect(self.table, target.name, time.monotonic())
 
-    async def _others_reach(self, target: member_data.Member) -> bool:
-        """Let others probe a member: our own link to it may be broken."""
-        helpers = [
+    async def _probe_indirectly(self, target: member_data.Member) -> bool:
+        """Probe a member through others, as only our link may be broken."""
+        proxies = [
             member
             for member in membership.others(self.table)
             if member.name != target.name
         ]
-        count = min(HELPERS, len(helpers))
+        count = min(INDIRECT_PROBES, len(proxies))
         replies = await asyncio.gather(
             *(
-                self._ask_helper(helper, target)
-                for helper in self._random.sample(helpers, count)
+                self._probe_through(proxy, target)
+                for proxy in self._random.sample(proxies, count)
             )
         )
         return any(replies)
 
-    async def _ask_helper(
-        self, helper: member_data.Member, target: member_data.Member
+    async def _probe_through(
+        self, proxy: member_data.Member, target: member_data.Member
     ) -> bool:
         ask = member_data.ProbeAsk(target.address)
         try:
             reply = await self._cfg.calls.call(
-                helper.address, methods.PROBE, ask, self._cfg.heartbeat_s
+                proxy.address, methods.PROBE, ask, self._cfg.heartbeat_s
             )
         except rpc.RpcError:
             return False
@@ -159,14 +162,14 @@
         self, address: str, name: str, *, whole: bool = False
     ) -> member_data.Heartbeat | None:
         heartbeat = self._heartbeat(name, whole)._replace(whole=whole)
-        timeout_s = self._cfg.heartbeat_s * TIMEOUT_SHARE
+        timeout_s = self._cfg.heartbeat_s * PROBE_TIMEOUT_SHARE
         try:
             reply = await self._cfg.calls.call(
                 address, methods.HEARTBEAT, heartbeat, timeout_s
             )
         except rpc.RpcError:
             return None
-        self._take(reply)
+        self._merge(reply)
         return reply
 
     def _heartbeat(self, receiver: str, whole: bool) -> member_data.Heartbeat:
@@ -183,10 +186,10 @@
             revision=self.revision,
         )
 
-    def _take(self, heartbeat: member_data.Heartbeat) -> None:
+    def _merge(self, heartbeat: member_data.Heartbeat) -> None:
         now = time.monotonic()
-        told = (heartbeat.sender, *heartbeat.news)
-        membership.merge_all(self.table, told, now)
+        received = (heartbeat.sender, *heartbeat.news)
+        membership.merge_all(self.table, received, now)
         for note in heartbeat.notes:
             membership.merge_note(self.table, note)
         for listener in self.listeners:
--- a/beryllug/control/promises.py
+++ b/beryllug/control/promises.py
@@ -1,6 +1,6 @@
-"""Promises not to take leases, asked for and given in an outage.
+"""Promises not to acquire leases, requested and given in an outage.
 
-The rules stand in `core.outage`.
+The rules are in `core.outage`.
 """
 
 import asyncio
@@ -11,13 +11,13 @@
 from beryllug.drivers import methods, object_api, object_data
 
 PROBE_KEY = 'beryllug/leases/probe'
-PROBE_S = 0.5
-CALL_S = 1.0
-ASK_SHARE = 0.25
+PROBE_TIMEOUT_S = 0.5
+CALL_TIMEOUT_S = 1.0
+ASK_INTERVAL_SHARE = 0.25
 
 
 class Promises:
-    """Promises of this process, given and got."""
+    """The promises that this process gave and received."""
 
     def __init__(
         self,
@@ -26,75 +26,75 @@
         calls: candidate_calls.CandidateCalls,
         boot: str,
     ) -> None:
-        """Bind to the platform, the leases and the peers.
+        """Initialize with the platform, the leases and the peers.
 
         Args:
             api: The platform.
-            leases: This process's leases.
+            leases: Leases of this process.
             calls: Calls to candidates.
-            boot: Random id of this process's start.
+            boot: Random id of the start of this process.
         """
         self._api = api
         self._leases = leases
         self._calls = calls
         self._boot = boot
-        self._got = outage.Promises()
+        self._received = outage.Promises()
         self._given: set[str] = set()
-        self._pause_s = leases.terms.promise_s * ASK_SHARE
+        self._ask_interval_s = leases.terms.promise_s * ASK_INTERVAL_SHARE
         self._asked_at = float('-inf')
         self._round: asyncio.Task[None] | None = None
         self._task: asyncio.Task[None] | None = None
 
     def serve(self, server: candidate_calls.Server) -> None:
-        """Add the method to the server of this process."""
+        """Register the RPC method at the server of this process."""
         server.unary(methods.PROMISE, self.promise)
 
     def start(self) -> None:
-        """Begin to ask for promises whenever leases can't be renewed."""
+        """Start to request promises whenever leases can't be renewed."""
         self._task = asyncio.create_task(
             lasting.repeat('promises', self._keep_asking)
         )
 
     async def stop(self) -> None:
-        """Stop asking."""
+        """Stop requesting promises."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def dump(self) -> dict[str, float]:
-        """Return for how long each promise still holds, in seconds."""
+        """Return the remaining seconds of each received promise."""
         now = time.monotonic()
         return {
             f'{lease_name} by {candidate.name}': round(until - now, 3)
-            for (lease_name, candidate), until in self._got.until.items()
+            for (lease_name, candidate), until in self._received.until.items()
         }
 
     def given_to(self, boot: str) -> bool:
-        """Tell whether this process ever promised to one process start."""
+        """Tell whether a promise was ever given to a start of a process."""
         return boot in self._given
 
     def is_held(self, lease_name: str, candidate: lease_data.Candidate) -> bool:
-        """Tell whether a candidate's promise holds now."""
-        until = outage.covered_until(self._got, lease_name, (candidate,))
+        """Tell whether the promise of a candidate is valid now."""
+        until = outage.covered_until(self._received, lease_name, (candidate,))
         return until > time.monotonic()
 
     def valid_s(self, lease_name: str) -> float:
-        """Return for how long surely nobody takes a lease held here."""
+        """Return for how long no process can acquire a lease held here."""
         candidates = self._leases.candidates(lease_name)
         end = min(
-            outage.covered_until(self._got, lease_name, candidates),
-            self._leases.limit(lease_name),
+            outage.covered_until(self._received, lease_name, candidates),
+            self._leases.candidates_only_until(lease_name),
         )
         return max(0.0, end - time.monotonic())
 
     async def cover(self, lease_name: str) -> float:
-        """Return for how long a lease is covered, asking for it if needed.
+        """Return how long promises cover a lease; request them if needed.
 
-        The first requests of an outage need not be refused. When candidates
-        were asked a moment ago and did not promise, they are not asked again.
+        So the first requests of an outage need not be refused. Candidates
+        that were asked within the last interval are not asked again.
         """
         waited_s = time.monotonic() - self._asked_at
-        recent = self._round is not None and waited_s < self._pause_s
+        recent = self._round is not None and waited_s < self._ask_interval_s
         if not self.valid_s(lease_name) and not recent:
             await self._ask_round()
         return self.valid_s(lease_name)
@@ -102,11 +102,11 @@
     async def promise(
         self, ask: outage_data.PromiseAsk
     ) -> outage_data.PromiseReply:
-        """Promise to take no lease, if the platform is down here too."""
+        """Promise to acquire no lease if the platform is unreachable here."""
         started = self._leases.own().started
         reached = await self._reaches_platform()
         until = time.monotonic() + ask.promise_s
-        if reached or not self._leases.hold_off(until):
+        if reached or not self._leases.block_acquisition(until):
             return outage_data.PromiseReply(started)
         self._given.add(ask.boot)
         names = (
@@ -117,12 +117,12 @@
         return outage_data.PromiseReply(started, tuple(names))
 
     async def _keep_asking(self) -> None:
-        if self._leases.is_struggling(time.monotonic()):
+        if self._leases.is_renewal_overdue(time.monotonic()):
             await self._ask_round()
-        await asyncio.sleep(self._pause_s)
+        await asyncio.sleep(self._ask_interval_s)
 
     async def _ask_round(self) -> None:
-        """Ask all candidates, together with whoever asks now."""
+        """Ask all candidates; concurrent callers share one round."""
         if self._round is None or self._round.done():
             self._asked_at = time.monotonic()
             self._round = asyncio.create_task(self._ask_promises())
@@ -134,7 +134,7 @@
             for held in self._leases.held()
             for candidate in self._leases.candidates(held.name)
         }
-        outage.forget_ended(self._got, time.monotonic())
+        outage.forget_ended(self._received, time.monotonic())
         await asyncio.gather(*map(self._ask_promise, sorted(names)))
 
     async def _ask_promise(self, name: str) -> None:
@@ -143,13 +143,15 @@
             self._boot, terms.promise_s, self._leases.held()
         )
         sent_at = time.monotonic()
-        reply = await self._calls.call(name, methods.PROMISE, ask, CALL_S)
+        reply = await self._calls.call(
+            name, methods.PROMISE, ask, CALL_TIMEOUT_S
+        )
         if reply is not None:
-            outage.promised(self._got, name, reply, sent_at, terms)
+            outage.promised(self._received, name, reply, sent_at, terms)
 
     async def _reaches_platform(self) -> bool:
         try:
-            async with asyncio.timeout(PROBE_S):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 await self._api.read(PROBE_KEY)
         except (object_data.ObjectApiError, TimeoutError):
             return False
--- a/beryllug/control/suspects_spread.py
+++ b/beryllug/control/suspects_spread.py
@@ -1,7 +1,7 @@
-"""Tell other control processes what is known of suspected requests.
+"""Sends notes on suspected requests to the other control processes.
 
-A loss concerns every process, so all are told; in waves, since a process
-keeps clients for some dozens of peers only.
+Every process needs to know of a loss, so notes go to all. They are sent in
+batches, because a process keeps clients for only some dozens of peers.
 """
 
 import asyncio
@@ -14,18 +14,18 @@
 from beryllug.core import rendezvous, suspects_data
 from beryllug.drivers import methods, rpc, rpc_peers
 
-TRIALS = 'trials of suspected requests'
-# Seconds for a peer to tell its entries and have them confirm it.
-SPREAD_S = 1.0
-ASK_S = 0.3
-WAVE = 32
-# Calls until a peer counts as not reached.
-TRIES = 2
+DECIDER_KEY = 'trials of suspected requests'
+# Timeout for a peer to notify its entries and receive their confirmations.
+TELL_TIMEOUT_S = 1.0
+ASK_TIMEOUT_S = 0.3
+BATCH_SIZE = 32
+# Calls until a peer counts as unreachable.
+MAX_ATTEMPTS = 2
 UNAVAILABLE = 'UNAVAILABLE'
 
 
 class Others(Protocol):
-    """What this needs of the neighbours."""
+    """The part of the neighbours that is used here."""
 
     def everyone(self) -> tuple[str, ...]:
         """Return the addresses of all other control processes."""
@@ -35,7 +35,7 @@
 
 
 class Members(Protocol):
-    """What this needs of the membership."""
+    """The part of the membership service that is used here."""
 
     def live(self, now: float) -> tuple[str, ...]:
         """Return the names of live members, this process among them."""
@@ -45,7 +45,7 @@
 
 
 class Spread:
-    """Calls of one control process to the others."""
+    """Calls from one control process to the others."""
 
     def __init__(
         self,
@@ -54,27 +54,27 @@
         members: Members,
         calls: rpc_peers.RedialingCaller,
     ) -> None:
-        """Bind the neighbours and the connections to them."""
+        """Initialize with the neighbours and the calls to them."""
         self._name = name
         self._others = others
         self._members = members
         self._calls = calls
 
-    def deciders(self) -> list[str]:
-        """Return who decides on trials: the first of these that answers."""
+    def decider_order(self) -> list[str]:
+        """Return the order of deciders: the first that answers decides."""
         live = self._members.live(time.monotonic())
-        return rendezvous.order(TRIALS, {self._name, *live})
+        return rendezvous.order(DECIDER_KEY, {self._name, *live})
 
-    async def pass_on(
+    async def forward(
         self, ask: suspects_data.TrialAsk
     ) -> suspects_data.TrialReply | None:
-        """Have a trial decided by another process.
+        """Forward a trial request to the process that decides.
 
         Returns:
-            The reply; None where this process is the one to decide.
+            The reply; None if this process has to decide.
         """
-        passed = ask._replace(hops=ask.hops + 1)
-        for member in self.deciders():
+        forwarded = ask._replace(hops=ask.hops + 1)
+        for member in self.decider_order():
             if member == self._name:
                 return None
             address = self._members.address_of(member)
@@ -82,31 +82,31 @@
                 continue
             try:
                 return await self._calls.call(
-                    address, methods.TRY_SUSPECT, passed, ASK_S
+                    address, methods.TRY_SUSPECT, forwarded, ASK_TIMEOUT_S
                 )
             except rpc.RpcError:
                 logging.warning('event=trial_not_decided member=%s', member)
         return None
 
-    async def tell_all(self, notes: tuple[suspects_data.Note, ...]) -> None:
-        """Tell every other process, for a bounded time."""
+    async def broadcast(self, notes: tuple[suspects_data.Note, ...]) -> None:
+        """Send notes to every other process, for a bounded time."""
         addresses = self._others.everyone()
         message = suspects_data.Notes(notes)
-        for start in range(0, len(addresses), WAVE):
-            await self._tell(addresses[start : start + WAVE], message)
+        for start in range(0, len(addresses), BATCH_SIZE):
+            await self._tell(addresses[start : start + BATCH_SIZE], message)
 
     async def ask_partners(self) -> tuple[suspects_data.Note, ...]:
-        """Return what a few others know."""
+        """Return the notes of a few other processes."""
         message = suspects_data.Notes(wants=True)
         return await self._tell(self._others.partners(), message)
 
     async def exchange(
-        self, notes: tuple[suspects_data.Note, ...], turn: int
+        self, notes: tuple[suspects_data.Note, ...], round_number: int
     ) -> None:
-        """Tell one of the partners, each in its turn."""
+        """Send notes to one of the partners, in round-robin order."""
         partners = self._others.partners()
         if partners and notes:
-            partner = partners[turn % len(partners)]
+            partner = partners[round_number % len(partners)]
             await self._tell((partner,), suspects_data.Notes(notes))
 
     async def _tell(
@@ -121,17 +121,17 @@
         self, address: str, message: suspects_data.Notes
     ) -> suspects_data.Notes:
         failure = ''
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 return await self._calls.call(
-                    address, methods.TELL_SUSPECTS, message, SPREAD_S
+                    address, methods.TELL_SUSPECTS, message, TELL_TIMEOUT_S
                 )
             except rpc.RpcError as exc:
                 failure = str(exc)
                 if exc.code != UNAVAILABLE:
                     break
-                # After a peer's start or return a kept connection waits up to
-                # a second before it tries to connect again.
+                # After a peer has restarted or become reachable again, an
+                # existing connection waits up to a second before it reconnects.
                 await self._calls.drop(address)
         logging.warning(
             'event=suspects_not_told peer=%s error=%s', address, failure
--- a/beryllug/control/suspects_store.py
+++ b/beryllug/control/suspects_store.py
@@ -1,8 +1,8 @@
-"""The table of suspected requests as an object of the platform.
+"""Stores the table of suspected requests as an object of the platform.
 
-It is for the case that no peer is left to ask. Best effort: a table that is
-written over by another process's is written again with what both know, once
-they have told each other. Nothing waits for it.
+The object is read at startup, for the case that no peer is left to ask. Writes
+are best effort and nothing waits for them: if another process overwrites the
+table, the merged table is written after both have exchanged their notes.
 """
 
 import msgspec
@@ -20,12 +20,12 @@
     """Reads and writes the table."""
 
     def __init__(self, api: object_api.ObjectApi) -> None:
-        """Bind the platform."""
+        """Initialize with the platform API."""
         self._api = api
         self._written: tuple[suspects_data.Note, ...] = ()
 
     async def read(self) -> tuple[suspects_data.Note, ...]:
-        """Return the notes that are kept; none where they can't be read."""
+        """Return the stored notes; none if they can't be read."""
         try:
             found = await self._api.read(KEY)
         except object_data.ObjectApiError as exc:
@@ -34,14 +34,14 @@
         if found is None:
             return ()
         try:
-            kept: suspects_data.Notes = _decode(found.value)
+            stored: suspects_data.Notes = _decode(found.value)
         except msgspec.DecodeError as exc:
             logging.warning('event=suspects_not_read error=%s', exc)
             return ()
-        return kept.notes
+        return stored.notes
 
     async def write(self, notes: tuple[suspects_data.Note, ...]) -> None:
-        """Keep the notes, unless they are those that were kept last."""
+        """Store the notes, unless they equal those last stored."""
         if notes == self._written:
             return
         try:
--- a/beryllug/control/suspects_test.py
+++ b/beryllug/control/suspects_test.py
@@ -1,4 +1,4 @@
-"""Control processes that tell each other of suspected requests."""
+"""Tests of the exchange of suspicions between control processes."""
 
 import asyncio
 import unittest
@@ -22,7 +22,7 @@
 
 
 class _View:
-    """Keeps what is published."""
+    """Records the published suspects."""
 
     def __init__(self) -> None:
         self.suspects: tuple[rpc_data.Suspect, ...] = ()
@@ -37,7 +37,7 @@
 
 
 class _Others(NamedTuple):
-    """All nodes know all others."""
+    """Neighbours of a node: all other nodes."""
 
     addresses: tuple[str, ...]
 
@@ -49,7 +49,7 @@
 
 
 class _Server:
-    """Takes the handlers of a node into the fake network."""
+    """Registers the handlers of a node at the fake network."""
 
     def __init__(self, network: nodes_test.Network, address: str) -> None:
         self._network = network
@@ -60,11 +60,11 @@
 
 
 class _Network(nodes_test.Network):
-    """Kept connections to peers that started later fail for a while.
+    """Existing connections fail for a while after a peer has started.
 
     Attributes:
-        stale: Addresses whose kept connection does not try again yet.
-        dropped: Connections that were closed.
+        stale: Addresses whose existing connection does not reconnect yet.
+        dropped: Number of closed connections.
     """
 
     def __init__(self) -> None:
@@ -92,7 +92,7 @@
     """Three processes on a fake network with a fake platform."""
 
     async def asyncSetUp(self) -> None:
-        """Start them; a report is always of the present."""
+        """Start the processes, with a report that never expires."""
         self.report = REPORT._replace(at=2e9)
         self.network = _Network()
         self.members = nodes_test.Members()
@@ -103,12 +103,12 @@
             await self.start(name)
 
     async def asyncTearDown(self) -> None:
-        """Stop them."""
+        """Stop the processes."""
         for node in self.nodes.values():
             await node.stop(0)
 
     async def start(self, name: str) -> suspects.Suspects:
-        """Start a node, or start it anew with nothing known."""
+        """Start a node, or restart it with an empty table."""
         before = self.nodes.get(name)
         if before is None:
             self.members.names.append(name)
@@ -130,69 +130,72 @@
         await node.start()
         return node
 
-    def known(self) -> list[str]:
-        """Return the nodes whose entries are told of the request."""
+    def informed(self) -> list[str]:
+        """Return the nodes that publish the request to their entries."""
         return [name for name, view in self.views.items() if view.suspects]
 
-    async def test_told_before_answered(self) -> None:
-        """A report is answered before all entries know of the request."""
+    async def test_told_before_reply(self) -> None:
+        """Guards against a reply to a report before all entries know it."""
         await self.nodes['1'].report(self.report)
-        self.assertEqual(self.known(), list(NAMES))
+        self.assertEqual(self.informed(), list(NAMES))
 
     async def test_stale_connections(self) -> None:
-        """A peer that started a moment ago is not told before the answer."""
+        """Guards against skipping a peer that has just started."""
         self.network.stale = {_address('2'), _address('3')}
         await self.nodes['1'].report(self.report)
-        self.assertEqual(self.known(), list(NAMES))
+        self.assertEqual(self.informed(), list(NAMES))
         self.network.silent.add(_address('3'))
         self.network.dropped = 0
         await self.nodes['1'].report(self.report)
-        self.assertEqual(self.network.dropped, suspects_spread.TRIES)
+        self.assertEqual(self.network.dropped, suspects_spread.MAX_ATTEMPTS)
 
-    async def test_missed(self) -> None:
-        """A process that can't be reached learns it at the next rounds."""
+    async def test_unreachable_process_catches_up(self) -> None:
+        """An unreachable process gets the notes in the next rounds."""
         self.network.silent.add(_address('3'))
         await self.nodes['1'].report(self.report)
-        self.assertEqual(self.known(), ['1', '2'])
+        self.assertEqual(self.informed(), ['1', '2'])
         self.network.silent.clear()
         for _ in NAMES:
             await self.nodes['1'].round()
-        self.assertEqual(self.known(), list(NAMES))
+        self.assertEqual(self.informed(), list(NAMES))
 
     async def test_new_process(self) -> None:
-        """A new process knows no suspects, in an outage or without peers."""
+        """Guards against an empty table after a start.
+
+        The process starts while the platform is down, or without peers.
+        """
         await self.nodes['1'].report(self.report)
         self.store.down = True
         await self.start('2')
-        self.assertEqual(self.known(), list(NAMES))
+        self.assertEqual(self.informed(), list(NAMES))
         self.store.down = False
         for node in self.nodes.values():
             await node.round()
         self.network.handlers.clear()
         await self.start('3')
-        self.assertEqual(self.known(), list(NAMES))
+        self.assertEqual(self.informed(), list(NAMES))
 
     async def test_one_trial(self) -> None:
-        """Two processes grant the same request a trial each."""
+        """Guards against a second trial granted by the next decider."""
         await self.nodes['1'].report(self.report)
         granted = await self.ask('1', 't1')
         decider = self.decider()
         self.network.silent.add(_address(decider))
-        alive = [name for name in NAMES if name != decider]
-        for name in alive:
+        survivors = [name for name in NAMES if name != decider]
+        for name in survivors:
             found = await self.ask(name, f'again-{name}')
             self.assertEqual((granted, found), (Verdict.TRY, Verdict.WAIT))
         lost = self.report._replace(
             server_id='s2', tried=REQUEST, trial_id='t1'
         )
-        await self.nodes[alive[0]].report(lost)
-        for name in alive:
+        await self.nodes[survivors[0]].report(lost)
+        for name in survivors:
             self.assertEqual(await self.ask(name, name), Verdict.REFUSE)
             shown = self.views[name].suspects
             self.assertTrue(shown[0].refused)
 
     async def test_race(self) -> None:
-        """Hosts ask for a trial of one request at once: one gets it."""
+        """Only one of several concurrent trial requests is granted."""
         await self.nodes['1'].report(self.report)
         found = await asyncio.gather(*(self.ask(name, name) for name in NAMES))
         self.assertEqual(
@@ -200,12 +203,12 @@
         )
 
     async def test_cleared(self) -> None:
-        """An innocent request is answered: all are told, and it may run."""
+        """A request that is answered in its trial is cleared everywhere."""
         await self.nodes['1'].report(self.report)
         await self.ask('1', 't1')
         end = suspects_data.TrialEnd(REQUEST, 't1', answered=True)
         await self.nodes['2'].end(end)
-        self.assertEqual(self.known(), [])
+        self.assertEqual(self.informed(), [])
         for name in NAMES:
             self.assertEqual(await self.ask(name, name), Verdict.RUN)
 
--- a/beryllug/proofs/mutations.py
+++ b/beryllug/proofs/mutations.py
@@ -137,7 +137,7 @@
     Mutation(
         'crash: the other hosts are not told',
         'control/suspects.py',
-        (('self._spread.tell_all(notes)', 'self._spread.tell_all(())'),),
+        (('self._spread.broadcast(notes)', 'self._spread.broadcast(())'),),
         'control.suspects_test',
     ),
     Mutation(
@@ -145,8 +145,8 @@
         'control/suspects.py',
         (
             (
-                'await self._tell_all((self.table.notes[ask.fingerprint],))',
-                'await self._show()',
+                'await self._broadcast((self.table.notes[ask.fingerprint],))',
+                'await self._publish()',
             ),
         ),
         'control.suspects_test',
@@ -258,7 +258,7 @@
                 'if token is None:\n            return self.book',
             ),
             (
-                'return self.book if self._wired.accepts() else None',
+                'return self.book if self._context.accepts() else None',
                 'return self.book',
             ),
             ('if token is None or token.fencing != book.fencing:', 'if False:'),
