--- a/beryllug/drivers/http_client.py
+++ b/beryllug/drivers/http_client.py
@@ -1,10 +1,10 @@
-"""An HTTP/1.1 client on asyncio and h11, with kept connections.
+"""An HTTP/1.1 client on asyncio and h11, with a connection pool.
 
-Its errors tell what a router must know: `NotSentError` where no byte can
+Its errors separate what a router must know: `NotSentError` where no byte can
 have reached the server, `BrokenError` where one may have. A connection whose
-answer was not read to its end is closed and never used again, and one on
-which a byte came unasked neither, so no caller gets a part of another's
-answer.
+response was not read to its end is closed instead of reused, and so is one
+that received unsolicited bytes; otherwise a caller could get part of the
+response to another request.
 """
 
 import asyncio
@@ -16,25 +16,25 @@
 
 from beryllug.drivers import http_data, http_headers, http_link
 
-CONNECT_S = 2.0
-# Seconds by which a timer is late where the process stood still, and the tries
-# to connect of one that does so again and again.
-HELD_UP_S = 0.01
-MOST_CONNECTS = 3
+CONNECT_TIMEOUT_S = 2.0
+# A connect timeout that fires this many seconds late was caused by a stall of
+# this process, not by the server; the connect is then tried again.
+STALL_THRESHOLD_S = 0.01
+MAX_CONNECT_ATTEMPTS = 3
 IDLE_S = 30.0
-MAX_KEPT = 64
+MAX_IDLE_PER_ADDRESS = 64
 HOST = 'host'
 KEEP_ALIVE = 'keep-alive'
 KEEP_ALIVE_TIMEOUT = 'timeout='
-# Seconds that a kept connection is dropped before its server would close it.
-# The server counts whole seconds from a moment that we see a round trip
-# later; one second more covers both.
-CLOSE_AHEAD_S = 1.0
-BODYLESS = ('GET', 'HEAD')
+# An idle connection is dropped this many seconds before its server would close
+# it. The server counts in whole seconds, from a moment that the client sees a
+# round trip later; one second covers both.
+KEEP_ALIVE_MARGIN_S = 1.0
+BODYLESS_METHODS = ('GET', 'HEAD')
 
 
 class _Connection:
-    """A link, the state of its protocol and when it was last used."""
+    """A link with its parser state and the time of its last use."""
 
     __slots__ = ('idle_s', 'link', 'parser', 'used_at')
 
@@ -46,33 +46,33 @@
 
 
 class Incoming:
-    """An answer whose head has arrived and whose body is still to be read."""
+    """A response whose head has arrived; the body is read as a stream."""
 
     def __init__(
         self, client: 'HttpClient', conn: _Connection, head: h11.Response
     ) -> None:
-        """Bind the answer to its connection."""
+        """Bind the response to its connection."""
         self.status = head.status_code
         self.headers = http_headers.decode(head)
         self._client = client
         self._conn = conn
         self._complete = False
         self._closed = False
-        self._arrived = True
-        self._cut = False
+        self._has_unparsed = True
+        self._broken = False
 
     @property
     def is_whole(self) -> bool:
-        """Tell whether the body was read to its end."""
+        """Whether the body was read to its end."""
         return self._complete
 
     @property
     def is_cut(self) -> bool:
-        """Tell whether the connection broke before the body's end."""
-        return self._cut
+        """Whether the connection broke before the end of the body."""
+        return self._broken
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body as it arrives, joining what came in one read.
+        """Yield the body as it arrives, one chunk for each read.
 
         Raises:
             BrokenError: The connection broke before the end.
@@ -84,10 +84,10 @@
             yield chunk
 
     async def next_chunk(self) -> bytes:
-        """Return what has arrived of the body, waiting for the first byte.
+        """Return the received part of the body, waiting if there is none.
 
         Returns:
-            At least one byte, or none at the end of the body.
+            At least one byte; empty at the end of the body.
 
         Raises:
             BrokenError: The connection broke before the end.
@@ -95,7 +95,7 @@
         try:
             return await self._next_chunk()
         except (OSError, h11.RemoteProtocolError) as exc:
-            self._cut = True
+            self._broken = True
             raise http_data.BrokenError(str(exc)) from exc
 
     async def read(self) -> bytes:
@@ -114,28 +114,28 @@
 
         Raises:
             BrokenError: The connection broke before the end.
-            DecodeError: The body is no JSON.
+            DecodeError: The body is not JSON.
         """
         return msgspec.json.decode(await self.read())
 
     def close(self) -> None:
-        """Give the connection back if the answer is whole, else cut it.
+        """Return the connection to the pool, or abort it mid-response.
 
-        Only the first call does. At a second one the connection may already
-        carry another caller's request, which would be cut off.
+        Calls after the first do nothing: the connection may already carry
+        another caller's request, which they would abort.
         """
         if self._closed:
             return
         self._closed = True
         if self._complete:
-            self._client.keep(self._conn)
+            self._client.release(self._conn)
         else:
             self._conn.link.abort()
 
     async def _next_chunk(self) -> bytes:
         pieces: list[bytes] = []
         while not pieces and not self._complete:
-            if not self._arrived:
+            if not self._has_unparsed:
                 received = await self._conn.link.read()
                 self._conn.parser.receive_data(received)
             self._parse_into(pieces)
@@ -147,7 +147,7 @@
         while isinstance(event, h11.Data):
             pieces.append(bytes(event.data))
             event = next_event()
-        self._arrived = False
+        self._has_unparsed = False
         if isinstance(event, h11.EndOfMessage):
             self._complete = True
         elif event is not h11.NEED_DATA:
@@ -155,17 +155,17 @@
 
 
 class HttpClient:
-    """Sends requests; keeps connections to each address for reuse."""
+    """Sends requests; pools idle connections by address."""
 
-    def __init__(self, connect_s: float = CONNECT_S) -> None:
-        """Make a client with no connections."""
+    def __init__(self, connect_s: float = CONNECT_TIMEOUT_S) -> None:
+        """Create a client without connections."""
         self._connect_s = connect_s
-        self._kept: dict[str, dict[http_link.Link, _Connection]] = {}
+        self._idle: dict[str, dict[http_link.Link, _Connection]] = {}
 
     @property
-    def kept(self) -> int:
-        """Count the idle connections that are kept for reuse."""
-        return sum(len(kept) for kept in self._kept.values())
+    def idle_connections(self) -> int:
+        """Number of idle connections in the pool."""
+        return sum(len(kept) for kept in self._idle.values())
 
     async def request(
         self,
@@ -173,22 +173,22 @@
         outgoing: http_data.Outgoing,
         timeout_s: float | None = None,
     ) -> Incoming:
-        """Send a request and return its answer when the head has arrived.
+        """Send a request and return once the response head has arrived.
 
         Args:
             address: ``ip:port`` of the server.
-            outgoing: What to send.
+            outgoing: The request.
             timeout_s: Seconds until the head must have arrived.
 
         Returns:
-            The answer; the caller must close it.
+            The response; the caller must close it.
 
         Raises:
             NotSentError: No byte can have reached the server.
-            BrokenError: A byte was written; it may or may not have run.
+            BrokenError: Bytes were written; the request may have run.
         """
         deadline = _deadline(timeout_s)
-        conn = None if outgoing.fresh else self._take(address)
+        conn = None if outgoing.fresh else self._take_idle(address)
         if conn is None:
             conn = await self._connect(address, timeout_s)
         try:
@@ -203,11 +203,11 @@
         outgoing: http_data.Outgoing,
         timeout_s: float | None = None,
     ) -> tuple[Incoming, bytes]:
-        """Send a request and read its whole answer.
+        """Send a request and read the whole response.
 
         Raises:
             NotSentError: No byte can have reached the server.
-            BrokenError: A byte was written; it may or may not have run.
+            BrokenError: Bytes were written; the request may have run.
         """
         deadline = _deadline(timeout_s)
         incoming = await self.request(address, outgoing, timeout_s)
@@ -221,7 +221,7 @@
         return incoming, body
 
     async def is_reachable(self, address: str) -> bool:
-        """Tell whether a server takes a new connection, which is closed."""
+        """Return whether the server accepts a connection; closes it."""
         try:
             conn = await self._connect(address, None)
         except http_data.NotSentError:
@@ -229,45 +229,45 @@
         conn.link.abort()
         return True
 
-    def keep(self, conn: _Connection) -> None:
-        """Take back a connection whose answer was read to its end."""
+    def release(self, conn: _Connection) -> None:
+        """Pool a connection whose response was read to its end."""
         link = conn.link
-        kept = self._kept.setdefault(link.address, {})
-        if len(kept) >= MAX_KEPT or not _is_reusable(conn):
+        kept = self._idle.setdefault(link.address, {})
+        if len(kept) >= MAX_IDLE_PER_ADDRESS or not _is_reusable(conn):
             link.abort()
             return
         conn.parser.start_next_cycle()
         conn.used_at = asyncio.get_running_loop().time()
-        link.on_idle_end = self._forget
+        link.on_idle_end = self._remove_idle
         kept[link] = conn
 
     def forget(self, address: str) -> None:
-        """Close the kept connections to an address."""
-        for link in self._kept.pop(address, {}):
+        """Close the idle connections to an address."""
+        for link in self._idle.pop(address, {}):
             link.on_idle_end = None
             link.abort()
 
     async def close(self) -> None:
-        """Close every kept connection."""
-        links = [link for kept in self._kept.values() for link in kept]
-        self._kept.clear()
+        """Close every idle connection."""
+        links = [link for kept in self._idle.values() for link in kept]
+        self._idle.clear()
         for link in links:
             link.on_idle_end = None
             link.transport.close()
 
-    def _forget(self, link: http_link.Link) -> None:
-        kept = self._kept.get(link.address, {})
+    def _remove_idle(self, link: http_link.Link) -> None:
+        kept = self._idle.get(link.address, {})
         kept.pop(link, None)
         if not kept:
-            self._kept.pop(link.address, None)
+            self._idle.pop(link.address, None)
 
-    def _take(self, address: str) -> _Connection | None:
-        kept = self._kept.get(address)
+    def _take_idle(self, address: str) -> _Connection | None:
+        kept = self._idle.get(address)
         now = asyncio.get_running_loop().time()
         while kept:
             link, conn = kept.popitem()
             link.on_idle_end = None
-            if now - conn.used_at < conn.idle_s and link.is_quiet():
+            if now - conn.used_at < conn.idle_s and link.has_no_input():
                 return conn
             link.abort()
         return None
@@ -277,16 +277,16 @@
     ) -> _Connection:
         connect_s = min(self._connect_s, timeout_s or self._connect_s)
         loop = asyncio.get_running_loop()
-        # Where the caller's own time is over, nothing may be sent any more.
-        tries = MOST_CONNECTS if timeout_s is None else 1
-        for _ in range(tries):
+        # With a timeout of the caller's, a retry could send after it expired.
+        attempts = MAX_CONNECT_ATTEMPTS if timeout_s is None else 1
+        for _ in range(attempts):
             deadline = loop.time() + connect_s
             try:
                 async with asyncio.timeout_at(deadline):
-                    return await _connected(address)
+                    return await _open_connection(address)
             except TimeoutError:
-                # A process that stood still finds its own delay here.
-                if loop.time() < deadline + HELD_UP_S:
+                # A timer that fires late means that this process stalled.
+                if loop.time() < deadline + STALL_THRESHOLD_S:
                     break
             except OSError as exc:
                 raise http_data.NotSentError(f'{address}: {exc}') from exc
@@ -315,8 +315,8 @@
     async def _send(self, conn: _Connection, payload: bytes) -> Incoming:
         link = conn.link
         parser = conn.parser
-        # A server may answer before it has read a long body: waiting for the
-        # body to go out first would wait for ever.
+        # A server may respond before it has read a long body: waiting for the
+        # whole body to be sent first could wait for ever.
         link.write(payload)
         event = parser.next_event()
         while not isinstance(event, h11.Response):
@@ -330,7 +330,7 @@
         return incoming
 
 
-async def _connected(address: str) -> _Connection:
+async def _open_connection(address: str) -> _Connection:
     host, _, port = address.rpartition(':')
     link = http_link.Link(address)
     loop = asyncio.get_running_loop()
@@ -345,16 +345,16 @@
 
 
 def _serialize(conn: _Connection, outgoing: http_data.Outgoing) -> bytes:
-    """Return the bytes of a request.
+    """Serialize a request.
 
     Raises:
-        NotSentError: It can't be written as HTTP; nothing was sent.
+        NotSentError: It is not valid HTTP; nothing was sent.
     """
     fields = list(outgoing.headers.items())
     if HOST not in outgoing.headers:
         fields.insert(0, (HOST, conn.link.address))
-    if outgoing.body or outgoing.method not in BODYLESS:
-        fields.append((http_headers.LENGTH, str(len(outgoing.body))))
+    if outgoing.body or outgoing.method not in BODYLESS_METHODS:
+        fields.append((http_headers.CONTENT_LENGTH, str(len(outgoing.body))))
     parser = conn.parser
     try:
         head = h11.Request(
@@ -363,7 +363,7 @@
             headers=http_headers.encode(fields),
         )
     except (UnicodeEncodeError, h11.LocalProtocolError) as exc:
-        raise http_data.NotSentError(f'no valid request: {exc}') from exc
+        raise http_data.NotSentError(f'invalid request: {exc}') from exc
     payload = parser.send(head) or b''
     if outgoing.body:
         payload += parser.send(h11.Data(data=outgoing.body)) or b''
@@ -371,26 +371,28 @@
 
 
 def _is_reusable(conn: _Connection) -> bool:
-    """Tell whether the next answer on a connection will be the next one's.
+    """Return whether a connection can carry another request.
 
-    Bytes after the end of an answer belong to nobody we know: they would be
-    handed to the next caller as its answer.
+    It can't with bytes after the end of a response: they would be parsed as
+    the response to the next request.
     """
     parser = conn.parser
-    done = parser.our_state is h11.DONE and parser.their_state is h11.DONE
+    is_complete = (
+        parser.our_state is h11.DONE and parser.their_state is h11.DONE
+    )
     unread = parser.trailing_data[0] or conn.link.has_unread()
-    # An answer that came before the whole request went out: the rest of the
-    # body would stand where the next request is due.
+    # The server responded before the whole request was sent: the rest of the
+    # body would be written in front of the next request.
     unsent = conn.link.transport.get_write_buffer_size()
-    return done and not unread and not unsent
+    return is_complete and not unread and not unsent
 
 
 def _idle_s(headers: http_data.Headers) -> float:
-    """Return for how long a connection may be kept unused."""
+    """Return how many seconds a connection may stay idle."""
     for part in headers.get(KEEP_ALIVE, '').split(','):
         text = part.strip()
         if text.startswith(KEEP_ALIVE_TIMEOUT):
             seconds = text[len(KEEP_ALIVE_TIMEOUT) :]
             if seconds.isdigit():
-                return int(seconds) - CLOSE_AHEAD_S
+                return int(seconds) - KEEP_ALIVE_MARGIN_S
     return IDLE_S
--- a/beryllug/drivers/http_client_test.py
+++ b/beryllug/drivers/http_client_test.py
@@ -1,4 +1,4 @@
-"""Failing, lying and careless servers at the HTTP client."""
+"""Tests of the HTTP client with failing and faulty servers."""
 
 import asyncio
 import contextlib
@@ -16,23 +16,23 @@
 TAG = re.compile(rb'x-tag: (\w+)')
 ROUNDS = 20000
 SEED = 20240
-# A test that would hang fails after so long.
-HANG_S = 10.0
+# Fails a test that would otherwise hang.
+TEST_TIMEOUT_S = 10.0
 CALLERS = 32
-# Seconds for which a process stands still.
+# Seconds for which the process is blocked.
 STALL_S = 0.2
 
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class Failure(NamedTuple):
-    """A server that fails at one place.
+    """A server that closes the connection at one point of the exchange.
 
     Attributes:
-        title: The place.
-        reads: Bytes of the request that it reads first.
-        sends: What it answers before it cuts the connection.
-        hard: Whether it cuts with a reset.
+        title: The point of failure.
+        reads: The server first reads the request up to these bytes.
+        sends: What it sends before it closes the connection.
+        hard: Whether it resets the connection.
     """
 
     title: str
@@ -41,7 +41,7 @@
     hard: bool = False
 
 
-# The place at which an exchange is cut, in the order of its bytes.
+# Points at which an exchange is cut off, in the order of its bytes.
 FAILURES = (
     Failure('after accept', b'', b''),
     Failure('reset after accept', b'', b'', hard=True),
@@ -85,14 +85,14 @@
         self.received = b''
 
     async def end(self) -> None:
-        """End the client, then all connections of the servers."""
+        """Close the client, then wait for the servers' connections."""
         await self.client.close()
         if self.tasks:
-            _, hanging = await asyncio.wait(self.tasks, timeout=HANG_S)
+            _, hanging = await asyncio.wait(self.tasks, timeout=TEST_TIMEOUT_S)
             self.assertFalse(hanging)
 
     async def serve(self, serve: Serve) -> str:
-        """Start a server that runs a function for each connection."""
+        """Start a server that calls a function for each connection."""
         server = await asyncio.start_server(
             lambda *streams: self._begin(serve, *streams), '127.0.0.1', 0
         )
@@ -101,9 +101,9 @@
         return f'127.0.0.1:{port}'
 
     async def answer(self, address: str, tag: str = 'a') -> bytes:
-        """Send a request and read its whole answer."""
+        """Send a request and read the whole response."""
         outgoing = ASK._replace(headers={'x-tag': tag})
-        async with asyncio.timeout(HANG_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             _, body = await self.client.call(address, outgoing)
         return body
 
@@ -120,25 +120,25 @@
 
 
 class FailureTest(_ClientCase):
-    """Errors tell whether the request can have run."""
+    """Errors state whether the request can have run."""
 
     async def test_places(self) -> None:
-        """Once a byte is written, no failure claims that nothing was sent.
+        """Once a byte is written, no failure raises `NotSentError`.
 
-        The server reads so much of the request and cuts the connection
-        there, or in its answer. It has seen bytes, so it may have run the
-        request; the caller must not be told that it did not.
+        The server reads part of the request and closes the connection
+        there, or within its response. It has received bytes, so it may have
+        run the request; the error must not claim that it did not.
         """
         for failure in FAILURES:
             with self.subTest(failure.title):
-                address = await self.serve(self._failing(failure))
+                address = await self.serve(self._fail_at(failure))
                 with self.assertRaises(http_data.BrokenError):
                     await self.answer(address)
 
     async def test_not_sent(self) -> None:
-        """Where no byte was written, the error says so."""
-        address = await self.serve(self._failing(FAILURES[4]))
-        free = await asyncio.start_server(_ignore, '127.0.0.1', 0)
+        """A failure before any byte is written raises `NotSentError`."""
+        address = await self.serve(self._fail_at(FAILURES[4]))
+        free = await asyncio.start_server(_never_respond, '127.0.0.1', 0)
         port = free.sockets[0].getsockname()[1]
         free.close()
         await free.wait_closed()
@@ -157,47 +157,47 @@
         self.assertEqual(self.received, b'')
 
     async def test_timeout(self) -> None:
-        """A silent server breaks the exchange; it may have run it."""
-        address = await self.serve(_ignore)
+        """A server that doesn't respond in time may have run the request."""
+        address = await self.serve(_never_respond)
         with self.assertRaises(http_data.BrokenError):
             await self.client.call(address, ASK, timeout_s=0.05)
 
     async def test_held_up(self) -> None:
-        """A process that stood still takes its delay for the server's."""
+        """A stall of this process is not taken for a connect timeout."""
         address = await self.serve(_answer_one)
         self.client = http_client.HttpClient(connect_s=STALL_S / 2)
-        for turns in range(4):
-            with self.subTest(turns):
-                asking = asyncio.create_task(self.answer(address))
-                for _ in range(turns):
+        for iterations in range(4):
+            with self.subTest(iterations):
+                calling = asyncio.create_task(self.answer(address))
+                for _ in range(iterations):
                     await asyncio.sleep(0)
                 time.sleep(STALL_S)
-                self.assertEqual(await asking, b'a')
+                self.assertEqual(await calling, b'a')
 
     async def test_out_of_time(self) -> None:
-        """A request is sent though its caller's time ended on connecting."""
-        address = await self.serve(self._failing(FAILURES[4]))
-        asking = asyncio.create_task(
+        """A request whose timeout expired while connecting is not sent."""
+        address = await self.serve(self._fail_at(FAILURES[4]))
+        calling = asyncio.create_task(
             self.client.call(address, ASK, timeout_s=STALL_S / 2)
         )
         await asyncio.sleep(0)
         time.sleep(STALL_S)
         with self.assertRaises(http_data.NotSentError):
-            await asking
+            await calling
         self.assertEqual(self.received, b'')
 
     async def test_unreachable(self) -> None:
-        """A server that takes no connection is tried for longer than it may."""
+        """Connecting to an unresponsive server ends after its timeout."""
         self.client = http_client.HttpClient(connect_s=STALL_S / 2)
-        began = time.monotonic()
+        started_at = time.monotonic()
         with mock.patch.object(
-            asyncio.get_running_loop(), 'create_connection', _hang
+            asyncio.get_running_loop(), 'create_connection', _never_connect
         ):
             with self.assertRaises(http_data.NotSentError):
                 await self.client.call('127.0.0.1:1', ASK)
-        self.assertLess(time.monotonic() - began, HANG_S / 2)
+        self.assertLess(time.monotonic() - started_at, TEST_TIMEOUT_S / 2)
 
-    def _failing(self, failure: Failure) -> Serve:
+    def _fail_at(self, failure: Failure) -> Serve:
         async def serve(  # noqa: WPS430
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
@@ -212,57 +212,57 @@
 
 
 class ReuseTest(_ClientCase):
-    """No caller gets a byte of an answer to another."""
+    """No caller gets a byte of the response to another request."""
 
     async def test_leftovers(self) -> None:
-        """Bytes after the end of an answer never reach the next caller.
+        """Bytes after the end of a response never reach the next caller.
 
-        A server sends more than one answer: with the answer, just after it,
-        or while the connection is idle. The next caller would take it for
-        its own answer, so the connection must be closed.
+        A server sends extra bytes: with the response, just after it, or
+        while the connection is idle. They would be parsed as the response to
+        the next request, so the connection must be closed.
         """
         cases = (
-            ('with the answer', b'%b%b' % (_body(b'a'), LEFTOVER), b''),
-            ('after it', _body(b'a'), LEFTOVER),
-            ('half a line', b'%bHT' % _body(b'a'), b''),
+            ('with the answer', b'%b%b' % (_with_length(b'a'), LEFTOVER), b''),
+            ('after it', _with_length(b'a'), LEFTOVER),
+            ('half a line', b'%bHT' % _with_length(b'a'), b''),
             ('two framings', _both_framings(b'a'), b''),
-            ('interim', _body(b'a'), b'HTTP/1.1 103 \r\n\r\n'),
+            ('interim', _with_length(b'a'), b'HTTP/1.1 103 \r\n\r\n'),
         )
         for title, first, later in cases:
             with self.subTest(title):
-                address = await self.serve(_leaving(first, later))
+                address = await self.serve(_serve_with_leftover(first, later))
                 for tag in ('a', 'b', 'c'):
                     body = await self.answer(address, tag)
                     self.assertEqual(body, tag.encode())
 
     async def test_unasked(self) -> None:
-        """Bytes that lie in the kernel when a connection is taken are seen."""
-        speak = asyncio.Event()
-        spoken = asyncio.Event()
+        """Unsolicited bytes still in the kernel's buffer are detected."""
+        may_send = asyncio.Event()
+        was_sent = asyncio.Event()
 
         async def serve(  # noqa: WPS430
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             await _answer_one(reader, writer)
-            await speak.wait()
+            await may_send.wait()
             writer.write(LEFTOVER)
-            spoken.set()
+            was_sent.set()
             await _answer_one(reader, writer)
 
         address = await self.serve(serve)
         self.assertEqual(await self.answer(address, 'a'), b'a')
-        speak.set()
-        await spoken.wait()
+        may_send.set()
+        await was_sent.wait()
         self.assertEqual(await self.answer(address, 'b'), b'b')
         self.assertEqual(self.accepted, 2)
 
     async def test_kept(self) -> None:
-        """A whole answer gives its connection back, once.
+        """A complete response returns its connection to the pool once.
 
-        Its reader closes it twice. In between, another caller has taken the
-        connection; that one's answer must not be cut off.
+        It is closed twice. In between, another request has reused the
+        connection; its response must not be aborted.
         """
-        address = await self.serve(_calm)
+        address = await self.serve(_serve_correctly)
         first = await self.client.request(address, ASK)
         await first.read()
         first.close()
@@ -276,29 +276,29 @@
         self.assertEqual(self.accepted, 2)
 
     async def test_forget(self) -> None:
-        """The connections to one address are given up, the others kept."""
-        addresses = [await self.serve(_calm) for _ in range(2)]
+        """Idle connections to one address are closed, others kept."""
+        addresses = [await self.serve(_serve_correctly) for _ in range(2)]
         for address in addresses:
             await self.answer(address)
-        self.assertEqual(self.client.kept, 2)
+        self.assertEqual(self.client.idle_connections, 2)
         self.client.forget(addresses[0])
-        self.assertEqual(self.client.kept, 1)
+        self.assertEqual(self.client.idle_connections, 1)
         await self.answer(addresses[0])
         self.assertEqual(self.accepted, 3)
 
     async def test_unread(self) -> None:
-        """An answer that was not read to its end costs its connection."""
-        address = await self.serve(_calm)
+        """The connection of a response that was not read is not reused."""
+        address = await self.serve(_serve_correctly)
         for _ in range(3):
             incoming = await self.client.request(address, ASK)
             incoming.close()
         self.assertEqual(self.accepted, 3)
 
     async def test_closed_by_server(self) -> None:
-        """Connections that a server closes are forgotten at once.
+        """Idle connections that the server closes are removed at once.
 
-        Servers come and go; what was kept to one that has left would stay
-        for ever, as nobody asks for its address again.
+        Servers come and go; connections to one that has left would stay in
+        the pool for ever, as its address is not requested again.
         """
         leaving = asyncio.Event()
 
@@ -310,18 +310,18 @@
 
         address = await self.serve(serve)
         await asyncio.gather(*(self.answer(address) for _ in range(10)))
-        self.assertEqual(self.client.kept, 10)
+        self.assertEqual(self.client.idle_connections, 10)
         leaving.set()
-        async with asyncio.timeout(HANG_S):
-            while self.client.kept:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while self.client.idle_connections:
                 await asyncio.sleep(0)
 
     async def test_tagged(self) -> None:
-        """Of thousands of answers, cut and cancelled, each is its caller's.
+        """Of thousands of responses, each is that of its own request.
 
-        Callers share kept connections to a server that answers in pieces,
-        cuts some answers and adds bytes to others; some callers give up in
-        the middle. Each whole answer must carry its caller's own tag.
+        Callers share pooled connections to a server that responds in pieces,
+        truncates some responses and adds bytes to others; some callers are
+        cancelled. Each complete response must carry its request's tag.
         """
         asyncio.get_running_loop().set_debug(enabled=False)
         address = await self.serve(_Unreliable(random.Random(SEED)).serve)
@@ -366,13 +366,13 @@
         await writer.wait_closed()
 
 
-async def _ignore(
+async def _never_respond(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     await reader.read()
 
 
-async def _hang(*_: object) -> None:
+async def _never_connect(*_: object) -> None:
     await asyncio.Event().wait()
 
 
@@ -380,7 +380,7 @@
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     tag = await _read_tag(reader)
-    writer.write(_body(tag))
+    writer.write(_with_length(tag))
 
 
 async def _read_tag(reader: asyncio.StreamReader) -> bytes:
@@ -390,7 +390,7 @@
     return found.group(1)
 
 
-def _body(tag: bytes) -> bytes:
+def _with_length(tag: bytes) -> bytes:
     return b'HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b' % (len(tag), tag)
 
 
@@ -410,16 +410,18 @@
     )
 
 
-def _leaving(first: bytes, later: bytes) -> Serve:
-    """Serve one answer with something after it, then proper ones."""
-    left = [(first, later)]
+def _serve_with_leftover(first: bytes, later: bytes) -> Serve:
+    """Serve one response followed by extra bytes, then correct ones."""
+    first_only = [(first, later)]
 
     async def serve(  # noqa: WPS430
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         while True:
             tag = await _read_tag(reader)
-            answer, more = left.pop() if left else (_body(tag), b'')
+            answer, more = (
+                first_only.pop() if first_only else (_with_length(tag), b'')
+            )
             writer.write(answer)
             await asyncio.sleep(0)
             writer.write(more)
@@ -427,7 +429,7 @@
     return serve
 
 
-async def _calm(
+async def _serve_correctly(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     while True:
@@ -435,33 +437,33 @@
 
 
 class _Unreliable:
-    """Answers each request with its tag, and draws what goes wrong."""
+    """Responds to each request with its tag, with random faults."""
 
-    def __init__(self, draws: random.Random) -> None:
-        self._draws = draws
+    def __init__(self, random_source: random.Random) -> None:
+        self._random = random_source
 
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve a connection until a cut is drawn."""
+        """Serve a connection until the random fault is a cut."""
         fault = ''
         while fault != 'cut':
             tag = await _read_tag(reader)
-            fault = self._draw_fault()
-            answer = self._draws.choice((_body, _chunked))(tag)
-            place = self._draws.randrange(len(answer))
-            writer.write(answer[:place])
+            fault = self._choose_fault()
+            answer = self._random.choice((_with_length, _chunked))(tag)
+            cut_at = self._random.randrange(len(answer))
+            writer.write(answer[:cut_at])
             if fault == 'pause':
                 await asyncio.sleep(0)
             if fault != 'cut':
-                writer.write(answer[place:])
+                writer.write(answer[cut_at:])
             if fault == 'leftover':
                 writer.write(LEFTOVER)
 
-    def _draw_fault(self) -> str:
+    def _choose_fault(self) -> str:
         weights = {'': 70, 'pause': 26, 'cut': 2, 'leftover': 2}
-        drawn = self._draws.choices(list(weights), list(weights.values()))
-        return drawn[0]
+        chosen = self._random.choices(list(weights), list(weights.values()))
+        return chosen[0]
 
 
 if __name__ == '__main__':
--- a/beryllug/drivers/http_data.py
+++ b/beryllug/drivers/http_data.py
@@ -1,4 +1,4 @@
-"""Records and errors of the HTTP drivers."""
+"""Records and errors of the HTTP client and server."""
 
 import math
 from typing import NamedTuple
@@ -11,14 +11,14 @@
 
 
 class Request(NamedTuple):
-    """A whole request as the server read it.
+    """A complete request as the server read it.
 
     Attributes:
         method: Method in upper case.
         target: Path and query as sent.
         headers: Header values by lower-case name; repeats joined by a comma.
         body: The whole body.
-        peer: IP address of the other side.
+        peer: IP address of the client.
     """
 
     method: str
@@ -29,15 +29,15 @@
 
 
 class Limits(NamedTuple):
-    """Bounds on what one connection may take.
+    """Limits on each connection of a server.
 
     Attributes:
-        header_bytes: Most bytes of a request's head.
-        body_bytes: Most bytes of a body.
-        read_s: Seconds within which a request must have come whole.
+        header_bytes: Maximum size of a request's head.
+        body_bytes: Maximum size of a request's body.
+        read_s: Seconds within which a whole request must have arrived.
         idle_s: Seconds a connection may wait for its next request.
         write_s: Seconds for which a write may be blocked by a slow reader.
-        connections: Most connections at once; more are closed at once.
+        connections: Maximum number of connections; more are closed on accept.
     """
 
     header_bytes: int = 16384
@@ -49,17 +49,17 @@
 
 
 class Outgoing(NamedTuple):
-    """A request that we send.
+    """A request to be sent by the client.
 
     Attributes:
         method: Method in upper case.
         target: Path and query.
-        headers: Header values by lower-case name, without framing. Where
-            it has no host, the address of the server is sent.
+        headers: Header values by lower-case name, without framing headers.
+            Without a host header, the address of the server is sent as host.
         body: The whole body.
-        fresh: Take a new connection, never a kept one. A kept connection
-            may be closed by the server just as the request is written, after
-            which nobody knows whether it ran.
+        fresh: Open a new connection instead of reusing an idle one. The
+            server may close an idle connection just as the request is
+            written; it is then unknown whether the request ran.
     """
 
     method: str
@@ -77,15 +77,15 @@
 
 
 class BrokenError(Exception):
-    """The exchange broke after a byte was written; it may have run."""
+    """The exchange failed after a byte was written; it may have run."""
 
 
 def retry_after(headers: Headers, absent_s: float = RETRY_AFTER_S) -> float:
-    """Return the seconds of ``retry-after``; one where it can't be read.
+    """Parse ``retry-after`` as seconds; `RETRY_AFTER_S` if it is invalid.
 
     Args:
-        headers: Headers of an answer.
-        absent_s: What is returned where there is none.
+        headers: Headers of a response.
+        absent_s: The result if there is no such header.
     """
     if RETRY_AFTER not in headers:
         return absent_s
@@ -93,5 +93,5 @@
         seconds = float(headers[RETRY_AFTER])
     except ValueError:
         return RETRY_AFTER_S
-    is_time = math.isfinite(seconds) and seconds >= 0
-    return seconds if is_time else RETRY_AFTER_S
+    is_valid = math.isfinite(seconds) and seconds >= 0
+    return seconds if is_valid else RETRY_AFTER_S
--- a/beryllug/drivers/http_exchange.py
+++ b/beryllug/drivers/http_exchange.py
@@ -1,4 +1,4 @@
-"""The answering side of a request that the HTTP server took."""
+"""The response to one request of the HTTP server."""
 
 import asyncio
 from collections.abc import Mapping
@@ -10,23 +10,23 @@
 from beryllug.drivers import http_data, http_headers, http_link
 
 JSON_TYPE = 'application/json'
-BODYLESS = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
+BODYLESS_STATUSES = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
 
 
-class Mode:
-    """What all exchanges of one server share."""
+class SharedState:
+    """State that all exchanges of one server share."""
 
     def __init__(self, limits: http_data.Limits) -> None:
-        """Begin without draining."""
+        """Create the state of a server that is not draining."""
         self.limits = limits
         self.draining = False
 
 
 class Exchange:
-    """The answering side of one request."""
+    """Writes the response to one request."""
 
     def __init__(
-        self, parser: h11.Connection, link: http_link.Link, mode: Mode
+        self, parser: h11.Connection, link: http_link.Link, shared: SharedState
     ) -> None:
         """Bind the exchange to its connection."""
         self.started = False
@@ -34,13 +34,13 @@
         self.is_head = False
         self._parser = parser
         self._link = link
-        self._mode = mode
+        self._shared = shared
 
     def is_gone(self) -> bool:
-        """Tell whether nothing can reach the client any more.
+        """Return whether the connection is closed for writing.
 
-        A client that has only closed its sending side still gets its
-        answer, so this is False for it.
+        False for a client that has only closed its sending side: it still
+        gets its response.
         """
         return self._link.transport.is_closing()
 
@@ -50,12 +50,12 @@
         body: bytes = b'',
         headers: Mapping[str, str] | None = None,
     ) -> None:
-        """Send a whole answer in one write."""
+        """Send a complete response in one write."""
         fields = dict(headers or {})
-        fields.pop(http_headers.ENCODING, None)
-        fields[http_headers.LENGTH] = str(len(body))
+        fields.pop(http_headers.TRANSFER_ENCODING, None)
+        fields[http_headers.CONTENT_LENGTH] = str(len(body))
         payload = self._head(status, fields)
-        if body and not self.is_head and status not in BODYLESS:
+        if body and not self.is_head and status not in BODYLESS_STATUSES:
             payload += self._parser.send(h11.Data(data=body)) or b''
         payload += self._parser.send(h11.EndOfMessage()) or b''
         self.finished = True
@@ -67,30 +67,30 @@
         document: Any,
         headers: Mapping[str, str] | None = None,
     ) -> None:
-        """Send a whole JSON answer."""
+        """Send a complete JSON response."""
         body = http_data.to_json(document)
-        framed = {'content-type': JSON_TYPE, **(headers or {})}
-        await self.respond(status, body, framed)
+        all_headers = {'content-type': JSON_TYPE, **(headers or {})}
+        await self.respond(status, body, all_headers)
 
     async def start(self, status: int, headers: Mapping[str, str]) -> None:
-        """Send the head of an answer that follows in chunks."""
+        """Send the head of a chunked response."""
         fields = dict(headers)
-        fields.pop(http_headers.LENGTH, None)
-        fields[http_headers.ENCODING] = 'chunked'
+        fields.pop(http_headers.CONTENT_LENGTH, None)
+        fields[http_headers.TRANSFER_ENCODING] = 'chunked'
         await self._write(self._head(status, fields))
 
     async def send(self, chunk: bytes) -> None:
-        """Send one chunk; waits while the client reads slowly.
+        """Send one chunk, waiting while the write buffer is full.
 
         Raises:
-            ConnectionError: The client has gone.
-            TimeoutError: The client has not read for too long.
+            ConnectionError: The connection is closed.
+            TimeoutError: The client has not read for `Limits.write_s`.
         """
         if chunk and not self.is_head:
             await self._write(self._parser.send(h11.Data(data=chunk)) or b'')
 
     async def finish(self, last: bytes = b'') -> None:
-        """End a chunked answer, with a last chunk in the same write."""
+        """End a chunked response, with a last chunk in the same write."""
         payload = b''
         if last and not self.is_head:
             payload = self._parser.send(h11.Data(data=last)) or b''
@@ -99,17 +99,17 @@
         await self._write(payload)
 
     def abort(self, *, hard: bool = False) -> None:
-        """Cut the connection, so that a half answer is never taken as whole.
+        """Abort the connection, so a partial response can't look complete.
 
         Args:
-            hard: Cut with a TCP reset, which also discards what the client
-                has not read yet.
+            hard: Send a TCP reset, which also discards what the client has
+                not read yet.
         """
         self._link.abort(hard=hard)
 
     def _head(self, status: int, fields: Mapping[str, str]) -> bytes:
         encoded = http_headers.encode(fields.items())
-        if self._mode.draining:
+        if self._shared.draining:
             encoded.append((b'connection', b'close'))
         head = h11.Response(status_code=status, headers=encoded, reason=b'')
         payload = self._parser.send(head) or b''
@@ -119,5 +119,5 @@
     async def _write(self, payload: bytes) -> None:
         self._link.write(payload)
         if self._link.is_blocked:
-            async with asyncio.timeout(self._mode.limits.write_s):
+            async with asyncio.timeout(self._shared.limits.write_s):
                 await self._link.drain()
--- a/beryllug/drivers/http_fuzz_test.py
+++ b/beryllug/drivers/http_fuzz_test.py
@@ -1,4 +1,4 @@
-"""Drawn requests against the HTTP server: bad by construction, and noise."""
+"""Property tests of the HTTP server: invalid and corrupted requests."""
 
 import asyncio
 import re
@@ -11,7 +11,7 @@
 from beryllug.drivers import http_data, http_server
 
 LIMITS = http_data.Limits(header_bytes=4096, body_bytes=4096)
-FIXED = hypothesis.settings(
+DETERMINISTIC = hypothesis.settings(
     max_examples=300,
     derandomize=True,
     deadline=None,
@@ -41,8 +41,8 @@
     ),
     max_size=4,
 )
-# Each makes a request unsafe wherever it stands among the fields.
-_poison = st.sampled_from(
+# Each makes a request unsafe at any position among the fields.
+_unsafe_fields = st.sampled_from(
     [
         b'content-length: 3\r\ncontent-length: 4',
         b'content-length: 3, 4',
@@ -97,8 +97,8 @@
 @st.composite
 def _bad_request(draw: st.DrawFn) -> bytes:
     fields = draw(_fields)
-    place = draw(st.integers(0, len(fields)))
-    fields.insert(place, draw(_poison))
+    position = draw(st.integers(0, len(fields)))
+    fields.insert(position, draw(_unsafe_fields))
     return _join([draw(_lines), b'host: x', *fields], draw(_bodies))
 
 
@@ -109,9 +109,9 @@
     fields.append(b'content-length: %d' % len(body))
     raw = _join([draw(_lines), b'host: x', *fields], body)
     for _ in range(draw(st.integers(1, 4))):
-        place = draw(st.integers(0, len(raw)))
+        position = draw(st.integers(0, len(raw)))
         cut = draw(st.integers(0, 3))
-        raw = b'%b%b%b' % (raw[:place], draw(_noise), raw[place + cut :])
+        raw = b'%b%b%b' % (raw[:position], draw(_noise), raw[position + cut :])
     return raw
 
 
@@ -119,18 +119,18 @@
 
 
 class FuzzTest(unittest.TestCase):
-    """Whatever comes, the server refuses or serves it and goes on."""
+    """The server rejects or serves any input and keeps working."""
 
     runner: ClassVar[asyncio.Runner]
 
     @classmethod
     def setUpClass(cls) -> None:
-        """Start one server for all examples."""
+        """Create one event loop for all examples."""
         cls.runner = asyncio.Runner()
         cls.addClassCleanup(cls.runner.close)
 
     def setUp(self) -> None:
-        """Start a server whose handler notes what it gets."""
+        """Start a server whose handler records its requests."""
         self.seen: list[http_data.Request] = []
         self.failures: list[str] = []
         self.runner.get_loop().set_exception_handler(
@@ -140,20 +140,20 @@
         self.port = self.runner.run(self.server.start('127.0.0.1', 0))
         self.addCleanup(lambda: self.runner.run(self.server.stop()))
 
-    @FIXED
+    @DETERMINISTIC
     @hypothesis.given(_bad_request(), _splits)
     def test_bad(self, raw: bytes, splits: list[int]) -> None:
-        """A request that is bad by construction never reaches the handler."""
-        answer = self.runner.run(self._talk(raw, splits))
+        """A request that is invalid by construction isn't handled."""
+        answer = self.runner.run(self._send_raw(raw, splits))
         self.assertEqual(self.seen, [], raw)
         self.assertRegex(answer, b'^HTTP/1.1 (4[0-9]{2}|501) ', raw)
         self._check_alive()
 
-    @FIXED
+    @DETERMINISTIC
     @hypothesis.given(_noisy_request(), _splits)
     def test_noise(self, raw: bytes, splits: list[int]) -> None:
-        """A damaged request is refused, or handled as what it says."""
-        answer = self.runner.run(self._talk(raw, splits))
+        """A corrupted request is rejected, or is valid when handled."""
+        answer = self.runner.run(self._send_raw(raw, splits))
         for status in STATUS.findall(answer):
             self.assertRegex(status, b'^(200|4[0-9]{2}|501)$', raw)
         for req in self.seen:
@@ -171,12 +171,12 @@
             self.assertEqual(int(length), len(req.body))
 
     def _check_alive(self) -> None:
-        answer = self.runner.run(self._talk(PROBE, []))
+        answer = self.runner.run(self._send_raw(PROBE, []))
         self.assertRegex(answer, b'^HTTP/1.1 200')
         self.assertEqual(self.seen.pop().target, '/probe')
         self.assertEqual(self.failures, [])
 
-    async def _talk(self, raw: bytes, splits: list[int]) -> bytes:
+    async def _send_raw(self, raw: bytes, splits: list[int]) -> bytes:
         reader, writer = await asyncio.open_connection('127.0.0.1', self.port)
         start = 0
         try:
--- a/beryllug/drivers/http_headers.py
+++ b/beryllug/drivers/http_headers.py
@@ -1,7 +1,7 @@
-"""Header fields between h11's bytes and our text.
+"""Conversion of header fields between h11's bytes and strings.
 
-Both ways use Latin-1, which maps every byte: what came in a field goes on
-as the same bytes, whatever encoding its sender meant.
+Values are decoded and encoded as Latin-1, which maps every byte: a value is
+forwarded byte for byte, whatever encoding its sender used.
 """
 
 from collections.abc import Iterable
@@ -10,11 +10,11 @@
 
 from beryllug.drivers import http_data
 
-LENGTH = 'content-length'
-ENCODING = 'transfer-encoding'
+CONTENT_LENGTH = 'content-length'
+TRANSFER_ENCODING = 'transfer-encoding'
 
-# Headers of answers that ask nothing more of who passes them on, or are read by
-# the HTTP client.
+# Response headers that a proxy needs no further knowledge to forward, or that
+# the HTTP client interprets itself.
 STANDARD = frozenset(
     (
         'cache-control',
@@ -31,7 +31,7 @@
 
 
 def decode(head: h11.Request | h11.Response) -> http_data.Headers:
-    """Decode the fields of a head, repeats joined as the standard allows."""
+    """Decode header fields; repeated ones are joined as RFC 9110 allows."""
     fields: http_data.Headers = {}
     for raw_name, raw_value in head.headers.raw_items():
         name = raw_name.decode('ascii').lower()
@@ -44,7 +44,7 @@
     """Encode header fields.
 
     Raises:
-        UnicodeEncodeError: A field holds what no header may hold.
+        UnicodeEncodeError: A field holds characters that are not encodable.
     """
     return [
         (name.encode('ascii'), text.encode('latin-1')) for name, text in fields
--- a/beryllug/drivers/http_link.py
+++ b/beryllug/drivers/http_link.py
@@ -1,11 +1,11 @@
-"""One TCP connection of the HTTP drivers, on an asyncio protocol.
+"""One TCP connection of the HTTP client or server, as an asyncio protocol.
 
-Streams of asyncio would do but for two things. They can't tell whether bytes
-arrived on a connection that nobody reads, and such bytes would be taken for
-the next answer; and they cost a timer for every bounded read. Here a link
-has one deadline, which its owner checks for all its links at once.
+asyncio's streams fall short in two ways. They can't report bytes that arrive
+on a connection while no task reads it, so such bytes would be parsed as part
+of the next response; and every read with a timeout costs a timer. A link has
+one deadline instead, which its owner checks for all its links with one timer.
 
-A link belongs to one task at a time.
+Only one task may use a link at a time.
 """
 
 import asyncio
@@ -17,121 +17,122 @@
 
 from beryllug.drivers import socket_guard
 
-# What may wait to be read before the other side is made to wait.
-READ_HIGH = 131072
+# Unread bytes above which reading from the transport is paused.
+READ_HIGH_WATER_BYTES = 131072
 NEVER = math.inf
-# Linger on, for no time: closing sends a TCP reset.
+# SO_LINGER on with a timeout of 0: closing sends a TCP reset.
 _RESET = struct.pack('ii', 1, 0)
 
 
 class Link(asyncio.Protocol):
-    """A connection: what arrived on it, and what may still be written.
+    """A TCP connection with a receive buffer and flow control.
 
     Attributes:
-        address: ``ip:port`` or IP address of the other side.
+        address: ``ip:port`` or IP address of the peer.
         deadline: Loop time after which the owner calls `expire`.
-        is_blocked: Whether a write must wait for the other side to read.
-        on_idle_end: Called when an idle connection ends or speaks unasked.
-        ended: Whether the other side has closed or the link is broken.
-        on_end: Called once when the other side closes or the link breaks.
+        is_blocked: Whether writing is paused because the peer reads slowly.
+        on_idle_end: Called when an idle connection is closed by the peer or
+            receives unsolicited bytes.
+        ended: Whether the peer has sent EOF or the connection is lost.
+        on_end: Called once on EOF or loss of the connection.
     """
 
     def __init__(self, address: str = '') -> None:
-        """Make a link that is not yet connected."""
+        """Create a link that is not connected yet."""
         self.address = address
         self.deadline = NEVER
         self.on_idle_end: Callable[[Link], None] | None = None
         self.on_end: Callable[[], None] | None = None
         self.transport: asyncio.Transport
-        self._received: list[bytes] = []
-        self._waiting = 0
+        self._chunks: list[bytes] = []
+        self._unread_bytes = 0
         self.ended = False
-        self._exc: Exception | None = None
+        self._loss_cause: Exception | None = None
         self._reader: asyncio.Future[None] | None = None
         self._writer: asyncio.Future[None] | None = None
         self.is_blocked = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Keep the transport and set the socket's keep-alive options."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         sock = transport.get_extra_info('socket')
         if sock is not None:
-            socket_guard.guard(sock)
+            socket_guard.set_keepalive(sock)
 
     def data_received(self, data: bytes) -> None:
-        """Keep what arrived until it is read."""
+        """Buffer received bytes; abort the connection if it was idle."""
         if self.on_idle_end is not None:
-            self._end_idle()
+            self._abort_idle()
             return
-        self._received.append(data)
-        self._waiting += len(data)
-        if self._waiting > READ_HIGH:
+        self._chunks.append(data)
+        self._unread_bytes += len(data)
+        if self._unread_bytes > READ_HIGH_WATER_BYTES:
             self.transport.pause_reading()
         _wake(self._reader)
 
     def eof_received(self) -> bool:
-        """Note that the other side writes no more; it may still read."""
+        """Record EOF; the connection stays open for writing."""
         self.ended = True
         if self.on_idle_end is not None:
-            self._end_idle()
+            self._abort_idle()
         _wake(self._reader)
-        _tell_end(self)
+        _notify_end(self)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note the end; reads and writes that wait fail."""
+        """Record the loss; wakes a waiting read and a waiting write."""
         self.ended = True
-        self._exc = exc or self._exc
+        self._loss_cause = exc or self._loss_cause
         if self.on_idle_end is not None:
-            self._end_idle()
+            self._abort_idle()
         _wake(self._reader)
         _wake(self._writer)
-        _tell_end(self)
+        _notify_end(self)
 
     def pause_writing(self) -> None:
-        """Note that the other side reads too slowly."""
+        """Record that the write buffer is full."""
         self.is_blocked = True
 
     def resume_writing(self) -> None:
-        """Go on with a write that waits."""
+        """Wake a waiting write."""
         self.is_blocked = False
         _wake(self._writer)
 
     async def read(self) -> bytes:
-        """Return all that has arrived, waiting for the first byte.
+        """Return all buffered bytes, waiting for at least one.
 
         Returns:
-            The bytes, or none when the other side writes no more.
+            The bytes; empty at EOF.
 
         Raises:
             OSError: The connection broke.
             TimeoutError: The deadline has passed.
         """
-        if not self._received and not self.ended:
+        if not self._chunks and not self.ended:
             self._reader = asyncio.get_running_loop().create_future()
             try:
                 await self._reader
             finally:
                 self._reader = None
-        if self._received:
-            return self._take()
-        if self._exc is not None:
-            raise self._exc
+        if self._chunks:
+            return self._pop_received()
+        if self._loss_cause is not None:
+            raise self._loss_cause
         return b''
 
     def write(self, payload: bytes) -> None:
-        """Write as much as goes out at once and queue the rest.
+        """Write to the transport, which buffers what the kernel can't take.
 
         Raises:
             ConnectionResetError: The connection has ended.
         """
         if self.transport.is_closing():
-            raise ConnectionResetError('the other side has gone')
+            raise ConnectionResetError('the remote side is gone')
         self.transport.write(payload)
 
     async def drain(self) -> None:
-        """Wait while the other side reads too slowly.
+        """Wait until the write buffer has drained.
 
         Raises:
             ConnectionResetError: The connection has ended.
@@ -143,30 +144,30 @@
             finally:
                 self._writer = None
         if self.transport.is_closing():
-            raise ConnectionResetError('the other side has gone')
+            raise ConnectionResetError('the remote side is gone')
 
     def expire(self) -> None:
-        """Fail the read that waits, or cut the connection if none does.
+        """Fail the waiting read, or abort the connection if none waits.
 
-        A read that has just got its bytes is let be; the deadline stands, so
-        the next read is failed by the next look at it.
+        A read whose bytes have just arrived succeeds, but the deadline stays
+        set, so the next check fails the read after it.
         """
         if self._reader is None:
             self.deadline = NEVER
             self.abort()
         elif not self._reader.done():
             self.deadline = NEVER
-            self._reader.set_exception(TimeoutError('too slow'))
+            self._reader.set_exception(TimeoutError('timed out'))
 
     def has_unread(self) -> bool:
-        """Tell whether bytes or the end have come that nobody has read."""
-        return self.ended or bool(self._received)
+        """Return whether there are unread bytes or an unread EOF."""
+        return self.ended or bool(self._chunks)
 
-    def is_quiet(self) -> bool:
-        """Tell whether nothing at all has come, not even into the kernel.
+    def has_no_input(self) -> bool:
+        """Return whether nothing was received, in the kernel buffer either.
 
-        A kept connection is asked this right before it is used again. Bytes
-        or an end that came while it was idle may not have reached the loop.
+        Checked right before an idle connection is reused: bytes or an EOF
+        that arrived meanwhile may not have reached the event loop yet.
         """
         if self.has_unread() or self.transport.is_closing():
             return False
@@ -175,27 +176,27 @@
         return not poller.poll(0)
 
     def abort(self, *, hard: bool = False) -> None:
-        """Cut the connection now.
+        """Close the connection at once, without flushing.
 
         Args:
-            hard: Cut with a TCP reset, which also discards what the other
-                side has not read yet.
+            hard: Send a TCP reset, which also discards what the peer has
+                not read yet.
         """
         if hard and not self.transport.is_closing():
             sock = self.transport.get_extra_info('socket')
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
         self.transport.abort()
 
-    def _take(self) -> bytes:
-        received = self._received
+    def _pop_received(self) -> bytes:
+        received = self._chunks
         chunk = received[0] if len(received) == 1 else b''.join(received)
         received.clear()
-        if self._waiting > READ_HIGH:
+        if self._unread_bytes > READ_HIGH_WATER_BYTES:
             self.transport.resume_reading()
-        self._waiting = 0
+        self._unread_bytes = 0
         return chunk
 
-    def _end_idle(self) -> None:
+    def _abort_idle(self) -> None:
         on_idle_end = self.on_idle_end
         self.on_idle_end = None
         self.transport.abort()
@@ -203,12 +204,12 @@
             on_idle_end(self)
 
 
-def _wake(fut: 'asyncio.Future[None] | None') -> None:
-    if fut is not None and not fut.done():
-        fut.set_result(None)
+def _wake(waiter: 'asyncio.Future[None] | None') -> None:
+    if waiter is not None and not waiter.done():
+        waiter.set_result(None)
 
 
-def _tell_end(link: Link) -> None:
+def _notify_end(link: Link) -> None:
     on_end = link.on_end
     link.on_end = None
     if on_end is not None:
--- a/beryllug/drivers/http_link_test.py
+++ b/beryllug/drivers/http_link_test.py
@@ -1,4 +1,4 @@
-"""Deadlines and idle connections of a link, at the step that matters."""
+"""Tests of read deadlines and flow control of HTTP connections."""
 
 import asyncio
 import socket
@@ -6,26 +6,26 @@
 
 from beryllug.drivers import http_link
 
-READ_SIZE = 16384
-# A test that would hang fails after so long.
-HANG_S = 10.0
+SEND_SIZE = 16384
+# Fails a test that would otherwise hang.
+TEST_TIMEOUT_S = 10.0
 
 
 class LinkTest(unittest.IsolatedAsyncioTestCase):
-    """A link on one end of a socket pair."""
+    """A link over one end of a socket pair."""
 
     async def asyncSetUp(self) -> None:
-        """Connect the link; `other` is the far end."""
-        near, far = socket.socketpair()
-        self.other = far
-        self.addCleanup(far.close)
+        """Connect the link; `peer` is the other end."""
+        own_end, peer_end = socket.socketpair()
+        self.peer = peer_end
+        self.addCleanup(peer_end.close)
         self.link = http_link.Link()
         loop = asyncio.get_running_loop()
-        await loop.create_connection(lambda: self.link, sock=near)
+        await loop.create_connection(lambda: self.link, sock=own_end)
         self.addCleanup(self.link.abort)
 
     async def test_expire(self) -> None:
-        """A deadline fails one read; the link can still be read after it."""
+        """An expired deadline fails one read; the next read still works."""
         reading = asyncio.create_task(self.link.read())
         await asyncio.sleep(0)
         self.link.deadline = 1.0
@@ -33,15 +33,15 @@
         with self.assertRaises(TimeoutError):
             await reading
         self.assertEqual(self.link.deadline, http_link.NEVER)
-        self.other.send(b'late')
+        self.peer.send(b'late')
         self.assertEqual(await self.link.read(), b'late')
 
     async def test_expire_as_bytes_come(self) -> None:
-        """Bytes that come just as the time is over don't lift the deadline.
+        """Bytes that arrive as the deadline expires don't clear it.
 
-        A slow sender's byte arrives in the same turn of the loop in which
-        the deadline is looked at. The read has its byte; were the deadline
-        taken as used up, the sender could go on for ever.
+        A slow sender's byte arrives in the loop iteration that checks the
+        deadline. If a successful read cleared the deadline, the sender could
+        hold the connection for ever.
         """
         reading = asyncio.create_task(self.link.read())
         await asyncio.sleep(0)
@@ -52,31 +52,31 @@
         self.assertEqual(await reading, b'x')
 
     async def test_expire_unread(self) -> None:
-        """A deadline that passes while nobody reads cuts the connection."""
+        """A deadline that expires with no waiting read aborts the link."""
         self.link.expire()
         self.assertTrue(self.link.transport.is_closing())
 
     async def test_slow_reader(self) -> None:
-        """Bytes that nobody reads make the other side wait, and it goes on."""
-        self.other.setblocking(False)
-        added = [self._send_all()]
-        while added[-1] and len(added) < 100:
+        """Unread bytes block the sender, which resumes after a read."""
+        self.peer.setblocking(False)
+        sent_sizes = [self._send_until_blocked()]
+        while sent_sizes[-1] and len(sent_sizes) < 100:
             for _ in range(10):
                 await asyncio.sleep(0)
-            added.append(self._send_all())
-        self.assertEqual(added[-1], 0)
-        left = sum(added)
-        async with asyncio.timeout(HANG_S):
-            while left:
-                left -= len(await self.link.read())
-            self.other.send(b'more')
+            sent_sizes.append(self._send_until_blocked())
+        self.assertEqual(sent_sizes[-1], 0)
+        remaining = sum(sent_sizes)
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while remaining:
+                remaining -= len(await self.link.read())
+            self.peer.send(b'more')
             self.assertEqual(await self.link.read(), b'more')
 
-    def _send_all(self) -> int:
+    def _send_until_blocked(self) -> int:
         sent = 0
         try:
-            while sent < http_link.READ_HIGH:
-                sent += self.other.send(bytes(READ_SIZE))
+            while sent < http_link.READ_HIGH_WATER_BYTES:
+                sent += self.peer.send(bytes(SEND_SIZE))
         except BlockingIOError:
             return sent
         return sent
--- a/beryllug/drivers/http_reader.py
+++ b/beryllug/drivers/http_reader.py
@@ -1,7 +1,7 @@
-"""Reads whole requests from a connection and refuses what is unsafe.
+"""Reads complete requests from a connection and rejects unsafe ones.
 
-The server's deadline on the link bounds how long a request may take; a read
-then fails with `TimeoutError`.
+The server sets a deadline on the link that bounds how long a request may
+take; after it a read fails with `TimeoutError`.
 """
 
 import asyncio
@@ -13,22 +13,22 @@
 from beryllug.drivers import http_data, http_headers, http_link
 
 CONNECT = b'CONNECT'
-CHUNKS_SINCE = b'1.1'  # HTTP version
-# Bytes of a refused request that are read and thrown away.
-DISCARD_BYTES = 1048576
+CHUNKED_SINCE_VERSION = b'1.1'  # HTTP version
+# Bytes that are read and discarded after a rejected request.
+MAX_DISCARDED_BYTES = 1048576
 
 
 class RefusedError(Exception):
-    """The request can't be served; carries the status to answer."""
+    """The request is rejected with an HTTP status."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """Keep the status."""
+        """Keep the HTTP status of the response."""
         super().__init__(reason)
         self.status = status
 
 
 class RequestReader:
-    """Reads the requests of one connection, one after the other."""
+    """Reads the requests of one connection in order."""
 
     def __init__(
         self,
@@ -44,14 +44,14 @@
         self._peer = peer
 
     async def wait_first_byte(self) -> bool:
-        """Wait until a request begins; False when none will.
+        """Wait for the first byte of a request; False at EOF.
 
         Raises:
-            OSError: The connection broke, or was idle for too long.
+            OSError: The connection broke or its idle timeout expired.
         """
         if self._parser.trailing_data[0]:
-            # Many small requests sent at once would else be served in one
-            # go, while every other connection waits.
+            # Yield to the event loop: many small pipelined requests would
+            # otherwise be served in a row while other connections wait.
             await asyncio.sleep(0)
             return True
         received = await self._link.read()
@@ -59,7 +59,7 @@
         return bool(received)
 
     async def read(self) -> http_data.Request | None:
-        """Read a whole request; None when the client has left.
+        """Read a complete request; None when the client has closed.
 
         Raises:
             RefusedError: It is malformed, too large, too slow or ambiguous.
@@ -74,31 +74,33 @@
                 HTTPStatus.REQUEST_TIMEOUT, 'request came too slowly'
             )
 
-    def may_answer(self) -> bool:
-        """Tell whether an answer can be sent in the parser's state."""
+    def can_respond(self) -> bool:
+        """Return whether the parser's state allows sending a response."""
         return self._parser.our_state in {h11.IDLE, h11.SEND_RESPONSE}
 
     async def discard(self, deadline: float) -> None:
-        """Tell the client that this is the end, and read what it still sends.
+        """Send EOF, then read and discard what the client still sends.
 
         Args:
-            deadline: Loop time after which the connection is cut.
+            deadline: Loop time after which the connection is aborted.
         """
         self._link.deadline = deadline
         self._link.transport.write_eof()
-        left = DISCARD_BYTES
-        while left > 0:
+        remaining = MAX_DISCARDED_BYTES
+        while remaining > 0:
             received = await self._link.read()
-            left -= len(received) or left
+            remaining -= len(received) or remaining
 
     async def _read(self) -> http_data.Request | None:
         event = await self._next_event()
         if not isinstance(event, h11.Request):
             return None
         headers = http_headers.decode(event)
-        _refuse_ambiguous(event, headers)
-        _refuse_large_head(event, headers, self._limits)
-        _refuse_large(int(headers.get(http_headers.LENGTH, 0)), self._limits)
+        _check_framing(event, headers)
+        _check_head_size(event, headers, self._limits)
+        _check_body_size(
+            int(headers.get(http_headers.CONTENT_LENGTH, 0)), self._limits
+        )
         body = await self._read_body()
         return http_data.Request(
             event.method.decode(),
@@ -119,10 +121,10 @@
         while isinstance(event, h11.Data):
             pieces.append(bytes(event.data))
             size += len(event.data)
-            _refuse_large(size, self._limits)
+            _check_body_size(size, self._limits)
             event = await self._next_event()
         if not isinstance(event, h11.EndOfMessage):
-            raise ConnectionResetError('client has gone')
+            raise ConnectionResetError('client is gone')
         return pieces[0] if len(pieces) == 1 else b''.join(pieces)
 
     async def _next_event(self) -> Any:
@@ -133,28 +135,28 @@
         return event
 
 
-def _refuse_ambiguous(event: h11.Request, headers: http_data.Headers) -> None:
-    """Refuse a request that could be read in two ways.
+def _check_framing(event: h11.Request, headers: http_data.Headers) -> None:
+    """Reject a request with ambiguous framing, and any CONNECT.
 
-    A proxy that reads its length one way before a server that reads it the
-    other is the hole through which one caller's request is smuggled into
-    another's. A tunnel would carry bytes that nobody checks.
+    A proxy and a server that determine the length of a request differently
+    allow request smuggling: one caller's bytes are read as part of another
+    caller's request. A CONNECT tunnel would carry bytes that nobody checks.
     """
-    chunked = http_headers.ENCODING in headers
-    if chunked and http_headers.LENGTH in headers:
+    chunked = http_headers.TRANSFER_ENCODING in headers
+    if chunked and http_headers.CONTENT_LENGTH in headers:
         raise RefusedError(
             HTTPStatus.BAD_REQUEST, 'two framings in one request'
         )
-    if chunked and event.http_version != CHUNKS_SINCE:
+    if chunked and event.http_version != CHUNKED_SINCE_VERSION:
         raise RefusedError(HTTPStatus.BAD_REQUEST, 'chunks in an old version')
     if event.method == CONNECT:
         raise RefusedError(HTTPStatus.METHOD_NOT_ALLOWED, 'this is no tunnel')
 
 
-def _refuse_large_head(
+def _check_head_size(
     event: h11.Request, headers: http_data.Headers, limits: http_data.Limits
 ) -> None:
-    """Refuse a head that came at once, before the parser could measure it."""
+    """Reject a large head; the parser can't if it arrives in one read."""
     size = sum(map(len, headers)) + sum(map(len, headers.values()))
     if size + len(event.target) > limits.header_bytes:
         raise RefusedError(
@@ -162,7 +164,7 @@
         )
 
 
-def _refuse_large(size: int, limits: http_data.Limits) -> None:
+def _check_body_size(size: int, limits: http_data.Limits) -> None:
     if size > limits.body_bytes:
         raise RefusedError(
             HTTPStatus.REQUEST_ENTITY_TOO_LARGE, 'body is too large'
--- a/beryllug/drivers/http_server.py
+++ b/beryllug/drivers/http_server.py
@@ -1,9 +1,9 @@
 """An HTTP/1.1 server on asyncio and h11.
 
-It serves callers, operators and the stand-ins. A handler gets the whole
-request and an `Exchange` through which it answers, at once or in chunks.
-Every connection is bounded in bytes and in time, so a slow or hostile
-client costs one small task and nothing else.
+It serves callers, operators and the simulated services. A handler gets the
+complete request and an `Exchange` through which it responds, at once or in
+chunks. Every connection is bounded in bytes and in time, so a slow or hostile
+client costs no more than one small task.
 """
 
 import asyncio
@@ -22,19 +22,19 @@
 JSON_TYPE = http_exchange.JSON_TYPE
 
 SERVER_ERROR = 500
-# After a refusal the rest of the request is read for so long: closing with
-# bytes unread would reset the connection, and the refusal would be lost.
+# Seconds for which the rest of a rejected request is read: closing a socket
+# with unread bytes resets the connection, and the response would be lost.
 LINGER_S = 1.0
-# On a stop, a new connection may still bring its first request for so long.
-FIRST_REQUEST_S = 1.0
-# Rounds of the event loop from a connection's accept to its transport.
-ACCEPT_ROUNDS = 3
-MAX_SWEEP_S = 1.0
-SWEEPS_PER_LIMIT = 8
+# Seconds for which a new connection may still send its first request at stop.
+FIRST_REQUEST_GRACE_S = 1.0
+# Event loop iterations from accepting a connection to creating its transport.
+ACCEPT_ITERATIONS = 3
+MAX_CHECK_INTERVAL_S = 1.0
+CHECKS_PER_LIMIT = 8
 
 
 class _Client:
-    """One client's connection, its task and what the task is at."""
+    """A client's connection with its task and the task's state."""
 
     __slots__ = ('busy', 'link', 'peer', 'served', 'task')
 
@@ -48,33 +48,33 @@
 
 
 class _ServerLink(http_link.Link):
-    """A link that tells its server when it begins and when it ends."""
+    """A link that notifies its server when it opens and when it closes."""
 
     def __init__(
         self,
-        begin: Callable[[http_link.Link], None],
-        end: Callable[[http_link.Link], None],
+        on_open: Callable[[http_link.Link], None],
+        on_close: Callable[[http_link.Link], None],
     ) -> None:
         super().__init__()
-        self._begin = begin
-        self._end = end
+        self._on_open = on_open
+        self._on_close = on_close
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._begin(self)
+        self._on_open(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        self._end(self)
+        self._on_close(self)
 
 
 class HttpServer:
     """Serves one address until it is stopped.
 
     Attributes:
-        mode: Whether it drains, and its limits. Other limits hold from the
-            next connection on: a client may count on the idle time that it
-            was promised when it connected.
+        mode: The limits and whether the server drains. Changed limits of
+            requests and idle time apply to new connections only: a client
+            may rely on the idle timeout in force when it connected.
     """
 
     def __init__(
@@ -84,20 +84,20 @@
         *,
         end_with_client: bool = False,
     ) -> None:
-        """Make a server; `start` opens its socket.
+        """Create a server; `start` opens its socket.
 
         Args:
-            handler: Answers one request.
-            limits: Bounds on each connection.
+            handler: Responds to one request.
+            limits: Limits on each connection.
             end_with_client: Cancel the handler as soon as its client closes
-                the connection, so that work for nobody ends.
+                the connection, so that abandoned work ends.
         """
         self._handler = handler
         self._end_with_client = end_with_client
-        self.mode = http_exchange.Mode(limits or http_data.Limits())
+        self.mode = http_exchange.SharedState(limits or http_data.Limits())
         self._server: asyncio.Server | None = None
         self._clients: dict[http_link.Link, _Client] = {}
-        self._sweeper: asyncio.TimerHandle | None = None
+        self._deadline_timer: asyncio.TimerHandle | None = None
 
     async def start(
         self, host: str, port: int, listener: socket.socket | None = None
@@ -107,53 +107,55 @@
         Args:
             host: Its IP address.
             port: Its port.
-            listener: A socket that listens there already; who waits in its
-                queue is served.
+            listener: A socket that listens there already; connections in
+                its backlog are served.
         """
         loop = asyncio.get_running_loop()
-        link = functools.partial(_ServerLink, self._begin, self._forget)
+        link = functools.partial(_ServerLink, self._on_open, self._remove)
         if listener is None:
             server = await loop.create_server(link, host, port)
         else:
             server = await loop.create_server(link, sock=listener)
         self._server = server
-        self._sweep()
-        bound: int = server.sockets[0].getsockname()[1]
-        return bound
+        self._check_deadlines()
+        bound_port: int = server.sockets[0].getsockname()[1]
+        return bound_port
 
     def drain(self) -> None:
-        """Go on serving, but end each connection with its next answer.
+        """Keep serving, but close each connection after its next response.
 
-        Called some time before `stop`, it leaves few idle connections: one
-        that `stop` closes may just carry a request, whose sender then can't
-        know whether it ran.
+        Called some time before `stop`, it leaves few idle connections: when
+        `stop` closes one that a client is just writing a request to, the
+        client can't know whether the request ran.
         """
         self.mode.draining = True
 
     async def stop(self, grace_s: float = 0) -> None:
-        """Stop accepting, let requests in flight end, close the rest."""
+        """Stop accepting, let requests in flight finish, close the rest."""
         self.drain()
         if self._server is not None:
             await _close_listeners(self._server)
-        await self._end_tasks(grace_s)
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        await self._finish_tasks(grace_s)
+        if self._deadline_timer is not None:
+            self._deadline_timer.cancel()
         for link in list(self._clients):
             link.abort()
 
     @property
     def in_flight(self) -> int:
-        """Count the requests that are being received or handled."""
+        """Number of requests that are being received or handled."""
         return sum(client.busy for client in self._clients.values())
 
-    async def _end_tasks(self, grace_s: float) -> None:
+    async def _finish_tasks(self, grace_s: float) -> None:
         clients = tuple(self._clients.values())
         now = _now()
-        first_s = min(grace_s, FIRST_REQUEST_S)
+        first_request_s = min(grace_s, FIRST_REQUEST_GRACE_S)
         for client in clients:
             if not client.busy:
-                client.link.deadline = now if client.served else now + first_s
-        self._expire(now)
+                client.link.deadline = (
+                    now if client.served else now + first_request_s
+                )
+        self._expire_overdue(now)
         tasks = [each.task for each in clients if each.task]
         if tasks and grace_s:
             await asyncio.wait(tasks, timeout=grace_s)
@@ -161,7 +163,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _begin(self, link: http_link.Link) -> None:
+    def _on_open(self, link: http_link.Link) -> None:
         if len(self._clients) >= self.mode.limits.connections:
             link.abort()
             return
@@ -169,26 +171,27 @@
         self._clients[link] = client
         client.task = asyncio.create_task(self._serve(client))
 
-    def _forget(self, link: http_link.Link) -> None:
+    def _remove(self, link: http_link.Link) -> None:
         self._clients.pop(link, None)
 
-    def _sweep(self) -> None:
-        """Check every deadline, a few times in the shortest limit.
+    def _check_deadlines(self) -> None:
+        """Check all deadlines, several times within the shortest limit.
 
         One timer for all connections costs less than one for every read.
         """
         loop = asyncio.get_running_loop()
-        self._expire(loop.time())
+        self._expire_overdue(loop.time())
         limits = self.mode.limits
         shortest = min(limits.read_s, limits.idle_s, limits.write_s)
-        period = min(shortest / SWEEPS_PER_LIMIT, MAX_SWEEP_S)
-        # At whole periods, so that the servers of a process wake it once.
+        period = min(shortest / CHECKS_PER_LIMIT, MAX_CHECK_INTERVAL_S)
+        # At multiples of the period, so that all servers of a process share
+        # one wake-up.
         due = (loop.time() // period + 1) * period
-        self._sweeper = loop.call_at(due, self._sweep)
+        self._deadline_timer = loop.call_at(due, self._check_deadlines)
 
-    def _expire(self, now: float) -> None:
-        late = [link for link in self._clients if link.deadline <= now]
-        for link in late:
+    def _expire_overdue(self, now: float) -> None:
+        overdue = [link for link in self._clients if link.deadline <= now]
+        for link in overdue:
             link.expire()
 
     async def _serve(self, client: _Client) -> None:
@@ -204,9 +207,10 @@
             self._close(client)
 
     def _close(self, client: _Client) -> None:
-        """Close a connection after what is still queued has gone out.
+        """Close a connection after its write buffer has been sent.
 
-        A client that doesn't read it must not hold the connection for ever.
+        The deadline bounds this: a client that doesn't read must not hold
+        the connection for ever.
         """
         client.busy = False
         client.link.deadline = _now() + self.mode.limits.write_s
@@ -250,22 +254,22 @@
         try:
             req = await reader.read()
         except http_reader.RefusedError as exc:
-            await self._refuse(reader, exchange, exc)
+            await self._reject(reader, exchange, exc)
             return None
         exchange.is_head = req is not None and req.method == 'HEAD'
         return req
 
-    async def _refuse(
+    async def _reject(
         self,
         reader: http_reader.RequestReader,
         exchange: Exchange,
-        refused: http_reader.RefusedError,
+        rejection: http_reader.RefusedError,
     ) -> None:
-        document = {'error': {'code': 'bad_request', 'message': str(refused)}}
+        document = {'error': {'code': 'bad_request', 'message': str(rejection)}}
         document['error']['run'] = 'not_run'
         headers = {'connection': 'close', 'x-run': 'not_run'}
-        if reader.may_answer():
-            await exchange.respond_json(refused.status, document, headers)
+        if reader.can_respond():
+            await exchange.respond_json(rejection.status, document, headers)
             await reader.discard(_now() + LINGER_S)
 
     async def _handle(self, req: http_data.Request, exchange: Exchange) -> None:
@@ -287,14 +291,14 @@
 async def _close_listeners(server: asyncio.Server) -> None:
     """Stop accepting, then close the listening sockets.
 
-    A connection whose transport is not made when its listener closes is
-    never closed by asyncio: its client hangs, and takes the server for a
-    frozen one. So what was accepted gets its transport before.
+    asyncio never closes a connection that was accepted but has no transport
+    yet when its listener closes: the client hangs and takes the server for
+    frozen. So the loop runs until accepted connections have a transport.
     """
     loop = asyncio.get_running_loop()
     for listener in server.sockets:
         loop.remove_reader(listener)
-    for _ in range(ACCEPT_ROUNDS):
+    for _ in range(ACCEPT_ITERATIONS):
         await asyncio.sleep(0)
     server.close()
 
--- a/beryllug/drivers/http_server_test.py
+++ b/beryllug/drivers/http_server_test.py
@@ -1,4 +1,4 @@
-"""Hostile and unlucky clients at the HTTP server."""
+"""Tests of the HTTP server with hostile and failing clients."""
 
 import asyncio
 import socket
@@ -15,13 +15,13 @@
     idle_s=0.2,
     write_s=0.2,
 )
-# A test that would hang fails after so long.
-HANG_S = 10.0
+# Fails a test that would otherwise hang.
+TEST_TIMEOUT_S = 10.0
 GOOD = b'GET /good HTTP/1.1\r\nhost: x\r\n\r\n'
 HIDDEN = b'GET /hidden HTTP/1.1\r\nhost: x\r\n\r\n'
 POST = b'POST /a HTTP/1.1\r\nhost: x\r\n'
 
-# What no server should take, and the status that answers it.
+# Requests that must be rejected, and the expected status.
 REFUSED: tuple[tuple[str, bytes, int], ...] = (
     ('noise', b'\x00\x01\x02\r\n\r\n', 400),
     ('TLS hello', b'\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n', 400),
@@ -78,8 +78,8 @@
      % (POST, HIDDEN), 400),
 )  # fmt: skip
 
-# What the standard lets a server read in one way only.
-READ_ALIKE: tuple[tuple[str, bytes, bytes], ...] = (
+# Unusual requests that have one meaning by the standard.
+UNUSUAL_REQUESTS: tuple[tuple[str, bytes, bytes], ...] = (
     ('folded value', b'GET /a HTTP/1.1\r\nhost: x\r\ny: 1\r\n 2\r\n\r\n', b''),
     ('bare LF', b'POST /a HTTP/1.1\nhost: x\ncontent-length: 2\n\nhi', b'hi'),
     ('same length twice', b'%bcontent-length: 2\r\ncontent-length: 2\r\n\r\nhi'
@@ -98,20 +98,20 @@
 class _ServerCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.seen: list[http_data.Request] = []
-        self.gate = asyncio.Event()
-        self.gate.set()
+        self.may_respond = asyncio.Event()
+        self.may_respond.set()
         self.server = http_server.HttpServer(self._handle, LIMITS)
         self.port = await self.server.start('127.0.0.1', 0)
         self.addAsyncCleanup(self.server.stop)
 
-    async def talk(self, raw: bytes, *, ends: bool = True) -> bytes:
-        """Send bytes, close the sending side, return all that comes back."""
+    async def send_raw(self, raw: bytes, *, send_eof: bool = True) -> bytes:
+        """Send bytes, close the sending side and return the response."""
         reader, writer = await self.connect()
         writer.write(raw)
-        if ends:
+        if send_eof:
             writer.write_eof()
         try:
-            async with asyncio.timeout(HANG_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 return await reader.read()
         except ConnectionError:
             return b''
@@ -125,18 +125,18 @@
         return await asyncio.open_connection('127.0.0.1', self.port)
 
     async def check_alive(self) -> None:
-        """Check that the next connection works."""
-        answer = await self.talk(GOOD)
+        """Check that the server still serves a new connection."""
+        answer = await self.send_raw(GOOD)
         self.assertTrue(answer.startswith(b'HTTP/1.1 200'), answer)
         self.assertEqual(self.seen.pop().target, '/good')
 
     async def until_seen(self, count: int) -> None:
-        """Wait until the handler has been called so often."""
+        """Wait until the handler has been called `count` times."""
         await self.until(lambda: len(self.seen) >= count)
 
     async def until(self, holds: Callable[[], bool]) -> None:
         """Wait until a condition holds."""
-        async with asyncio.timeout(HANG_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not holds():
                 await asyncio.sleep(0)
 
@@ -144,7 +144,7 @@
         self, req: http_data.Request, exchange: http_server.Exchange
     ) -> None:
         self.seen.append(req)
-        await self.gate.wait()
+        await self.may_respond.wait()
         match req.target:
             case '/huge':
                 await exchange.respond(200, bytes(20_000_000))
@@ -166,18 +166,18 @@
 
 
 class HostileTest(_ServerCase):
-    """Bad requests never reach the handler and cost nobody else anything."""
+    """Bad requests never reach the handler or affect other clients."""
 
     async def test_refused(self) -> None:
-        """Each bad request is answered as not run, and nothing after it.
+        """Each bad request gets one response, which states `not_run`.
 
-        Some of them hide a second request behind one whose end could be
-        read in two ways. It must not be served: its sender would get the
-        answer, or a caller behind the same proxy would.
+        Some of them smuggle a second request behind one with ambiguous
+        framing. It must not be served: the response would go to its sender
+        or to another caller behind the same proxy.
         """
         for title, raw, status in REFUSED:
             with self.subTest(title):
-                answer = await self.talk(raw)
+                answer = await self.send_raw(raw)
                 head, _, body = answer.partition(b'\r\n\r\n')
                 self.assertIn(b' %d ' % status, head.split(b'\r\n')[0])
                 self.assertIn(b'x-run: not_run', head)
@@ -187,18 +187,18 @@
                 await self.check_alive()
 
     async def test_cut_short(self) -> None:
-        """A request that ends early is never handled, wherever it ends."""
+        """A truncated request is never handled, wherever it is cut."""
         whole = b'%bcontent-length: 5\r\n\r\nhello' % POST
         ends = reversed(range(len(whole)))
-        await asyncio.gather(*(self.talk(whole[:end]) for end in ends))
+        await asyncio.gather(*(self.send_raw(whole[:end]) for end in ends))
         self.assertEqual(self.seen, [])
         await self.check_alive()
 
     async def test_read_alike(self) -> None:
-        """Odd requests with one meaning are read so, and end where they end."""
-        for title, raw, body in READ_ALIKE:
+        """Unusual requests are parsed correctly, as is the one after them."""
+        for title, raw, body in UNUSUAL_REQUESTS:
             with self.subTest(title):
-                answer = await self.talk(raw + GOOD)
+                answer = await self.send_raw(raw + GOOD)
                 self.assertEqual(answer.count(b'HTTP/1.1 200'), 2)
                 self.assertEqual(
                     [(req.target, req.body) for req in self.seen],
@@ -207,18 +207,18 @@
                 self.seen.clear()
 
     async def test_refusal_is_read(self) -> None:
-        """A client that is still sending its body gets to read the refusal.
+        """A client that is still sending its body receives the rejection.
 
-        The server refuses after the head, while the client writes on.
-        Closing at once would reset the connection and the client would lose
-        the answer that tells it that nothing was run.
+        The server rejects the request after the head, while the client is
+        still writing. Closing at once would reset the connection, and the
+        client would lose the response that states that nothing was run.
         """
         raw = b'%bcontent-length: 900000\r\n\r\n%b' % (POST, bytes(900000))
-        answer = await self.talk(raw, ends=False)
+        answer = await self.send_raw(raw, send_eof=False)
         self.assertTrue(answer.startswith(b'HTTP/1.1 413'))
 
     async def test_slow(self) -> None:
-        """A client that dribbles is cut off, with 408 once it has begun."""
+        """A client that stalls is closed, with 408 if it sent a byte."""
         cases = (
             ('nothing', b'', b''),
             ('head', b'GET / HTTP/1.1\r\nhost:', b'HTTP/1.1 408'),
@@ -226,13 +226,13 @@
         )
         for title, raw, expected in cases:
             with self.subTest(title):
-                answer = await self.talk(raw, ends=False)
+                answer = await self.send_raw(raw, send_eof=False)
                 self.assertEqual(answer[:12], expected)
                 self.assertEqual(self.seen, [])
         await self.check_alive()
 
     async def test_dribble(self) -> None:
-        """Bytes that keep coming do not buy a client more time."""
+        """A client that keeps sending single bytes is still timed out."""
         reader, writer = await self.connect()
         writer.write(b'GET / HTTP/1.1\r\n')
         answered = asyncio.create_task(reader.read())
@@ -246,7 +246,7 @@
         writer.close()
 
     async def test_slow_reader(self) -> None:
-        """A client that doesn't read its answer is cut off."""
+        """A client that doesn't read its response is closed."""
         reader, writer = await self.connect()
         writer.write(b'GET /huge HTTP/1.1\r\nhost: x\r\n\r\n')
         await self.until_seen(1)
@@ -256,7 +256,7 @@
         writer.close()
 
     async def test_reset_in_body(self) -> None:
-        """A client that resets in the middle of its body isn't served."""
+        """A request whose client resets during the body isn't handled."""
         reader, writer = await self.connect()
         writer.write(b'%bcontent-length: 5\r\n\r\nhe' % POST)
         await self.until(lambda: self.server.in_flight > 0)
@@ -269,13 +269,13 @@
         await self.check_alive()
 
     async def test_too_many(self) -> None:
-        """Connections over the bound are closed; the others go on."""
+        """Connections over the limit are closed; the others work."""
         limits = http_data.Limits(connections=3)
         server = http_server.HttpServer(self._handle, limits)
         self.port = await server.start('127.0.0.1', 0)
         self.addAsyncCleanup(server.stop)
         opened = [await self.connect() for _ in range(limits.connections)]
-        self.assertEqual(await self.talk(GOOD, ends=False), b'')
+        self.assertEqual(await self.send_raw(GOOD, send_eof=False), b'')
         for reader, writer in opened:
             writer.write(GOOD)
             self.assertTrue(await reader.readline())
@@ -283,40 +283,40 @@
 
 
 class ExchangeTest(_ServerCase):
-    """Answers reach clients as the handler meant them."""
+    """Responses reach clients as the handler wrote them."""
 
     async def test_pipelined(self) -> None:
-        """Requests sent at once are answered one by one, in their order."""
+        """Pipelined requests are answered in order."""
         raw = b''.join(
             b'GET /%d HTTP/1.1\r\nhost: x\r\n\r\n' % number
             for number in range(20)
         )
-        answer = await self.talk(raw)
+        answer = await self.send_raw(raw)
         bodies = [part.split(b'HTTP')[0] for part in answer.split(b'\r\n\r\n')]
         self.assertEqual(bodies[1:], [b'/%d' % each for each in range(20)])
 
     async def test_pipelined_beside_others(self) -> None:
-        """Many requests sent at once do not hold up another connection."""
+        """Many pipelined requests do not block another connection."""
         reader, writer = await self.connect()
         other_reader, other = await self.connect()
         writer.write(b'GET /many HTTP/1.1\r\nhost: x\r\n\r\n' * 500)
         other.write(GOOD)
-        async with asyncio.timeout(HANG_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await other_reader.readuntil(b'/good')
         self.assertLess(len(self.seen), 500)
         writer.close()
         other.close()
 
     async def test_half_closed(self) -> None:
-        """A client that closed its sending side still gets its answer."""
-        self.gate.clear()
-        answered = asyncio.create_task(self.talk(GOOD))
+        """A client that closed its sending side still gets its response."""
+        self.may_respond.clear()
+        answered = asyncio.create_task(self.send_raw(GOOD))
         await self.until_seen(1)
-        self.gate.set()
+        self.may_respond.set()
         self.assertTrue((await answered).endswith(b'/good'))
 
     async def test_answers(self) -> None:
-        """Answers without a body have none, and the next one follows."""
+        """Responses without a body are framed so that the next one works."""
         chunks = b'3\r\none\r\n3\r\ntwo\r\n0\r\n\r\n'
         cases = (
             (b'HEAD /a', b''),
@@ -326,43 +326,45 @@
         )
         for line, expected in cases:
             with self.subTest(line.decode()):
-                self.assertEqual(await self._answers(line), (expected, True))
+                self.assertEqual(await self._first_body(line), (expected, True))
 
     async def test_broken_handler(self) -> None:
-        """A handler that fails gives a 500, or an answer cut short.
+        """A failing handler causes a 500, or a truncated response.
 
-        It fails before its answer has begun, by a header that would split
-        the answer in two, or in the middle of it.
+        It fails before the head is sent, by a header that would cause
+        response splitting, or in the middle of the body.
         """
         cases = (
             (b'GET /split', b'', True),
             (b'GET /half', b'3\r\none\r\n', False),
         )
-        for line, expected, more in cases:
+        for line, expected, has_second in cases:
             with self.subTest(line.decode()), self.assertLogs('absl'):
-                self.assertEqual(await self._answers(line), (expected, more))
+                self.assertEqual(
+                    await self._first_body(line), (expected, has_second)
+                )
 
     async def test_latin(self) -> None:
-        """A header byte beyond ASCII goes out as it came in."""
-        answer = await self.talk(b'GET /chunks HTTP/1.1\r\nhost: x\r\n\r\n')
+        """A header byte beyond ASCII is sent unchanged."""
+        answer = await self.send_raw(b'GET /chunks HTTP/1.1\r\nhost: x\r\n\r\n')
         self.assertIn(b'x-name: caf\xe9\r\n', answer)
 
-    async def _answers(self, line: bytes) -> tuple[bytes, bool]:
-        """Return the first of two answers' bodies, and whether both came."""
+    async def _first_body(self, line: bytes) -> tuple[bytes, bool]:
+        """Return the first response's body, and whether a second came."""
         raw = b'%b HTTP/1.1\r\nhost: x\r\n\r\n%b' % (line, GOOD)
-        answer = await self.talk(raw)
+        answer = await self.send_raw(raw)
         _, _, rest = answer.partition(b'\r\n\r\n')
-        body, more, _ = rest.partition(b'HTTP/1.1 200')
-        return body, bool(more)
+        body, has_second, _ = rest.partition(b'HTTP/1.1 200')
+        return body, bool(has_second)
 
 
 class StopTest(_ServerCase):
-    """A stop cuts off no request that a client has begun to send."""
+    """A stop does not abort requests that a client has begun to send."""
 
     async def test_in_flight(self) -> None:
-        """A request that is handled and one half sent are both answered."""
-        self.gate.clear()
-        handled = asyncio.create_task(self.talk(GOOD, ends=False))
+        """A request in its handler and one half received are answered."""
+        self.may_respond.clear()
+        handled = asyncio.create_task(self.send_raw(GOOD, send_eof=False))
         await self.until_seen(1)
         reader, writer = await self.connect()
         writer.write(GOOD[:10])
@@ -371,8 +373,8 @@
         await asyncio.sleep(0)
         writer.write(GOOD[10:])
         await self.until_seen(2)
-        self.gate.set()
-        async with asyncio.timeout(HANG_S):
+        self.may_respond.set()
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             answers = await handled, await reader.read()
         for answer in answers:
             self.assertIn(b'connection: close', answer)
@@ -381,7 +383,7 @@
         writer.close()
 
     async def test_idle(self) -> None:
-        """Idle connections are closed at once, new ones are refused."""
+        """Idle connections are closed at once; new ones are refused."""
         reader, writer = await self.connect()
         writer.write(GOOD)
         await reader.readuntil(b'/good')
@@ -392,52 +394,52 @@
         writer.close()
 
     async def test_accepted_in_stop(self) -> None:
-        """A client connects in the moment in which the server stops.
+        """A client connects at the moment at which the server stops.
 
-        Its connection is accepted, and the server closes its sockets before
-        the event loop has made a transport of it. The client must be told by
-        a closed connection: one that hangs looks like a frozen server, and a
-        request that crashes its servers was sent to a third one for that.
+        Its connection is accepted, and the server closes its listeners before
+        the event loop has created the transport. The connection must be
+        closed: a hanging one looks like a frozen server, and made a router
+        send a request that crashes its servers to a third one.
         """
         with socket.socket() as client:
             client.connect(('127.0.0.1', self.port))
             client.setblocking(False)
-            # The loop accepts in the round in which the stop begins.
+            # The loop accepts in the iteration in which the stop begins.
             await asyncio.sleep(0)
             await self.server.stop()
             loop = asyncio.get_running_loop()
-            async with asyncio.timeout(HANG_S):
-                told = await _received(loop, client)
-        self.assertEqual(told, b'')
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                received = await _received(loop, client)
+        self.assertEqual(received, b'')
 
     async def test_queued(self) -> None:
-        """A caller sends its request before the server is there.
+        """A client sends its request before the server has started.
 
         The process is still loading, but its socket listens: the request
-        waits in the queue and is answered, instead of being refused.
+        waits in the backlog and is answered instead of refused.
         """
         listener = listeners.open_at('127.0.0.1:0')
         assert listener is not None
-        late = http_server.HttpServer(self._handle, LIMITS)
-        self.addAsyncCleanup(late.stop)
+        late_server = http_server.HttpServer(self._handle, LIMITS)
+        self.addAsyncCleanup(late_server.stop)
         with socket.socket() as client:
             client.connect(listener.getsockname())
             client.sendall(GOOD)
             client.setblocking(False)
-            await late.start('127.0.0.1', 0, listener)
+            await late_server.start('127.0.0.1', 0, listener)
             loop = asyncio.get_running_loop()
-            async with asyncio.timeout(HANG_S):
-                told = await loop.sock_recv(client, LIMITS.header_bytes)
-        self.assertTrue(told.endswith(b'/good'), told)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                received = await loop.sock_recv(client, LIMITS.header_bytes)
+        self.assertTrue(received.endswith(b'/good'), received)
 
     def test_taken(self) -> None:
-        """Where another process listens, nothing is opened."""
+        """No listener is opened on an address in use."""
         self.assertIsNone(listeners.open_at(f'127.0.0.1:{self.port}'))
 
     async def test_drain(self) -> None:
-        """While draining every request is served, and ends its connection."""
+        """A draining server serves requests, but closes the connection."""
         self.server.drain()
-        answer = await self.talk(GOOD, ends=False)
+        answer = await self.send_raw(GOOD, send_eof=False)
         self.assertIn(b'connection: close', answer)
         self.assertTrue(answer.endswith(b'/good'))
 
@@ -445,7 +447,7 @@
 async def _received(
     loop: asyncio.AbstractEventLoop, client: socket.socket
 ) -> bytes:
-    """Return what a connection brings, nothing where it was reset."""
+    """Return what a connection receives; empty if it was reset."""
     try:
         return await loop.sock_recv(client, 1)
     except ConnectionResetError:
--- a/beryllug/drivers/listeners.py
+++ b/beryllug/drivers/listeners.py
@@ -1,24 +1,24 @@
-"""Sockets that listen before the program behind them is loaded."""
+"""Listening sockets that are opened before their server is loaded."""
 
 import socket
 
-# Connections that wait until they are accepted: those that callers make in a
-# quarter of a second when they all come back at once.
+# Connections that may wait to be accepted: as many as callers open within a
+# quarter of a second when they all reconnect at once.
 BACKLOG = 512
 
 
 def open_at(address: str) -> socket.socket | None:
     """Listen on an address.
 
-    Callers who connect from now on wait in the socket's queue until a server
-    takes it over; without it their connections are refused.
+    Connections wait in the socket's backlog until a server accepts them;
+    without a listening socket they would be refused.
 
     Args:
         address: ``ip:port``.
 
     Returns:
-        The socket; None where the address can't be had, which the server
-        finds and reports when it listens there itself.
+        The socket; None if it can't be bound, an error that the server then
+        reports when it binds the address itself.
     """
     host, _, port = address.rpartition(':')
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
