--- a/beryllug/drivers/__init__.py
+++ b/beryllug/drivers/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters for sockets and outside parties.
+"""Adapters for sockets and external services.
 
-One module a party: when its wire format changes, one file changes.
+Each service has one module, so a change of its wire format changes one file.
 """
--- a/beryllug/drivers/datagrams.py
+++ b/beryllug/drivers/datagrams.py
@@ -1,8 +1,8 @@
-"""Short notes between our processes by UDP: sent, not answered, perhaps lost.
+"""UDP messages between beryllug's processes, without delivery guarantee.
 
-For what is told again a moment later anyway, such as loads, a datagram costs
-a tenth of a call's processor time on both sides. Each carries the signature
-of `fleet_key`; one that is not signed, or no note, is dropped and counted.
+For data that is sent again soon anyway, such as loads, a datagram costs a
+tenth of a call's processor time on both sides. Each carries a signature of
+`fleet_key`; unsigned or invalid datagrams are dropped and counted.
 """
 
 import asyncio
@@ -16,50 +16,51 @@
 
 METHOD = 'note'
 SEPARATOR = b' '
-# What fits one packet on any usual link.
+# Fits into one packet on any usual network link.
 MOST_BYTES = 1400
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """Sends notes from one address and takes those that arrive there.
+    """Sends messages from one address and receives those sent to it.
 
     Attributes:
-        sent: Notes that were sent.
-        dropped: Datagrams that were no note of ours, or too large to send.
+        sent: Number of datagrams sent.
+        dropped: Number of datagrams that were received without a valid
+            signature or message, or too large to send, or failed.
     """
 
     def __init__(
         self,
         keys: fleet_key.KeyRing,
-        kind: type[Any],
-        take: Callable[[Any], None],
+        message_type: type[Any],
+        on_message: Callable[[Any], None],
     ) -> None:
-        """Bind to the record of a note, and to who takes it."""
+        """Keep the message type and the callback for received messages."""
         self.sent = 0
         self.dropped = 0
         self._keys = keys
-        self._decode = wire.decoder(kind)
-        self._take = take
+        self._decode = wire.decoder(message_type)
+        self._on_message = on_message
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, address: str) -> None:
         """Listen on ``ip:port``."""
         host, _, port = address.rpartition(':')
         loop = asyncio.get_running_loop()
-        made = await loop.create_datagram_endpoint(
+        endpoint = await loop.create_datagram_endpoint(
             lambda: self, (host, int(port))
         )
-        self._transport = made[0]
+        self._transport = endpoint[0]
 
     def stop(self) -> None:
         """Close the socket."""
         if self._transport is not None:
             self._transport.close()
 
-    def send(self, addresses: Iterable[str], note: Any) -> None:
-        """Send a note to some addresses, each ``ip:port``."""
+    def send(self, addresses: Iterable[str], message: Any) -> None:
+        """Send a message to addresses, each ``ip:port``."""
         signature = self._keys.sign(METHOD, time.time())
-        raw = signature.encode() + SEPARATOR + wire.encode(note)
+        raw = signature.encode() + SEPARATOR + wire.encode(message)
         if self._transport is None or len(raw) > MOST_BYTES:
             self.dropped += 1
             return
@@ -69,19 +70,19 @@
             self.sent += 1
 
     def datagram_received(self, raw: bytes, peer: Any) -> None:
-        """Take a note, if it is one of ours."""
+        """Verify and decode a datagram and pass its message on."""
         signature, _, encoded = raw.partition(SEPARATOR)
         text = signature.decode('latin-1')
         if not self._keys.verify(METHOD, text, time.time()):
             self.dropped += 1
             return
         try:
-            note = self._decode(encoded)
+            message = self._decode(encoded)
         except msgspec.DecodeError:
             self.dropped += 1
             return
-        self._take(note)
+        self._on_message(message)
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over that a peer was not there: its silence says the same."""
+        """Count the error; an unreachable peer also shows by its silence."""
         self.dropped += 1
--- a/beryllug/drivers/datagrams_test.py
+++ b/beryllug/drivers/datagrams_test.py
@@ -1,4 +1,4 @@
-"""Tests of notes by UDP."""
+"""Tests of UDP messages."""
 
 import asyncio
 import socket
@@ -7,12 +7,12 @@
 
 from beryllug.drivers import datagrams, fleet_key
 
-KEYS = fleet_key.KeyRing(('a-key-of-this-test',))
-OTHER = fleet_key.KeyRing(('another-key-of-it',))
+VALID_KEYS = fleet_key.KeyRing(('a-key-of-this-test',))
+OTHER_KEYS = fleet_key.KeyRing(('another-key-of-it',))
 
 
-class Note(NamedTuple):
-    """A note of the test."""
+class Message(NamedTuple):
+    """A message of the test."""
 
     text: str
 
@@ -24,36 +24,38 @@
 
 
 class DatagramsTest(unittest.IsolatedAsyncioTestCase):
-    """Notes that arrive, and what is dropped."""
+    """Delivered messages and dropped datagrams."""
 
     async def asyncSetUp(self) -> None:
-        self.taken: list[Note] = []
+        self.received: list[Message] = []
         self.address = _free_address()
-        self.receiver = datagrams.Datagrams(KEYS, Note, self.taken.append)
+        self.receiver = datagrams.Datagrams(
+            VALID_KEYS, Message, self.received.append
+        )
         await self.receiver.start(self.address)
 
     async def asyncTearDown(self) -> None:
         self.receiver.stop()
 
     async def test_notes(self) -> None:
-        """A signed note arrives; others are dropped and counted."""
-        for keys, taken, dropped in ((KEYS, 1, 0), (OTHER, 1, 1)):
-            sender = datagrams.Datagrams(keys, Note, print)
+        """A message with a valid signature arrives; others are dropped."""
+        for keys, received, dropped in ((VALID_KEYS, 1, 0), (OTHER_KEYS, 1, 1)):
+            sender = datagrams.Datagrams(keys, Message, print)
             await sender.start(_free_address())
-            sender.send((self.address,), Note('hello'))
+            sender.send((self.address,), Message('hello'))
             await asyncio.sleep(0.05)
             sender.stop()
-            self.assertEqual(len(self.taken), taken)
+            self.assertEqual(len(self.received), received)
             self.assertEqual(self.receiver.dropped, dropped)
 
     async def test_no_note(self) -> None:
-        """Bytes of a stranger end nothing."""
+        """Invalid bytes of an unknown sender are dropped."""
         self.receiver.datagram_received(b'\x93\x01garbage', ('127.0.0.1', 9))
-        self.assertEqual((self.taken, self.receiver.dropped), ([], 1))
+        self.assertEqual((self.received, self.receiver.dropped), ([], 1))
 
     async def test_too_large(self) -> None:
-        """A note that no packet holds is not sent."""
-        self.receiver.send((self.address,), Note('x' * datagrams.MOST_BYTES))
+        """A message that exceeds one packet is not sent."""
+        self.receiver.send((self.address,), Message('x' * datagrams.MOST_BYTES))
         self.assertEqual((self.receiver.sent, self.receiver.dropped), (0, 1))
 
 
--- a/beryllug/drivers/event_split.py
+++ b/beryllug/drivers/event_split.py
@@ -1,7 +1,7 @@
-"""Splits a stream of server-sent events into whole events.
+"""Splits a stream of server-sent events into complete events.
 
-A server that breaks off may do so in the middle of an event; the part of it
-that came must not go out, or the next event would be joined to it.
+A server may break off in the middle of an event. The partial event must not be
+forwarded, or the next event would be joined to it.
 """
 
 from typing import NamedTuple
@@ -11,34 +11,34 @@
 
 
 class Event(NamedTuple):
-    """A whole event: its bytes as they came, and its id, or empty."""
+    """A complete event: its bytes as received, and its id or empty."""
 
     raw: bytes
     event_id: str
 
 
 class EventSplitter:
-    """Takes bytes as they arrive and gives whole events."""
+    """Buffers received bytes and returns complete events."""
 
     def __init__(self) -> None:
-        """Begin with nothing."""
-        self._rest = b''
+        """Start with an empty buffer."""
+        self._buffer = b''
 
     @property
     def has_rest(self) -> bool:
-        """Tell whether part of an event has come."""
-        return bool(self._rest.strip())
+        """Whether part of an event is buffered."""
+        return bool(self._buffer.strip())
 
     def feed(self, chunk: bytes) -> list[Event]:
-        """Take bytes and return the events that they complete."""
-        whole, end, rest = (self._rest + chunk).rpartition(_END)
+        """Add bytes and return the events that they complete."""
+        complete, end, rest = (self._buffer + chunk).rpartition(_END)
         if not end:
-            self._rest = rest
+            self._buffer = rest
             return []
-        self._rest = rest
+        self._buffer = rest
         return [
             Event(raw + _END, _id_of(raw))
-            for raw in whole.split(_END)
+            for raw in complete.split(_END)
             if raw.strip()
         ]
 
--- a/beryllug/drivers/event_split_test.py
+++ b/beryllug/drivers/event_split_test.py
@@ -15,10 +15,10 @@
 
 
 class EventSplitterTest(unittest.TestCase):
-    """Events come out whole and as they came in."""
+    """Events are returned complete and unchanged."""
 
     def test_split(self) -> None:
-        """Each case of the table."""
+        """Splits the chunks of each case."""
         for title, chunks, ids, has_rest in CASES:
             with self.subTest(title):
                 splitter = event_split.EventSplitter()
--- a/beryllug/drivers/fleet_key.py
+++ b/beryllug/drivers/fleet_key.py
@@ -1,8 +1,8 @@
-"""The key by which processes of the fleet know one another.
+"""Authentication of calls between the processes of a fleet.
 
-Each call between processes carries ``time:hmac`` over method and time. Two
-keys are valid at once: the first signs, both verify, so a key is rotated by
-adding it second everywhere, then moving it first, then dropping the old one.
+Each call carries ``time:hmac``, where the HMAC covers method and time. Two
+keys are valid at once: the first signs, both verify. A key is rotated by
+adding it second everywhere, then moving it first, then removing the old one.
 """
 
 import hashlib
@@ -13,36 +13,36 @@
 
 
 class KeyRing:
-    """The valid fleet keys; replaced in place when settings are read anew."""
+    """The valid fleet keys; replaced in place when settings are reloaded."""
 
     def __init__(self, keys: tuple[str, ...]) -> None:
-        """Keep the keys, the signing one first."""
+        """Keep the keys; the first one signs."""
         self._keys = tuple(key.encode() for key in keys)
 
     def replace(self, keys: tuple[str, ...]) -> None:
-        """Take new keys; open connections go on."""
+        """Replace the keys; open connections are kept."""
         self._keys = tuple(key.encode() for key in keys)
 
     def sign(self, method: str, now: float) -> str:
-        """Return the signature of a call made at `now`, in wall seconds."""
-        stamp = f'{now:.3f}'
-        return f'{stamp}:{_mac(self._keys[0], method, stamp)}'
+        """Sign a call made at `now`, in wall-clock seconds."""
+        timestamp = f'{now:.3f}'
+        return f'{timestamp}:{_hmac(self._keys[0], method, timestamp)}'
 
     def verify(self, method: str, sent: str, now: float) -> bool:
-        """Tell whether a signature is of a valid key and not too old."""
-        stamp, _, mac = sent.partition(':')
+        """Return whether a signature is valid and its time close to `now`."""
+        timestamp, _, mac = sent.partition(':')
         try:
-            age = abs(now - float(stamp))
+            age = abs(now - float(timestamp))
         except ValueError:
             return False
         if age > MAX_SKEW_S:
             return False
         return any(
-            hmac.compare_digest(_mac(key, method, stamp), mac)
+            hmac.compare_digest(_hmac(key, method, timestamp), mac)
             for key in self._keys
         )
 
 
-def _mac(key: bytes, method: str, stamp: str) -> str:
-    text = f'{method}:{stamp}'.encode()
+def _hmac(key: bytes, method: str, timestamp: str) -> str:
+    text = f'{method}:{timestamp}'.encode()
     return hmac.new(key, text, hashlib.sha256).hexdigest()
--- a/beryllug/drivers/json_decode.py
+++ b/beryllug/drivers/json_decode.py
@@ -1,4 +1,4 @@
-"""Reads JSON of others into records, also where a part of it can't be read."""
+"""Decodes JSON of external services, also if part of it is invalid."""
 
 import itertools
 from collections.abc import Iterable
@@ -8,45 +8,47 @@
 
 from beryllug.drivers import json_repair, object_data
 
-# Bytes of an entry that can't be read that a log line shows.
-SHOWN_BYTES = 80
+# Bytes of an invalid entry that an error message shows.
+MAX_SHOWN_BYTES = 80
 
 
-def decode(body: bytes, shape: type[Any]) -> Any:
-    """Return a document of a shape.
+def decode(body: bytes, expected_type: type[Any]) -> Any:
+    """Decode a document of a type, after repair if it is invalid.
 
     Raises:
-        ObjectApiError: It can't be read as one.
+        ObjectApiError: It can't be decoded even when repaired.
     """
     try:
-        return msgspec.json.decode(body, type=shape)
+        return msgspec.json.decode(body, type=expected_type)
     except (msgspec.MsgspecError, RecursionError, UnicodeError):
-        sound = json_repair.repair(body)
+        repaired = json_repair.repair(body)
     try:
-        return msgspec.json.decode(sound, type=shape)
+        return msgspec.json.decode(repaired, type=expected_type)
     except (msgspec.MsgspecError, RecursionError, UnicodeError) as exc:
         raise object_data.ObjectApiError(f'unreadable answer: {exc}') from exc
 
 
 def each(
-    raw: Iterable[msgspec.Raw], shape: type[Any]
+    raw: Iterable[msgspec.Raw], expected_type: type[Any]
 ) -> tuple[list[Any], list[str]]:
-    """Return the entries that can be read, and why the others can't."""
-    found = []
+    """Decode entries; returns them and the errors of the invalid ones."""
+    entries = []
     errors = []
     for entry in raw:
         try:
-            found.append(msgspec.json.decode(entry, type=shape))
+            entries.append(msgspec.json.decode(entry, type=expected_type))
         except (msgspec.MsgspecError, RecursionError, UnicodeError) as exc:
-            errors.append(f'{exc}: {bytes(entry[:SHOWN_BYTES])!r}')
-    return found, errors
+            errors.append(f'{exc}: {bytes(entry[:MAX_SHOWN_BYTES])!r}')
+    return entries, errors
 
 
 def field_names(decoded: Any) -> frozenset[str]:
-    """Return the names of an object's fields, and of objects in its lists."""
+    """Return the field names of an object and of objects in its lists."""
     if not isinstance(decoded, dict):
         return frozenset()
-    listed = (each for each in decoded.values() if isinstance(each, list))
-    inner = itertools.chain.from_iterable(listed)
-    records = (each for each in inner if isinstance(each, dict))
+    lists = (
+        element for element in decoded.values() if isinstance(element, list)
+    )
+    elements = itertools.chain.from_iterable(lists)
+    records = (element for element in elements if isinstance(element, dict))
     return frozenset(decoded).union(*records)
--- a/beryllug/drivers/json_repair.py
+++ b/beryllug/drivers/json_repair.py
@@ -1,35 +1,36 @@
-"""Makes JSON of others readable where one part of it is not.
+"""Repairs JSON of external services that is invalid in one part.
 
-One entry of a list that holds bytes which are no UTF-8, or brackets nested
-thousands deep, makes a decoder refuse the whole answer: every process would go
-without a list for as long as the entry stands there.
+A single list entry with invalid UTF-8, or with brackets nested thousands deep,
+makes a decoder reject the whole response: every process would be without the
+list for as long as the entry exists.
 """
 
 import re
 
-# Brackets within brackets that are kept; sound documents have under ten.
-MOST_DEPTH = 64
-CUT = b'null'
-_MARKS = re.compile(rb'"(?:[^"\\]|\\.)*"|[\[{\]}]', re.DOTALL)
+# Nesting depth from which values are replaced; valid documents have less than
+# ten levels.
+MAX_DEPTH = 64
+REPLACEMENT = b'null'
+_TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*"|[\[{\]}]', re.DOTALL)
 
 
 def repair(raw: bytes) -> bytes:
-    """Return JSON with unreadable bytes replaced, and nested ones cut out."""
-    readable = raw.decode(errors='replace').encode()
-    kept: list[bytes] = []
+    """Replace invalid UTF-8 and values nested too deeply."""
+    valid_text = raw.decode(errors='replace').encode()
+    segments: list[bytes] = []
     depth = 0
-    begun = 0
-    for found in _MARKS.finditer(readable):
-        mark = found[0]
-        if mark in {b'[', b'{'}:
+    segment_start = 0
+    for token_match in _TOKENS.finditer(valid_text):
+        token = token_match[0]
+        if token in {b'[', b'{'}:
             depth += 1
-            if depth == MOST_DEPTH:
-                kept.append(readable[begun : found.start()])
-        elif mark in {b']', b'}'}:
-            if depth == MOST_DEPTH:
-                kept.append(CUT)
-                begun = found.end()
+            if depth == MAX_DEPTH:
+                segments.append(valid_text[segment_start : token_match.start()])
+        elif token in {b']', b'}'}:
+            if depth == MAX_DEPTH:
+                segments.append(REPLACEMENT)
+                segment_start = token_match.end()
             depth -= 1
-    if depth < MOST_DEPTH:
-        kept.append(readable[begun:])
-    return b''.join(kept)
+    if depth < MAX_DEPTH:
+        segments.append(valid_text[segment_start:])
+    return b''.join(segments)
--- a/beryllug/drivers/json_repair_test.py
+++ b/beryllug/drivers/json_repair_test.py
@@ -1,4 +1,4 @@
-"""Tests of JSON that is readable but for a part of it."""
+"""Tests of repairing JSON that is invalid in one part."""
 
 import unittest
 
@@ -15,16 +15,16 @@
 
 
 class RepairTest(unittest.TestCase):
-    """What a decoder is given instead."""
+    """JSON after repair."""
 
     def test_cases(self) -> None:
-        """Each case of the table."""
+        """Invalid UTF-8 is replaced; valid JSON stays unchanged."""
         for title, raw, expected in CASES:
             with self.subTest(title):
                 self.assertEqual(json_repair.repair(raw), expected)
 
     def test_nested(self) -> None:
-        """One entry is nested far too deep; the others can be read."""
+        """An entry nested too deeply is replaced; the others are kept."""
         deep = b''.join((b'[' * DEPTH, b']' * DEPTH))
         whole = json_repair.repair(b'{"items":[1,%b,{"a":2}]}' % deep)
         items = msgspec.json.decode(whole)['items']
--- a/beryllug/drivers/methods.py
+++ b/beryllug/drivers/methods.py
@@ -1,4 +1,4 @@
-"""The methods that our processes call on one another."""
+"""The RPC methods between the processes of all roles but `router`."""
 
 from beryllug.core import (
     answer_data,
--- a/beryllug/drivers/router_methods.py
+++ b/beryllug/drivers/router_methods.py
@@ -1,7 +1,7 @@
-"""The methods that processes of the role `router` call on one another.
+"""The RPC methods between processes of the role `router`.
 
-They stand apart from those of the other roles, whose records a process of this
-role would load at its start for nothing.
+They are separate from `drivers.methods`, so that a process of this role does
+not load the other roles' message types at startup without using them.
 """
 
 from beryllug.core.peering import peering_data
--- a/beryllug/drivers/rpc.py
+++ b/beryllug/drivers/rpc.py
@@ -1,10 +1,9 @@
-"""Calls between our own processes: gRPC with msgspec records.
+"""Calls between beryllug's own processes: gRPC with msgspec records.
 
-A method is a name, a request record and a reply record. Records are
-`NamedTuple`s that msgspec writes as MessagePack arrays; see `drivers.wire` for
-how neighbouring releases understand each other. No code is generated. Every
-call carries an HMAC of method and time under the fleet key, see
-`drivers.fleet_key`.
+A method is a name, a request type and a reply type. Messages are `NamedTuple`s
+that msgspec encodes as MessagePack arrays; see `drivers.wire` for the
+compatibility of adjacent releases. No code is generated. Every call carries
+an HMAC of its method and time under the fleet key, see `drivers.fleet_key`.
 """
 
 import time
@@ -19,10 +18,10 @@
 Reply = TypeVar('Reply')
 
 SERVICE = 'beryllug'
-MAX_MESSAGE = 8 * 1024 * 1024
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024
 OPTIONS = (
-    ('grpc.max_receive_message_length', MAX_MESSAGE),
-    ('grpc.max_send_message_length', MAX_MESSAGE),
+    ('grpc.max_receive_message_length', MAX_MESSAGE_BYTES),
+    ('grpc.max_send_message_length', MAX_MESSAGE_BYTES),
     ('grpc.enable_http_proxy', 0),
     ('grpc.so_reuseport', 0),
     ('grpc.min_reconnect_backoff_ms', 100),
@@ -35,13 +34,13 @@
     """A call failed; `code` is the name of the gRPC status."""
 
     def __init__(self, code: str, details: str) -> None:
-        """Keep the status name and its details."""
+        """Keep the name of the status."""
         super().__init__(f'{code}: {details}')
         self.code = code
 
 
 class Method(NamedTuple, Generic[Ask, Reply]):
-    """One method: its name and its records."""
+    """A method: its name, request type and reply type."""
 
     name: str
     ask: type[Ask]
@@ -56,23 +55,23 @@
     """Serves methods on one address."""
 
     def __init__(self, keys: fleet_key.KeyRing) -> None:
-        """Make a server without methods."""
+        """Create a server without methods."""
         self._keys = keys
         self._server: grpc.aio.Server | None = None
         self._handlers: dict[str, grpc.RpcMethodHandler] = {}
 
     def unary(self, method: Method[Any, Any], handler: Unary) -> None:
-        """Serve a method that takes one message and gives one."""
+        """Register a handler of a unary method."""
         self._handlers[method.name] = grpc.unary_unary_rpc_method_handler(
-            self._guard_unary(method.name, handler),
+            self._authenticate_unary(method.name, handler),
             request_deserializer=wire.decoder(method.ask),
             response_serializer=wire.encode,
         )
 
     def stream(self, method: Method[Any, Any], handler: Stream) -> None:
-        """Serve a method that takes one message and gives many."""
+        """Register a handler of a server-streaming method."""
         self._handlers[method.name] = grpc.unary_stream_rpc_method_handler(
-            self._guard_stream(method.name, handler),
+            self._authenticate_stream(method.name, handler),
             request_deserializer=wire.decoder(method.ask),
             response_serializer=wire.encode,
         )
@@ -87,26 +86,26 @@
         return port
 
     async def stop(self, grace_s: float) -> None:
-        """Stop accepting and give open calls the grace time."""
+        """Stop accepting; open calls may finish within the grace period."""
         if self._server is not None:
             await self._server.stop(grace_s)
 
-    def _guard_unary(self, name: str, handler: Unary) -> Any:
-        async def guarded(request: Any, context: Any) -> Any:  # noqa: WPS430
+    def _authenticate_unary(self, name: str, handler: Unary) -> Any:
+        async def verified(request: Any, context: Any) -> Any:  # noqa: WPS430
             await self._authenticate(name, context)
             return await handler(request)
 
-        return guarded
+        return verified
 
-    def _guard_stream(self, name: str, handler: Stream) -> Any:
-        async def guarded(  # noqa: WPS430
+    def _authenticate_stream(self, name: str, handler: Stream) -> Any:
+        async def verified(  # noqa: WPS430
             request: Any, context: Any
         ) -> AsyncIterator[Any]:
             await self._authenticate(name, context)
             async for message in handler(request):
                 yield message
 
-        return guarded
+        return verified
 
     async def _authenticate(self, name: str, context: Any) -> None:
         metadata = dict(context.invocation_metadata())
@@ -118,10 +117,10 @@
 
 
 class RpcClient:
-    """Calls methods of one address."""
+    """Calls methods at one address."""
 
     def __init__(self, address: str, keys: fleet_key.KeyRing) -> None:
-        """Make a client; it connects on the first call."""
+        """Create a client; it connects on the first call."""
         self.address = address
         self._keys = keys
         self._channel = grpc.aio.insecure_channel(address, options=OPTIONS)
@@ -157,7 +156,7 @@
         """Call a streaming method and yield its messages.
 
         Raises:
-            RpcError: The call failed or broke.
+            RpcError: The call failed, perhaps after some messages.
         """
         stub = self._channel.unary_stream(
             f'/{SERVICE}/{method.name}',
--- a/beryllug/drivers/rpc_peers.py
+++ b/beryllug/drivers/rpc_peers.py
@@ -1,4 +1,4 @@
-"""Service 'peers': connections to processes of other hosts."""
+"""Service 'peers': calls to processes on other hosts."""
 
 from typing import Any, Protocol
 
@@ -8,7 +8,7 @@
 
 
 class Caller(Protocol):
-    """What services need of this one."""
+    """The interface of this service to others."""
 
     async def call(
         self,
@@ -25,26 +25,26 @@
 
 
 class RedialingCaller(Caller, Protocol):
-    """A caller whose connections can be made anew."""
+    """A caller whose connections can be closed and reopened."""
 
     async def drop(self, address: str) -> None:
-        """Close the connection to a peer; the next call makes a new one."""
+        """Close the connection to a peer; the next call opens a new one."""
 
 
 class Peers:
-    """Clients by address; the least recently used is closed beyond a bound.
+    """A bounded cache of clients; the least recently used one is closed.
 
-    A process of a large fleet calls a few peers a second, never the
-    same ones for long: connections to all would cost it its memory.
+    In a large fleet a process calls a few peers a second and moves on to
+    others; open connections to all of them would use too much memory.
     """
 
     def __init__(self, keys: fleet_key.KeyRing) -> None:
-        """Make the service; a client connects on its first call."""
+        """Create the service; a client connects on its first call."""
         self._keys = keys
         self._clients: dict[str, rpc.RpcClient] = {}
 
     async def start(self) -> None:
-        """Do nothing: connections are made when needed."""
+        """Do nothing: connections are opened on demand."""
 
     async def stop(self, grace_s: float) -> None:
         """Close all connections."""
@@ -54,7 +54,7 @@
             await client.close()
 
     def dump(self) -> dict[str, Any]:
-        """Return the addresses that are connected."""
+        """Return the connected addresses."""
         return {'connected': list(self._clients)}
 
     async def call(
@@ -73,16 +73,16 @@
         if client is None:
             client = rpc.RpcClient(address, self._keys)
         self._clients[address] = client
-        await self._trim()
+        await self._evict()
         return await client.call(method, ask, timeout_s)
 
     async def drop(self, address: str) -> None:
-        """Close the connection to a peer; the next call makes a new one."""
+        """Close the connection to a peer; the next call opens a new one."""
         client = self._clients.pop(address, None)
         if client is not None:
             await client.close()
 
-    async def _trim(self) -> None:
+    async def _evict(self) -> None:
         while len(self._clients) > MAX_CLIENTS:
             oldest = next(iter(self._clients))
             await self._clients.pop(oldest).close()
--- a/beryllug/drivers/store_data.py
+++ b/beryllug/drivers/store_data.py
@@ -1,4 +1,4 @@
-"""Records of the objects of a store, and of their changes."""
+"""Records of a store's objects and of their changes."""
 
 from typing import Any, NamedTuple
 
@@ -7,11 +7,11 @@
     """An object of the store.
 
     Attributes:
-        name: Its name within its kind.
+        name: Its name, unique within its kind.
         revision: Revision of the store at its last change.
-        spec: What it says.
-        status: What was written about it since, or None.
-        is_leaving: Whether it is being deleted.
+        spec: Its specification.
+        status: Its reported status, or None.
+        is_leaving: Whether its deletion has begun.
     """
 
     name: str
@@ -25,9 +25,9 @@
     """All objects of a kind, and the revision to watch from.
 
     Attributes:
-        found: The objects that can be read.
+        found: The objects that could be decoded.
         revision: Revision of the store.
-        errors: Why others can't be.
+        errors: Decoding errors of the other objects.
     """
 
     found: tuple[Stored, ...]
@@ -36,14 +36,14 @@
 
 
 class Page(NamedTuple):
-    """Some of the objects of a kind; `after` goes on, empty at the end."""
+    """A page of a listing; `after` continues it, empty on the last page."""
 
     listing: Listing
     after: str
 
 
 class Change(NamedTuple):
-    """A change of one object; `is_gone` when it was deleted."""
+    """A change of one object; `is_gone` if it was deleted."""
 
     stored: Stored
     is_gone: bool
@@ -53,9 +53,9 @@
     """Changes in order, perhaps none, and the revision to watch from.
 
     Attributes:
-        changes: Changes of objects that can be read.
+        changes: Changes of objects that could be decoded.
         revision: Revision of the store.
-        errors: Why others can't be.
+        errors: Decoding errors of the other changes.
     """
 
     changes: tuple[Change, ...]
--- a/beryllug/drivers/store_era.py
+++ b/beryllug/drivers/store_era.py
@@ -1,55 +1,59 @@
-"""The era of a store: how often it has returned from an older copy."""
+"""The era of a store: the number of its restores from an older copy."""
 
 from collections.abc import Callable
 
 from beryllug.drivers import object_data
 
 Listener = Callable[[int, int], None]
-# Eras are counted from one; a number with more digits is no count.
-MOST_DIGITS = 6
+# Eras are counted from one; a longer number can't be a count of restores.
+MAX_ERA_DIGITS = 6
 
 
 class StoreEra:
-    """Keeps the highest era that is known.
+    """Tracks the highest known era.
 
     Attributes:
-        era: The era, 0 where none is known.
-        on_changed: Told of each new era, with the one before.
-        on_unreadable: Told of each answer whose era is no number.
+        era: The era, 0 if none is known.
+        on_changed: Called with each new era and the previous one.
+        on_unreadable: Called with each header value that is not an era.
     """
 
     def __init__(self) -> None:
-        """Begin without an era."""
+        """Start without a known era."""
         self.era = 0
-        self.on_changed: Listener = _pass_over
-        self.on_unreadable: Callable[[str], None] = _pass_over_text
+        self.on_changed: Listener = _ignore_change
+        self.on_unreadable: Callable[[str], None] = _ignore_unreadable
 
-    def answered(self, told: str) -> None:
-        """Take the era that an answer tells; without one nothing changes.
+    def answered(self, header: str) -> None:
+        """Check the era header of a response; an empty one is ignored.
 
         Raises:
-            UncertainError: The answer is of an era that is over.
+            UncertainError: The response is from an earlier era.
         """
-        if not told:
+        if not header:
             return
-        if not told.isascii() or not told.isdigit() or len(told) > MOST_DIGITS:
-            self.on_unreadable(told)
+        if (
+            not header.isascii()
+            or not header.isdigit()
+            or len(header) > MAX_ERA_DIGITS
+        ):
+            self.on_unreadable(header)
             return
-        if int(told) < self.era:
+        if int(header) < self.era:
             raise object_data.UncertainError('an answer of an earlier era')
-        self.learn(int(told))
+        self.learn(int(header))
 
     def learn(self, era: int) -> None:
-        """Take an era that an answer, or another process, has told."""
-        before = self.era
-        if era > before:
+        """Record an era that a response or another process reports."""
+        previous = self.era
+        if era > previous:
             self.era = era
-            self.on_changed(era, before)
+            self.on_changed(era, previous)
 
 
-def _pass_over(era: int, before: int) -> None:
-    """Tell nobody of a new era."""
+def _ignore_change(era: int, previous: int) -> None:
+    """Default of `on_changed`."""
 
 
-def _pass_over_text(told: str) -> None:
-    """Tell nobody of what can't be read."""
+def _ignore_unreadable(header: str) -> None:
+    """Default of `on_unreadable`."""
--- a/beryllug/drivers/wire.py
+++ b/beryllug/drivers/wire.py
@@ -1,10 +1,10 @@
-"""Messages as MessagePack, readable by neighbouring releases.
+"""MessagePack encoding of messages, compatible with adjacent releases.
 
 Fields are only ever added at the end and with a default. An older release
-then gets arrays that are longer than its records, which the decoder refuses:
-while a fleet is upgraded, an old entry would lose the view stream of a new
-control process. On such a refusal the message is read once more without
-types, cut to the fields that are known here, and converted.
+then receives arrays that are longer than its records, which msgspec rejects:
+during a rolling upgrade, an old entry host would lose the view stream of a new
+control process. A rejected message is therefore decoded again without types,
+truncated to the fields that are known here, and converted.
 """
 
 import functools
@@ -17,47 +17,58 @@
 encode = msgspec.msgpack.Encoder().encode
 
 
-def decoder(kind: type[Any]) -> Callable[[bytes], Any]:
-    """Return what decodes messages of a type, longer ones too.
+def decoder(expected_type: type[Any]) -> Callable[[bytes], Any]:
+    """Return a decoder of a message type that drops unknown fields.
 
-    The returned function raises `msgspec.DecodeError` for what is no message
-    of this type even when it is cut.
+    The decoder raises `msgspec.DecodeError` for bytes that are not a message
+    of this type even when truncated.
     """
-    strict = msgspec.msgpack.Decoder(kind).decode
+    decode_strictly = msgspec.msgpack.Decoder(expected_type).decode
 
     def decode(raw: bytes) -> Any:  # noqa: WPS430
         try:
-            return strict(raw)
+            return decode_strictly(raw)
         except msgspec.ValidationError:
-            plain = msgspec.msgpack.decode(raw)
-            return msgspec.convert(_cut(kind, plain), kind)
+            untyped = msgspec.msgpack.decode(raw)
+            return msgspec.convert(
+                _truncate(expected_type, untyped), expected_type
+            )
 
     return decode
 
 
-def _cut(kind: Any, plain: Any) -> Any:
-    """Cut arrays to the fields of the records that they stand for."""
-    if hasattr(kind, '_fields') and isinstance(plain, list):
-        hints = _field_types(kind)
-        return [_cut(hint, part) for hint, part in zip(hints, plain)]
-    arguments = get_args(kind)
-    origin = get_origin(kind)
-    if origin is tuple and isinstance(plain, list):
-        return [_cut(arguments[0], part) for part in plain]
-    if origin is dict and isinstance(plain, dict):
-        return {name: _cut(arguments[1], part) for name, part in plain.items()}
+def _truncate(expected_type: Any, untyped: Any) -> Any:
+    """Truncate arrays to the fields of the records that they encode."""
+    if hasattr(expected_type, '_fields') and isinstance(untyped, list):
+        hints = _field_types(expected_type)
+        return [
+            _truncate(hint, element) for hint, element in zip(hints, untyped)
+        ]
+    arguments = get_args(expected_type)
+    origin = get_origin(expected_type)
+    if origin is tuple and isinstance(untyped, list):
+        return [_truncate(arguments[0], element) for element in untyped]
+    if origin is dict and isinstance(untyped, dict):
+        return {
+            name: _truncate(arguments[1], element)
+            for name, element in untyped.items()
+        }
     if origin in {Union, types.UnionType}:
-        return _cut_optional(arguments, plain)
-    return plain
+        return _truncate_optional(arguments, untyped)
+    return untyped
 
 
-def _cut_optional(arguments: tuple[Any, ...], plain: Any) -> Any:
-    if plain is None:
+def _truncate_optional(arguments: tuple[Any, ...], untyped: Any) -> Any:
+    if untyped is None:
         return None
-    known = [kind for kind in arguments if kind is not types.NoneType]
-    return _cut(known[0], plain)
+    alternatives = [
+        expected_type
+        for expected_type in arguments
+        if expected_type is not types.NoneType
+    ]
+    return _truncate(alternatives[0], untyped)
 
 
 @functools.cache
-def _field_types(kind: Any) -> tuple[Any, ...]:
-    return tuple(get_type_hints(kind).values())
+def _field_types(expected_type: Any) -> tuple[Any, ...]:
+    return tuple(get_type_hints(expected_type).values())
--- a/beryllug/drivers/wire_test.py
+++ b/beryllug/drivers/wire_test.py
@@ -1,4 +1,4 @@
-"""Tests of messages between neighbouring releases."""
+"""Tests of messages between adjacent releases."""
 
 import unittest
 from typing import Any, NamedTuple
@@ -57,24 +57,24 @@
 
 
 class WireTest(unittest.TestCase):
-    """A fleet is upgraded host by host, so both releases talk meanwhile."""
+    """Both releases exchange messages during a rolling upgrade."""
 
     def test_releases(self) -> None:
-        """Fields that one side doesn't know are left out or defaulted."""
-        for title, sent, kind, expected in CASES:
+        """Fields unknown to one side are dropped or take their default."""
+        for title, sent, expected_type, expected in CASES:
             with self.subTest(title):
-                decode = wire.decoder(kind)
+                decode = wire.decoder(expected_type)
                 self.assertEqual(decode(wire.encode(sent)), expected)
 
     def test_broken(self) -> None:
-        """What is no message is refused all the same."""
+        """Bytes that are not a message are still rejected."""
         decode = wire.decoder(_Old)
         for title, raw in BROKEN:
             with self.subTest(title), self.assertRaises(msgspec.DecodeError):
                 decode(raw)
 
     def test_real_message(self) -> None:
-        """A view of a newer release is read by this one."""
+        """Messages of a newer release are decoded by this one."""
         update = rpc_data.ViewUpdate(
             3, servers=(_server(),), loads=(), sent_at=1
         )
