--- a/beryllug/drivers/config_store.py
+++ b/beryllug/drivers/config_store.py
@@ -1,13 +1,13 @@
 """The accepted configuration in the platform's object API.
 
-A document is written as immutable parts first; then one conditional update of
-the root puts it in force. A reader sees the old configuration or the new one,
-and of two operators who race one gets a conflict.
-
-An answer can be lost after its write took effect. The root remembers the ids
-of the last applies, so it is read again and tells. Only where it shows that
-the write did not happen is the same conditional write made again; the late
-first one then fails on its condition.
+A document is first written as immutable parts; then one conditional update of
+the root activates it. A reader sees either the old configuration or the new
+one, and of two concurrent applies one gets a conflict.
+
+A response can be lost after its write took effect. The root records the ids of
+the last applies, so reading it again shows the outcome. The same conditional
+write is repeated only if the root shows that it did not happen; should the
+first one still arrive late, it then fails on its condition.
 """
 
 import asyncio
@@ -20,19 +20,19 @@
 from beryllug.core import config_data, config_root, diff, document_parts
 from beryllug.drivers import object_api, object_data, part_store
 
-ATTEMPTS = 8
+MAX_ATTEMPTS = 8
 PAUSE_S = 0.05
 MAX_PAUSE_S = 1.0
 
 
 class Snapshot(NamedTuple):
-    """One whole configuration.
+    """One complete configuration.
 
     Attributes:
         version: The store's version of the root.
         root: The root.
-        document: The document that it stands for.
-        chunks: The bytes of its parts, as they were written.
+        document: The document that the root refers to.
+        chunks: The encoded parts of the document, as stored.
     """
 
     version: int
@@ -42,13 +42,13 @@
 
 
 class Apply(NamedTuple):
-    """A document that an operator wants in force.
+    """A request to activate a document.
 
     Attributes:
-        document: The document, already judged to be sound.
-        expect_revision: The revision it was written against.
-        author: Who applies it.
-        apply_id: Unique id of this apply, the same in a repeat.
+        document: The document, already validated.
+        expect_revision: The revision that it is based on.
+        author: The operator.
+        apply_id: Unique id of this apply, the same in a retry.
     """
 
     document: config_data.Document
@@ -59,13 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Another revision is in force than the one expected.
+    """The current revision is not the expected one.
 
     Attributes:
-        revision: The revision in force.
-        author: Who applied it.
-        differences: What was changed since the expected revision; where
-            that is forgotten, what the refused document would have changed.
+        revision: The current revision.
+        author: The operator who applied it.
+        differences: Changes since the expected revision; if that is no
+            longer in the history, the changes that the rejected document
+            would have made.
     """
 
     revision: int
@@ -75,14 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """Nothing was put in force: the platform couldn't be used."""
+    """Nothing was applied: the platform is unavailable."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Uncertain:
-    """It may or may not be in force; repeat it with the same apply id."""
+    """The apply may have taken effect; retry it with the same apply id."""
 
     apply_id: str
     reason: str
@@ -92,119 +93,119 @@
 Outcome = result.Result[int, Refusal]
 
 
-class _Found(NamedTuple):
-    """The root and its version; version 0 where there is none yet."""
+class _VersionedRoot(NamedTuple):
+    """The root and its version, 0 if there is no root yet."""
 
     version: int
     root: config_root.Root
 
 
 class UnreadableError(object_data.ObjectApiError):
-    """A newer release wrote what this one can't read at all."""
+    """A newer release wrote a configuration that this one can't decode."""
 
 
 class ConfigStore:
     """Reads and applies configurations."""
 
     def __init__(self, api: object_api.ObjectApi) -> None:
-        """Make a store over the platform's object API."""
+        """Create a store on the platform's object API."""
         self.parts = part_store.PartStore(api)
         self._api = api
-        self._floor = 0
+        self._min_version = 0
 
     async def read(self) -> Snapshot | None:
-        """Read the configuration in force, whole; None before the first.
+        """Read the current configuration; None before the first apply.
 
         Raises:
             ObjectApiError: The platform can't be read.
         """
-        for attempt in range(ATTEMPTS):
-            found = await self.read_root()
-            if not found.version:
+        for attempt in range(MAX_ATTEMPTS):
+            current = await self.read_root()
+            if not current.version:
                 return None
             try:
-                chunks = await self.parts.get(found.root.parts)
+                chunks = await self.parts.get(current.root.parts)
             except part_store.PartMissingError:
-                # Parts of an old root are collected some time after. This
-                # root was overtaken while its parts were read: read anew.
-                await asyncio.sleep(_pause(attempt))
+                # The root was replaced while its parts were read, and the
+                # parts of the old one were collected: start again.
+                await asyncio.sleep(_retry_delay_s(attempt))
             else:
-                self.parts.keep_only(found.root.parts)
+                self.parts.keep_only(current.root.parts)
                 return Snapshot(
-                    found.version, found.root, _join(chunks), chunks
+                    current.version, current.root, _join(chunks), chunks
                 )
         raise part_store.PartMissingError('parts of the root are missing')
 
-    async def read_root(self) -> _Found:
-        """Read the root, never an older one than was seen before.
+    async def read_root(self) -> _VersionedRoot:
+        """Read the root, never an older version than was seen before.
 
         Raises:
-            ObjectApiError: The platform can't be read, or only a replica
-                that lags behind.
+            ObjectApiError: The platform can't be read, or reads return only
+                stale versions from a lagging replica.
         """
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             stored = await self._api.read(config_root.KEY)
             version = stored.version if stored else 0
-            if version >= self._floor:
-                self._floor = version
+            if version >= self._min_version:
+                self._min_version = version
                 raw = stored.value if stored else b''
-                return _Found(version, _decode(raw))
-            await asyncio.sleep(_pause(attempt))
+                return _VersionedRoot(version, _decode(raw))
+            await asyncio.sleep(_retry_delay_s(attempt))
         raise object_data.UnavailableError('only stale answers')
 
     async def assemble(self, root: config_root.Root) -> config_data.Document:
-        """Build the document of a root; reads the parts that aren't held.
+        """Build the document of a root, reading the parts not cached.
 
         Raises:
-            PartMissingError: The root was overtaken and its parts collected.
+            PartMissingError: The root was replaced and its parts collected.
             ObjectApiError: The platform can't be read.
         """
         return _join(await self.parts.get(root.parts))
 
     async def past(self, revision: int) -> config_data.Document | None:
-        """Return the document of a remembered revision, or None.
+        """Return the document of a revision in the history, or None.
 
         Raises:
             ObjectApiError: The platform can't be read.
         """
-        found = await self.read_root()
-        return await self._past(found.root, revision)
+        current = await self.read_root()
+        return await self._document_at(current.root, revision)
 
     async def apply(self, req: Apply, now: float) -> Outcome:
-        """Put a document in force if the expected revision still is.
+        """Activate a document if the expected revision is current.
 
         Args:
-            req: What to apply.
-            now: Seconds of the wall clock, for the history.
+            req: The apply.
+            now: Wall-clock seconds, for the history.
 
         Returns:
-            The new revision, or why there is none.
+            The new revision, or the reason of the refusal.
         """
-        return await _Applying(self, self._api, req, now).run()
+        return await _ApplyOperation(self, self._api, req, now).run()
 
     async def explain(
         self, root: config_root.Root, req: Apply
     ) -> tuple[diff.Difference, ...]:
-        """Tell what stands between a refused apply and the present root."""
+        """Return the differences to report with a conflict."""
         try:
-            present = await self.assemble(root)
-            base = await self._past(root, req.expect_revision)
+            current_document = await self.assemble(root)
+            base = await self._document_at(root, req.expect_revision)
         except object_data.ObjectApiError:
             return ()
         if base is None:
-            return diff.compare(present, req.document)
-        return diff.compare(base, present)
+            return diff.compare(current_document, req.document)
+        return diff.compare(base, current_document)
 
     def overtaken(self, version: int) -> None:
-        """Take note that the root has at least this version."""
-        self._floor = max(self._floor, version)
+        """Record that the root has at least this version."""
+        self._min_version = max(self._min_version, version)
 
-    async def _past(
+    async def _document_at(
         self, root: config_root.Root, revision: int
     ) -> config_data.Document | None:
-        for past in root.history:
-            if past.revision == revision:
-                listed = await self.parts.get((past.manifest,))
+        for entry in root.history:
+            if entry.revision == revision:
+                listed = await self.parts.get((entry.manifest,))
                 digests = document_parts.read_manifest(listed[0])
                 chunks = await self.parts.get(digests)
                 self.parts.keep_only(root.parts)
@@ -212,8 +213,8 @@
         return None
 
 
-class _Applying:
-    """One apply: what was tried so far and what may still take effect."""
+class _ApplyOperation:
+    """One apply: its attempts so far and writes with unknown outcome."""
 
     def __init__(
         self,
@@ -226,15 +227,15 @@
         self._api = api
         self._req = req
         self._stamp = config_root.Stamp(req.author, now, req.apply_id)
-        self._stored_at = -1
-        self._doubted = -1
+        self._parts_root_version = -1
+        self._uncertain_version = -1
 
     async def run(self) -> Outcome:
-        """Try until it is known how the apply ended, or give up."""
+        """Retry until the outcome is known or the attempts are used up."""
         reason = ''
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             try:
-                outcome = await self._try(last=attempt + 1 == ATTEMPTS)
+                outcome = await self._attempt(last=attempt + 1 == MAX_ATTEMPTS)
             except object_data.TooLargeError as exc:
                 return result.Err(Unavailable(str(exc)))
             except object_data.ObjectApiError as exc:
@@ -242,56 +243,56 @@
                 outcome = None
             if outcome is not None:
                 return outcome
-            await asyncio.sleep(_pause(attempt))
-        if self._doubted >= 0:
+            await asyncio.sleep(_retry_delay_s(attempt))
+        if self._uncertain_version >= 0:
             return result.Err(Uncertain(self._req.apply_id, reason))
         return result.Err(Unavailable(reason))
 
-    async def _try(self, last: bool) -> Outcome | None:
-        found = await self._store.read_root()
-        if found.version != self._doubted:
-            # The root has moved on: a write that was conditional on the
-            # version before can't take effect any more.
-            self._doubted = -1
-        revision = config_root.applied(found.root, self._req.apply_id)
+    async def _attempt(self, last: bool) -> Outcome | None:
+        current = await self._store.read_root()
+        if current.version != self._uncertain_version:
+            # The root has changed since: a write that is conditional on the
+            # previous version can't take effect any more.
+            self._uncertain_version = -1
+        revision = config_root.applied(current.root, self._req.apply_id)
         if revision is not None:
             return result.Ok(revision)
         expected = self._req.expect_revision
-        if found.root.revision < expected and not last:
-            # A replica that lags behind; the operator has seen a newer one.
+        if current.root.revision < expected and not last:
+            # A lagging replica: the operator has seen a newer revision.
             return None
-        if found.root.revision != expected:
-            return result.Err(await self._refuse(found.root))
-        return await self._write(found)
+        if current.root.revision != expected:
+            return result.Err(await self._refusal(current.root))
+        return await self._write(current)
 
-    async def _refuse(self, root: config_root.Root) -> Refusal:
+    async def _refusal(self, root: config_root.Root) -> Refusal:
         if not config_root.reaches_back(root, self._req.expect_revision):
             reason = 'the history no longer reaches back to this apply'
             return Uncertain(self._req.apply_id, reason)
         differences = await self._store.explain(root, self._req)
         return Conflict(root.revision, root.author, differences)
 
-    async def _write(self, found: _Found) -> Outcome | None:
+    async def _write(self, current: _VersionedRoot) -> Outcome | None:
         parts = document_parts.split(self._req.document)
         digests = tuple(part.digest for part in parts)
-        listed = document_parts.manifest(digests)
-        # Parts of the present root can't be collected while it stays as it
-        # is. The others are written again after each change of the root.
-        if found.version != self._stored_at:
-            known = set(found.root.parts)
-            for part in (*parts, listed):
+        manifest_part = document_parts.manifest(digests)
+        # Parts of the current root can't be collected while the root is
+        # unchanged. The others are written again after each change of it.
+        if current.version != self._parts_root_version:
+            known = set(current.root.parts)
+            for part in (*parts, manifest_part):
                 if part.digest not in known:
                     await self._store.parts.put(part)
-            self._stored_at = found.version
+            self._parts_root_version = current.version
         root = config_root.advance(
-            found.root, self._stamp, digests, listed.digest
+            current.root, self._stamp, digests, manifest_part.digest
         )
-        return await self._swap(root, found.version)
+        return await self._update_root(root, current.version)
 
-    async def _swap(
+    async def _update_root(
         self, root: config_root.Root, version: int
     ) -> Outcome | None:
-        """Update the root; None where the next look at it has to tell."""
+        """Update the root; None if it must be read to learn the outcome."""
         raw = config_root.encode(root)
         try:
             written = await self._api.write(config_root.KEY, raw, version)
@@ -299,7 +300,7 @@
             self._store.overtaken(exc.current_version)
             return None
         except object_data.UncertainError:
-            self._doubted = version
+            self._uncertain_version = version
             raise
         self._store.overtaken(written)
         return result.Ok(root.revision)
@@ -321,5 +322,5 @@
         raise object_data.UncertainError(f'root unreadable: {exc}') from exc
 
 
-def _pause(attempt: int) -> float:
+def _retry_delay_s(attempt: int) -> float:
     return min(PAUSE_S * (1 << attempt), MAX_PAUSE_S)
--- a/beryllug/drivers/config_store_test.py
+++ b/beryllug/drivers/config_store_test.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration in the platform."""
+"""Tests of reading and applying configurations in the object API."""
 
 import asyncio
 from unittest import IsolatedAsyncioTestCase, main, mock
@@ -26,13 +26,13 @@
     return FIRST._replace(accounts=(account, FIRST.accounts[1]))
 
 
-class _Case(IsolatedAsyncioTestCase):
+class _StoreCase(IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.api = object_fake_test.FakeObjects()
         self.store = config_store.ConfigStore(self.api)
-        no_pause = mock.patch.object(config_store, 'PAUSE_S', 0)
-        no_pause.start()
-        self.addCleanup(no_pause.stop)
+        no_delay = mock.patch.object(config_store, 'PAUSE_S', 0)
+        no_delay.start()
+        self.addCleanup(no_delay.stop)
 
     async def apply(
         self,
@@ -41,30 +41,30 @@
         apply_id: str = '',
         author: str = 'ann',
     ) -> config_store.Outcome:
-        """Apply through a store of its own, as another process would."""
+        """Apply with a new `ConfigStore`, as another process would."""
         store = config_store.ConfigStore(self.api)
         name = apply_id or f'{author}-{expect}'
         req = config_store.Apply(document, expect, author, name)
         return await store.apply(req, 1)
 
     async def document(self) -> config_data.Document:
-        """Read the configuration in force."""
+        """Read the current configuration."""
         found = await config_store.ConfigStore(self.api).read()
         assert found is not None
         return found.document
 
     def revisions(self) -> list[int]:
-        """Return the revisions that are remembered, latest first."""
+        """Return the revisions in the history, latest first."""
         stored = self.api.stored[config_root.KEY]
         root = config_root.decode(stored.value)
         return [past.revision for past in root.history]
 
 
-class ApplyTest(_Case):
-    """What an apply does, and what it says when it can't."""
+class ApplyTest(_StoreCase):
+    """Outcomes of an apply, with faults of the store."""
 
     async def test_accepted(self) -> None:
-        """A document is read back whole; a second one replaces it."""
+        """A document is read back complete; a second one replaces it."""
         self.assertIsNone(await self.store.read())
         self.assertEqual(await self.apply(FIRST, 0), result.Ok(1))
         self.assertEqual(await self.document(), FIRST)
@@ -75,12 +75,12 @@
         )
 
     async def test_race(self) -> None:
-        """Two operators change the same revision at once.
+        """Two operators apply against the same revision at once.
 
-        Both wrote their document against revision 1, and the second root
-        write reaches the store after the first. Merged silently, the second
-        would undo the first without either knowing. The second operator is
-        told the revision, its author and what it changed.
+        Both documents are based on revision 1, and the second root write
+        reaches the store after the first. If it succeeded, it would silently
+        undo the first. It must return a conflict with the current revision,
+        its author and its changes.
         """
         await self.apply(FIRST, 0)
 
@@ -94,7 +94,7 @@
         self.assertEqual(await self.document(), _weighted(7))
 
     async def test_many_race(self) -> None:
-        """Of many applies against one revision exactly one wins."""
+        """Of many applies against one revision exactly one succeeds."""
         await self.apply(FIRST, 0)
         outcomes = await asyncio.gather(
             *(
@@ -102,17 +102,17 @@
                 for weight in range(2, 10)
             )
         )
-        won = [outcome for outcome in outcomes if outcome.is_ok()]
-        self.assertEqual(won, [result.Ok(2)])
+        succeeded = [outcome for outcome in outcomes if outcome.is_ok()]
+        self.assertEqual(succeeded, [result.Ok(2)])
         self.assertEqual(self.revisions(), [2, 1])
 
     async def test_lost_answers(self) -> None:
-        """The store's answer to a write is lost, after its effect or before.
+        """The response to a write is lost, after or before its effect.
 
-        The operator must not see a conflict with himself, and the document
-        must not be applied twice. The root is read again: the apply's id in
-        it says that it took effect; without it the same conditional write
-        is made again, which fails if the first one lands late.
+        The operator must not get a conflict with their own apply, and the
+        document must not be applied twice. The root is read again: if it has
+        the apply's id, the write took effect; otherwise the conditional write
+        is repeated, and fails if the first one arrives late.
         """
         await self.apply(FIRST, 0)
         revision = 1
@@ -121,7 +121,7 @@
             ('no effect', [], [WRITE_ROOT]),
             ('effect twice', [WRITE_ROOT, WRITE_ROOT], []),
             ('both', [WRITE_ROOT], [WRITE_ROOT]),
-            ('and the look after it', [WRITE_ROOT, READ_ROOT], [READ_ROOT]),
+            ('and the re-read after it', [WRITE_ROOT, READ_ROOT], [READ_ROOT]),
         ):
             with self.subTest(title):
                 self.api.lose = list(lose)
@@ -132,10 +132,11 @@
                 self.assertEqual(self.revisions()[0], revision)
 
     async def test_lost_and_overtaken(self) -> None:
-        """The answer is lost, and another operator applies before we look.
+        """The response is lost, and another apply follows before the read.
 
-        Ours took effect as revision 2 and is no longer the present one. A
-        look at the present revision alone would call that a conflict.
+        The first apply took effect as revision 2, which is no longer the
+        current one. A check of the current revision alone would report a
+        conflict.
         """
         await self.apply(FIRST, 0)
         store = config_store.ConfigStore(self.api)
@@ -148,27 +149,27 @@
         self.assertEqual(await applying, result.Ok(2))
 
     async def test_repeat(self) -> None:
-        """The same apply id again is the same apply."""
+        """A second apply with the same apply id has no further effect."""
         await self.apply(FIRST, 0, apply_id='one')
         outcome = await self.apply(FIRST, 0, apply_id='one')
         self.assertEqual(outcome, result.Ok(1))
         self.assertEqual(self.revisions(), [1])
 
     async def test_forgotten(self) -> None:
-        """A repeat that the history no longer covers is called uncertain."""
+        """A retry that the history no longer covers is uncertain."""
         for revision in range(config_root.HISTORY + 2):
             await self.apply(_weighted(revision + 1), revision)
         outcome = await self.apply(_weighted(1), 0, apply_id='old')
         self.assertIsInstance(outcome.unwrap_err(), config_store.Uncertain)
 
     async def test_down(self) -> None:
-        """Without the platform nothing is in force, and that is said."""
+        """Without the platform nothing is applied, which is reported."""
         self.api.down = True
         outcome = await self.apply(FIRST, 0)
         self.assertIsInstance(outcome.unwrap_err(), config_store.Unavailable)
 
     async def test_lost_then_down(self) -> None:
-        """An answer is lost and the store stays away: it can't be known."""
+        """A response is lost and the store stays down: uncertain."""
         await self.apply(FIRST, 0)
 
         self.api.before_write = self._lose_root
@@ -187,15 +188,15 @@
         self.api.before_write = self._lose_root
 
 
-class StaleTest(_Case):
-    """A replica of the store that lags behind."""
+class StaleTest(_StoreCase):
+    """Reads from a lagging replica of the store."""
 
     async def test_never_older(self) -> None:
         """A read is served by a replica that has not seen the last write.
 
-        Taking it would put the revision before in force again, with the
-        version that was withdrawn since. A store that has seen a newer
-        version of the root refuses the older answer.
+        Accepting it would activate the previous revision again, including
+        model versions withdrawn since. A `ConfigStore` that has seen a newer
+        version of the root rejects the older one.
         """
         await self.apply(FIRST, 0)
         old = dict(self.api.stored)
@@ -210,8 +211,8 @@
     async def test_apply(self) -> None:
         """An apply against a revision that the replica hasn't seen yet.
 
-        It must wait for the replica to catch up and not claim a conflict
-        with a revision that the operator has seen overtaken.
+        It must wait for the replica to catch up instead of reporting a
+        conflict with a revision that the operator has seen replaced.
         """
         await self.apply(FIRST, 0)
         self.api.replica = dict(self.api.stored)
@@ -223,11 +224,11 @@
         self.assertEqual(await applying, result.Ok(3))
 
 
-class PartsTest(_Case):
-    """Parts: what is written, read and collected."""
+class PartsTest(_StoreCase):
+    """Writing, reading and garbage collection of parts."""
 
     async def test_only_changes(self) -> None:
-        """One changed account of many writes and reads one part more."""
+        """A change of one account of many writes and reads one part."""
         accounts = tuple(
             config_data.Account(f'account-{number}', (f'{number:064}',), ())
             for number in range(5000)
@@ -235,7 +236,7 @@
         large = FIRST._replace(accounts=accounts)
         await self.apply(large, 0)
         await self.store.read()
-        self.assertGreater(len(self.store.parts.kept), 10)
+        self.assertGreater(len(self.store.parts.cached), 10)
         self.api.calls.clear()
         changed = (*accounts[:-1], accounts[-1]._replace(weight=3))
         await self.apply(large._replace(accounts=changed), 1)
@@ -247,17 +248,17 @@
         self.assertEqual(self.api.calls['read'], 2, 'root and part')
 
     async def test_damaged(self) -> None:
-        """A part whose bytes changed is never taken for a configuration."""
+        """A part with corrupted bytes is rejected."""
         await self.apply(FIRST, 0)
         for key, stored in list(self.api.stored.items()):
             if key.startswith(document_parts.PREFIX):
-                spoilt = stored.value.replace(b'0', b'1')
-                self.api.stored[key] = stored._replace(value=spoilt)
+                corrupted = stored.value.replace(b'0', b'1')
+                self.api.stored[key] = stored._replace(value=corrupted)
         with self.assertRaises(object_data.ObjectApiError):
             await self.store.read()
 
     async def test_collect(self) -> None:
-        """Parts that no remembered revision uses go, after the window."""
+        """Parts that no revision in the history uses are deleted."""
         collector = part_collector.PartCollector(self.store, self.api, 60)
         last = config_root.HISTORY + 4
         for revision in range(last):
@@ -265,7 +266,8 @@
         before = len(self.api.stored)
         self.assertEqual(await collector.collect(0), 0)
         self.assertEqual(await collector.collect(59), 0)
-        # Four revisions left the history, each with a part and a manifest.
+        # Four revisions dropped out of the history, each with a part and a
+        # manifest.
         self.assertEqual(await collector.collect(60), 8)
         self.assertEqual(len(self.api.stored), before - 8)
         self.assertEqual(await self.document(), _weighted(last))
@@ -273,13 +275,13 @@
         self.assertEqual(await self.store.past(oldest), _weighted(oldest))
 
     async def test_collect_during_apply(self) -> None:
-        """A collector deletes the parts of an apply that was paused.
+        """A collector deletes the parts of an apply that is paused.
 
-        The apply has written its parts and stands still for longer than the
-        window, right before it writes the root. No root uses the parts, so
-        they are deleted. Were the root then put in force, no reader could
-        build that configuration. The collector moves the root first, so the
-        apply fails on its condition and writes the parts again.
+        The apply has written its parts and pauses for longer than the window
+        right before it writes the root. No root uses the parts, so they are
+        deleted. If the root were then written, no reader could build that
+        configuration. The collector rewrites the root first, so the apply
+        fails on its condition and writes the parts again.
         """
         await self.apply(FIRST, 0)
         self.collector = part_collector.PartCollector(self.store, self.api, 60)
--- a/beryllug/drivers/engine.py
+++ b/beryllug/drivers/engine.py
@@ -1,12 +1,12 @@
 """Adapter of the model engines.
 
-The one module that knows their wire format: the API for chat completions
-with a request id, the version and the priority in headers, and beside it
-resume, cancel, load, orders, cache events and KV cache transfer.
+Only this module knows their wire format: a chat completions API with request
+id, version and priority in headers, and calls for resume, cancel, load,
+orders, cache events and KV cache transfer.
 
-Chats give the answer as an `http_client.Incoming`, whose bytes pass through
-unparsed, and raise the HTTP driver's errors, which tell whether a byte can
-have been sent. The other calls raise `engine_data.EngineError`s.
+Chat completions return the response as an `http_client.Incoming`, whose bytes
+pass through unparsed, and raise the HTTP client's errors, which tell whether a
+byte can have been sent. The other calls raise `engine_data.EngineError`s.
 """
 
 from http import HTTPStatus
@@ -27,23 +27,23 @@
 RUN = 'x-run'
 NOT_RUN = 'not_run'
 JSON_TYPE = 'application/json'
-DECLINES = (
+DECLINE_STATUSES = (
     HTTPStatus.NOT_FOUND,
     HTTPStatus.TOO_MANY_REQUESTS,
     HTTPStatus.SERVICE_UNAVAILABLE,
 )
-REASON_BYTES = 200
+MAX_REASON_BYTES = 200
 
 _Shape = TypeVar('_Shape')
 
 
 class Engine(Protocol):
-    """What the system needs of model engines, each at its address."""
+    """The interface to model engines, each at its address."""
 
     async def chat(
         self, address: str, ask: engine_data.ChatAsk
     ) -> http_client.Incoming:
-        """Run a chat completion; returns when the answer's head is here.
+        """Run a chat completion; returns once the response head arrived.
 
         Raises:
             NotSentError: No byte can have reached the engine.
@@ -53,14 +53,15 @@
     async def resume(
         self, address: str, request_id: str, offset: int
     ) -> http_client.Incoming | None:
-        """Take up an answer from a byte of its body on.
+        """Resume a response body at a byte offset.
 
         Returns:
-            The rest of the answer, or None where the engine has no such.
+            The rest of the response, or None if the engine has no such
+            response.
 
         Raises:
             NotSentError: The engine was not reached.
-            BrokenError: The exchange broke.
+            BrokenError: The exchange failed.
         """
 
     async def cancel(
@@ -69,15 +70,15 @@
         """Cancel a request."""
 
     async def load(self, address: str) -> engine_data.LoadReport:
-        """Read the lagging load report."""
+        """Read the load report, which lags behind the actual load."""
 
     async def order(self, address: str, order: engine_data.Order) -> None:
-        """Give an order.
+        """Send an order.
 
         Raises:
             StaleOrderError: The fencing token is old; nothing was done.
             NotRunError: Nothing was done.
-            UnknownRunError: It may or may not have been carried out.
+            UnknownRunError: It may or may not have been executed.
         """
 
     async def cache_events(
@@ -89,7 +90,7 @@
         """Export the KV cache that the engine has for a prompt's prefix."""
 
     async def import_kv(self, address: str, exported: bytes) -> int:
-        """Import an exported KV cache; returns the blocks taken."""
+        """Import an exported KV cache; returns the imported blocks."""
 
 
 class _Loaded(TypedDict):
@@ -136,7 +137,7 @@
     def __init__(
         self, client: http_client.HttpClient, timeout_s: float
     ) -> None:
-        """Bind the adapter to a client; the timeout bounds all but chats."""
+        """Create the adapter; the timeout bounds all calls but chats."""
         self._client = client
         self._timeout_s = timeout_s
 
@@ -152,7 +153,7 @@
     async def resume(
         self, address: str, request_id: str, offset: int
     ) -> http_client.Incoming | None:
-        """Take up an answer from a byte of its body on; see `Engine`."""
+        """Resume a response body at a byte offset; see `Engine`."""
         target = f'{_request_path(request_id)}/resume?offset={offset}'
         outgoing = http_data.Outgoing('GET', target, {})
         incoming = await self._client.request(
@@ -176,7 +177,7 @@
         return engine_data.CancelResult(known=True, **cancelled)
 
     async def load(self, address: str) -> engine_data.LoadReport:
-        """Read the lagging load report."""
+        """Read the load report; see `Engine`."""
         body = await self._get(address, '/v1/load')
         report = _decode(body, _Load)
         loaded = (config_data.VersionRef(**line) for line in report['loaded'])
@@ -190,7 +191,7 @@
         )
 
     async def order(self, address: str, order: engine_data.Order) -> None:
-        """Give an order; see `Engine`."""
+        """Send an order; see `Engine`."""
         fields = {**order._asdict(), **order.version._asdict()}
         outgoing = _post('/v1/orders', http_data.to_json(fields))
         status, body = await self._call(address, outgoing)
@@ -205,9 +206,9 @@
     ) -> engine_data.CacheEvents:
         """Read the prefix cache events after a sequence number."""
         body = await self._get(address, f'/v1/cache-events?after={after}')
-        read = _decode(body, _Events)
-        events = (engine_data.CacheEvent(**line) for line in read['events'])
-        return engine_data.CacheEvents(read['latest'], tuple(events))
+        decoded = _decode(body, _Events)
+        events = (engine_data.CacheEvent(**line) for line in decoded['events'])
+        return engine_data.CacheEvents(decoded['latest'], tuple(events))
 
     async def export_kv(self, address: str, ask: engine_data.ChatAsk) -> bytes:
         """Export the KV cache that the engine has for a prompt's prefix."""
@@ -219,7 +220,7 @@
         return body
 
     async def import_kv(self, address: str, exported: bytes) -> int:
-        """Import an exported KV cache; returns the blocks taken."""
+        """Import an exported KV cache; returns the imported blocks."""
         outgoing = http_data.Outgoing('POST', '/v1/kv/import', {}, exported)
         status, body = await self._call(address, outgoing)
         _raise_failure(status, body)
@@ -248,13 +249,14 @@
 
 
 def is_declined(incoming: http_client.Incoming) -> bool:
-    """Tell whether the server did not run a request that another may run.
+    """Return whether the server states that it did not run the request.
 
-    The server itself says so. An answer that finds fault with the request
-    is none of these: every server would give it, and it is the caller's.
+    Such a request may be sent to another server. A response that rejects the
+    request itself is not meant: every server would give it, so it is passed
+    to the caller.
     """
-    elsewhere = incoming.status in DECLINES
-    return elsewhere and incoming.headers.get(RUN) == NOT_RUN
+    has_decline_status = incoming.status in DECLINE_STATUSES
+    return has_decline_status and incoming.headers.get(RUN) == NOT_RUN
 
 
 def _chat_headers(ask: engine_data.ChatAsk) -> http_data.Headers:
@@ -279,12 +281,12 @@
 
 def _raise_failure(status: int, body: bytes) -> None:
     if status >= HTTPStatus.BAD_REQUEST:
-        reason = body[:REASON_BYTES].decode(errors='replace')
+        reason = body[:MAX_REASON_BYTES].decode(errors='replace')
         raise engine_data.FailedRunError(status, reason)
 
 
-def _decode(body: bytes, shape: type[_Shape]) -> _Shape:
+def _decode(body: bytes, response_type: type[_Shape]) -> _Shape:
     try:
-        return msgspec.json.decode(body, type=shape)
+        return msgspec.json.decode(body, type=response_type)
     except msgspec.DecodeError as exc:
         raise engine_data.UnknownRunError(f'answer unreadable: {exc}') from exc
--- a/beryllug/drivers/engine_data.py
+++ b/beryllug/drivers/engine_data.py
@@ -7,15 +7,15 @@
 
 
 class ChatAsk(NamedTuple):
-    """A chat completion to be run.
+    """A chat completion request.
 
     Attributes:
-        request_id: Id under which the engine keeps and resumes the answer.
-        account_id: Client account, for the engine's own record.
+        request_id: Id under which the engine keeps and resumes the response.
+        account_id: Client account, for the engine's own records.
         version: The model and the version that it must run on.
-        body: The caller's JSON body, passed on as it came.
-        priority: Lower goes first where requests wait for the batch.
-        fresh: Take a new connection, never a kept one.
+        body: The caller's JSON body, forwarded unchanged.
+        priority: Lower goes first while requests wait for the batch.
+        fresh: Open a new connection instead of reusing an idle one.
     """
 
     request_id: str
@@ -27,20 +27,20 @@
 
 
 class Usage(NamedTuple):
-    """Tokens that an answer used."""
+    """Token counts of a response."""
 
     tokens_in: int
     tokens_out: int
 
 
 class LoadReport(NamedTuple):
-    """What an engine says of itself, always some time ago.
+    """An engine's report of its own state, which always lags behind.
 
     Attributes:
         running: Requests in the batch.
-        queued: Requests that wait for a place in it.
-        measured_at: Wall-clock second of the measurement.
-        loaded: Versions that are loaded; empty where it runs any.
+        queued: Requests that wait for a slot in the batch.
+        measured_at: Wall-clock time of the measurement, in seconds.
+        loaded: Versions that are loaded; empty if it runs any version.
         role: Its role, as ``mixed``, ``prefill`` or ``decode``.
         fencing: Highest fencing token it has seen.
     """
@@ -54,7 +54,7 @@
 
 
 class OrderKind(StrEnum):
-    """What an order demands."""
+    """Kinds of orders."""
 
     LOAD = 'load'
     UNLOAD = 'unload'
@@ -62,15 +62,15 @@
 
 
 class Order(NamedTuple):
-    """An order to an engine; it states the desired end, so may be repeated.
+    """An order to an engine; idempotent, as it states the desired state.
 
     Attributes:
         order_id: Unique id.
-        kind: What is demanded.
+        kind: Kind of the order.
         version: The version to load or unload.
         fencing: Fencing token of the lease under which it is sent.
         adapter: Name of an adapter to load onto the version, or empty.
-        role: The role to take, for a role order.
+        role: The new role, for a role order.
     """
 
     order_id: str
@@ -82,12 +82,12 @@
 
 
 class CancelResult(NamedTuple):
-    """What became of a request that was cancelled.
+    """The state of a cancelled request.
 
     Attributes:
-        known: False when the engine does not know the request.
+        known: Whether the engine knows the request.
         started: Whether it had begun to run.
-        finished: Whether it had ended before the cancel.
+        finished: Whether it had ended before it was cancelled.
     """
 
     known: bool
@@ -111,11 +111,11 @@
 
 
 class EngineError(Exception):
-    """A call of an engine failed."""
+    """A call to an engine failed."""
 
 
 class NotRunError(EngineError):
-    """The call surely had no effect."""
+    """The call certainly had no effect."""
 
 
 class UnknownRunError(EngineError):
@@ -123,7 +123,7 @@
 
 
 class FailedRunError(EngineError):
-    """The engine answered that the call failed."""
+    """The engine responded that the call failed."""
 
     def __init__(self, status: int, reason: str) -> None:
         """Keep the HTTP status."""
@@ -132,9 +132,9 @@
 
 
 class StaleOrderError(NotRunError):
-    """The order carried an older fencing token than one already seen."""
+    """The engine has already seen a newer fencing token."""
 
     def __init__(self, highest: int) -> None:
-        """Keep the highest token that the engine has seen."""
+        """Keep the highest fencing token that the engine has seen."""
         super().__init__(f'highest fencing token is {highest}')
         self.highest = highest
--- a/beryllug/drivers/engine_stream.py
+++ b/beryllug/drivers/engine_stream.py
@@ -1,7 +1,7 @@
-"""What must be read out of an engine's answer, without parsing its events.
+"""Reads the end of an engine's response without parsing every event.
 
-Events pass through as bytes. Only the end of a stream is looked at: whether
-it is whole, and the usage that its last event carries.
+Events pass through as bytes. Only the end of the stream is inspected: whether
+the stream is complete, and the usage in its last event.
 """
 
 from typing import TypedDict
@@ -29,31 +29,31 @@
 
 
 class StreamTail:
-    """Keeps the last bytes of a stream as they pass."""
+    """Keeps the last bytes of a stream."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start with an empty stream."""
         self.size = 0
-        self._last = b''
+        self._tail = b''
 
     def feed(self, chunk: bytes) -> None:
-        """Take the next bytes of the stream."""
+        """Add the next bytes of the stream."""
         self.size += len(chunk)
-        self._last = (self._last + chunk)[-TAIL_BYTES:]
+        self._tail = (self._tail + chunk)[-TAIL_BYTES:]
 
     def is_whole(self) -> bool:
-        """Tell whether the stream has come to its proper end."""
-        return self._last.endswith(DONE)
+        """Return whether the stream has ended properly."""
+        return self._tail.endswith(DONE)
 
     def usage(self) -> engine_data.Usage | None:
-        """Return the usage of a whole stream; None if it carries none."""
-        events = self._last.removesuffix(DONE).rstrip()
+        """Return the usage of a complete stream; None if it has none."""
+        events = self._tail.removesuffix(DONE).rstrip()
         _, _, last = events.rpartition(EVENT_START)
         return usage_of(last)
 
 
 def usage_of(document: bytes) -> engine_data.Usage | None:
-    """Return the usage of a whole answer; None if it carries none."""
+    """Return the usage of a complete response; None if it has none."""
     try:
         usage = _decode_usage(document)['usage']
     except msgspec.DecodeError:
--- a/beryllug/drivers/host_list.py
+++ b/beryllug/drivers/host_list.py
@@ -1,7 +1,7 @@
 """Adapter of the platform's host list.
 
-It shows live and leaving hosts with a lag, and it may be unavailable; its
-reader keeps the last list it got.
+It shows live and leaving hosts with a lag and may be unavailable; the reader
+then keeps the last list.
 """
 
 from http import HTTPStatus
@@ -22,7 +22,7 @@
 
 
 class HostList(Protocol):
-    """What the system needs of the host list."""
+    """The interface to the host list."""
 
     async def read(self) -> Hosts:
         """Read all hosts.
@@ -40,17 +40,17 @@
     state: view_data.ServerState
 
 
-_decode_lines = msgspec.json.Decoder(list[_Host]).decode
+_decode_hosts = msgspec.json.Decoder(list[_Host]).decode
 
 
 def decode(body: bytes) -> Hosts:
     """Decode a host list.
 
     Raises:
-        DecodeError: The body has another shape.
+        DecodeError: The body is not a valid host list.
     """
-    lines = _decode_lines(body)
-    return tuple(view_data.BackendServer(**line) for line in lines)
+    hosts = _decode_hosts(body)
+    return tuple(view_data.BackendServer(**host) for host in hosts)
 
 
 class HttpHostList:
@@ -62,7 +62,7 @@
         address: str,
         timeout_s: float,
     ) -> None:
-        """Bind the adapter to the list's address; the timeout is a call's."""
+        """Keep the list's address; the timeout applies to each call."""
         self._client = client
         self._address = address
         self._timeout_s = timeout_s
--- a/beryllug/drivers/object_api.py
+++ b/beryllug/drivers/object_api.py
@@ -1,8 +1,8 @@
 """Adapter of the platform's object API.
 
-The one module that knows its wire format. Its errors separate a call that
-surely had no effect from one that may have had: after `UncertainError` a
-caller reads the object back, it never just repeats a write.
+Only this module knows its wire format. Its errors separate calls that
+certainly had no effect from calls that may have had one: after
+`UncertainError` a caller reads the object before it retries a write.
 """
 
 import base64
@@ -17,7 +17,7 @@
 from beryllug.drivers import http_client, http_data, object_data
 
 VERSION = 'x-object-version'
-CONDITION = 'if-match'
+IF_MATCH = 'if-match'
 ROOT = '/v1/objects'
 WATCH_SLACK_S = 5.0
 
@@ -26,10 +26,10 @@
 
 
 class ObjectApi(Protocol):
-    """What the system needs of the platform's object API."""
+    """The interface to the platform's object API."""
 
     async def read(self, key: str) -> object_data.Object | None:
-        """Read an object; None where there is none."""
+        """Read an object; None if there is none."""
 
     async def list_keys(self, prefix: str) -> object_data.Listing:
         """List the keys under a prefix."""
@@ -42,18 +42,18 @@
         Args:
             key: Its name.
             value: Its bytes.
-            expected_version: Write only over this version; 0 only where
-                there is no object, None over any.
+            expected_version: Write only if the object has this version; 0
+                if there must be no object, None unconditionally.
 
         Raises:
             ConflictError: The object has another version.
-            UnavailableError: It surely had no effect.
+            UnavailableError: It certainly had no effect.
             UncertainError: It may have had an effect.
             TooLargeError: The value is too large.
         """
 
     async def delete(self, key: str, expected_version: int | None) -> int:
-        """Delete an object and return the store's revision; like `write`."""
+        """Delete an object, return the store's revision; see `write`."""
 
     async def watch(
         self, prefix: str, after: int, wait_s: float
@@ -61,7 +61,7 @@
         """Return the changes after a revision, waiting for the first.
 
         Raises:
-            CompactedError: The store no longer has all of them.
+            CompactedError: The store no longer has all these changes.
         """
 
 
@@ -106,7 +106,7 @@
 
 
 class _Reply(NamedTuple):
-    """An answer that was read to its end."""
+    """A response that was read completely."""
 
     status: int
     headers: http_data.Headers
@@ -114,7 +114,7 @@
 
 
 class HttpObjectApi:
-    """The object API over HTTP; counts its own calls by kind."""
+    """The object API over HTTP; counts its calls by kind."""
 
     def __init__(
         self,
@@ -122,12 +122,13 @@
         address: str,
         timeout_s: float,
     ) -> None:
-        """Bind the adapter to the store's address.
+        """Create an adapter of the store at an address.
 
         Args:
-            client: Keeps the connections.
+            client: The HTTP client.
             address: ``ip:port`` of the store.
-            timeout_s: Bound of each call; a watch may take its wait more.
+            timeout_s: Timeout of each call; for a watch, in addition to its
+                wait time.
         """
         self._client = client
         self._address = address
@@ -140,7 +141,7 @@
         return dict(self._counts)
 
     async def read(self, key: str) -> object_data.Object | None:
-        """Read an object; None where there is none."""
+        """Read an object; None if there is none."""
         outgoing = http_data.Outgoing('GET', _path(key), {})
         reply = await self._call('read', outgoing, self._timeout_s)
         if reply.status == HTTPStatus.NOT_FOUND:
@@ -182,8 +183,8 @@
         self, prefix: str, after: int, wait_s: float
     ) -> object_data.WatchBatch:
         """Return the changes after a revision, waiting for the first."""
-        asked = {'prefix': prefix, 'after': after, 'wait': wait_s}
-        query = url_parse.urlencode(asked)
+        query_fields = {'prefix': prefix, 'after': after, 'wait': wait_s}
+        query = url_parse.urlencode(query_fields)
         outgoing = http_data.Outgoing('GET', f'/v1/watch?{query}', {})
         timeout_s = wait_s + max(self._timeout_s, WATCH_SLACK_S)
         reply = await self._call('watch', outgoing, timeout_s)
@@ -212,14 +213,14 @@
     def _count(
         self, kind: str, outgoing: http_data.Outgoing, reply: _Reply | None
     ) -> None:
-        so_far = self._counts.get(kind, object_data.CallCount())
+        previous = self._counts.get(kind, object_data.CallCount())
         received = 0 if reply is None else len(reply.body)
         self._counts[kind] = object_data.CallCount(
-            so_far.calls + 1,
-            so_far.failures
+            previous.calls + 1,
+            previous.failures
             + (reply is None or reply.status >= HTTPStatus.TOO_MANY_REQUESTS),
-            so_far.bytes_sent + len(outgoing.body),
-            so_far.bytes_received + received,
+            previous.bytes_sent + len(outgoing.body),
+            previous.bytes_received + received,
         )
 
 
@@ -231,7 +232,7 @@
 def _condition(expected_version: int | None) -> http_data.Headers:
     if expected_version is None:
         return {}
-    return {CONDITION: str(expected_version)}
+    return {IF_MATCH: str(expected_version)}
 
 
 def _version_of(reply: _Reply) -> int:
@@ -251,11 +252,11 @@
 
 def _raise_failure(reply: _Reply) -> None:
     if reply.status != HTTPStatus.OK:
-        raise _failure(reply)
+        raise _error_of(reply)
 
 
-def _failure(reply: _Reply) -> object_data.ObjectApiError:
-    """Tell what an answer other than success means."""
+def _error_of(reply: _Reply) -> object_data.ObjectApiError:
+    """Return the error for a response other than success."""
     match reply.status:
         case HTTPStatus.PRECONDITION_FAILED:
             current = _decode(_decode_version, reply.body)['version']
--- a/beryllug/drivers/object_data.py
+++ b/beryllug/drivers/object_data.py
@@ -9,7 +9,7 @@
     """One object.
 
     Attributes:
-        key: Its name; may hold slashes.
+        key: Its name; may contain slashes.
         version: Revision of the store at its last write.
         value: Its bytes, at most `MAX_VALUE`.
     """
@@ -20,7 +20,7 @@
 
 
 class Listed(NamedTuple):
-    """One line of a listing."""
+    """A key of a listing and its version."""
 
     key: str
     version: int
@@ -31,7 +31,7 @@
 
     Attributes:
         revision: Revision of the store when it was listed; a watch from
-            there on misses nothing.
+            there misses no change.
         entries: Keys with their versions, sorted by key.
     """
 
@@ -46,8 +46,8 @@
         key: The object's name.
         version: Revision of the store at this change.
         deleted: Whether the object was deleted.
-        value: The new bytes; None when deleted or too large to be carried,
-            in which case the object must be read.
+        value: The new bytes; None if deleted, or if they are too large for
+            the watch, in which case the object must be read.
     """
 
     key: str
@@ -57,14 +57,14 @@
 
 
 class WatchBatch(NamedTuple):
-    """What a watch returned: changes in order, or none after its wait."""
+    """Changes of a watch in order; empty if its wait time ran out."""
 
     revision: int
     changes: tuple[Change, ...]
 
 
 class CallCount(NamedTuple):
-    """Calls of one kind that were made, and the bytes they carried."""
+    """Calls of one kind so far, their failures and body bytes."""
 
     calls: int = 0
     failures: int = 0
@@ -73,41 +73,41 @@
 
 
 class ObjectApiError(Exception):
-    """A call of the object API failed."""
+    """A call to the object API failed."""
 
 
 class ConflictError(ObjectApiError):
     """The object has another version than expected; nothing was written."""
 
     def __init__(self, current_version: int) -> None:
-        """Keep the present version, 0 where there is no object."""
-        super().__init__(f'present version is {current_version}')
+        """Keep the current version, 0 if there is no object."""
+        super().__init__(f'current version is {current_version}')
         self.current_version = current_version
 
 
 class UnavailableError(ObjectApiError):
-    """The call surely had no effect; it may be made again."""
+    """The call certainly had no effect; it may be retried."""
 
 
 class RateLimitedError(UnavailableError):
     """Too many calls; this one had no effect."""
 
     def __init__(self, retry_after_s: float) -> None:
-        """Keep when a call can succeed again."""
+        """Keep the seconds until a call can succeed again."""
         super().__init__(f'rate limited, retry after {retry_after_s} s')
         self.retry_after_s = retry_after_s
 
 
 class UncertainError(ObjectApiError):
-    """The call may or may not have taken effect; read before repeating."""
+    """The call may have taken effect; read the object before a retry."""
 
 
 class TooLargeError(ObjectApiError):
-    """The value is over the store's bound; nothing was written."""
+    """The value exceeds the store's limit; nothing was written."""
 
 
 class CompactedError(ObjectApiError):
     """The store no longer has the changes since that revision.
 
-    The watcher lists and reads anew, then watches from the listing on.
+    The watcher lists and reads again, then watches from that listing.
     """
--- a/beryllug/drivers/part_collector.py
+++ b/beryllug/drivers/part_collector.py
@@ -1,12 +1,12 @@
-"""Deletes parts that no remembered revision uses.
-
-Two things must not happen: a reader that still reads an old root finds its
-parts gone, and an apply that is under way puts a root in force whose parts
-were deleted. Against the first, a part must have been unused for a whole
-window. An apply can stand still for longer than that, between its parts and
-its root; so the root is written over with itself before anything is deleted,
-which makes every apply that read it before start anew and write its parts
-again. What those write has a new version, and a delete is conditional on the
+"""Garbage collection of parts that no revision in the history uses.
+
+Two things must not happen: that a reader of an old root finds its parts
+deleted, and that a concurrent apply activates a root whose parts were deleted.
+Against the first, a part is deleted only after it was unused for a whole
+window. An apply can be paused for longer than that between writing its parts
+and writing its root. So the root is rewritten unchanged before any delete:
+every apply that read it before then fails on its condition and writes its
+parts again. These get new versions, and a delete is conditional on the
 version that was listed.
 """
 
@@ -21,14 +21,14 @@
 
 
 class _Unused(NamedTuple):
-    """A part that no remembered revision uses."""
+    """The version of an unused part, and since when it is unused."""
 
     version: int
     since: float
 
 
 class PartCollector:
-    """Remembers unused parts and deletes them after the window."""
+    """Tracks unused parts and deletes them after the window."""
 
     def __init__(
         self,
@@ -36,28 +36,28 @@
         api: object_api.ObjectApi,
         window_s: float = WINDOW_S,
     ) -> None:
-        """Make a collector that knows of no unused part yet."""
+        """Create a collector that has not seen any unused part yet."""
         self._store = store
         self._api = api
         self._window_s = window_s
         self._unused: dict[str, _Unused] = {}
 
     async def collect(self, now: float) -> int:
-        """Look for unused parts and delete those that are due.
+        """Find unused parts and delete those unused for the window.
 
         Args:
             now: Seconds of the monotonic clock.
 
         Returns:
-            How many parts were deleted.
+            The number of deleted parts.
 
         Raises:
-            ObjectApiError: The platform can't be used; nothing is lost.
+            ObjectApiError: The platform is unavailable; no used part is lost.
         """
-        found = await self._store.read_root()
-        used = await self._used(found.root)
+        current = await self._store.read_root()
+        used = await self._used_keys(current.root)
         listing = await self._api.list_keys(document_parts.PREFIX)
-        self._note(listing.entries, used, now)
+        self._update_unused(listing.entries, used, now)
         due = {
             key: unused.version
             for key, unused in self._unused.items()
@@ -65,28 +65,34 @@
         }
         if not due:
             return 0
-        raw = config_root.encode(found.root)
-        written = await self._api.write(config_root.KEY, raw, found.version)
+        raw = config_root.encode(current.root)
+        written = await self._api.write(config_root.KEY, raw, current.version)
         self._store.overtaken(written)
         return await self._delete(due)
 
-    def _note(
+    def _update_unused(
         self,
         entries: tuple[object_data.Listed, ...],
         used: set[str],
         now: float,
     ) -> None:
-        """Keep since when each part has been unused at its version."""
+        """Record since when each part is unused at its current version."""
         unused: dict[str, _Unused] = {}
         for key, version in entries:
             if key not in used:
-                seen = self._unused.get(key)
-                same = seen is not None and seen.version == version
-                fresh = _Unused(version, now)
-                unused[key] = seen if seen is not None and same else fresh
+                earlier = self._unused.get(key)
+                is_same_version = (
+                    earlier is not None and earlier.version == version
+                )
+                newly_unused = _Unused(version, now)
+                unused[key] = (
+                    earlier
+                    if earlier is not None and is_same_version
+                    else newly_unused
+                )
         self._unused = unused
 
-    async def _used(self, root: config_root.Root) -> set[str]:
+    async def _used_keys(self, root: config_root.Root) -> set[str]:
         manifests = [past.manifest for past in root.history]
         used = {*root.parts, *manifests}
         for listed in await self._store.parts.get(manifests):
@@ -100,7 +106,7 @@
             try:
                 await self._api.delete(key, version)
             except object_data.ConflictError:
-                # Written again meanwhile, so an apply uses it now.
+                # It was written again since, so an apply uses it.
                 continue
             finally:
                 self._unused.pop(key, None)
--- a/beryllug/drivers/part_store.py
+++ b/beryllug/drivers/part_store.py
@@ -1,7 +1,7 @@
-"""Immutable parts in the platform, named by their digest.
+"""Immutable parts in the platform's object API, named by their digest.
 
-A part that was read once never changes, so it is kept and not read again as
-long as the configuration that was read last uses it.
+A part never changes, so it is cached and not read again as long as the
+configuration that was read last refers to it.
 """
 
 import asyncio
@@ -10,83 +10,83 @@
 from beryllug.core import document_parts
 from beryllug.drivers import object_api, object_data
 
-ATTEMPTS = 4
-PAUSE_S = 0.05
-AT_ONCE = 8
+MAX_ATTEMPTS = 4
+RETRY_DELAY_S = 0.05
+MAX_CONCURRENT_READS = 8
 
 
 class PartMissingError(object_data.ObjectApiError):
-    """A part isn't there, or its bytes aren't those that it is named by."""
+    """A part does not exist, or its bytes don't match its digest."""
 
 
 class PartStore:
-    """Reads and writes parts, and keeps those in use."""
+    """Reads and writes parts, caching those in use."""
 
     def __init__(self, api: object_api.ObjectApi) -> None:
-        """Make a store that holds nothing yet."""
+        """Create a store with an empty cache."""
         self._api = api
-        self._kept: dict[str, bytes] = {}
-        self._gate = asyncio.Semaphore(AT_ONCE)
+        self._cached: dict[str, bytes] = {}
+        self._read_limit = asyncio.Semaphore(MAX_CONCURRENT_READS)
 
     @property
-    def kept(self) -> Mapping[str, bytes]:
-        """Parts that are held, by digest."""
-        return self._kept
+    def cached(self) -> Mapping[str, bytes]:
+        """Cached parts by digest."""
+        return self._cached
 
-    def keep(self, parts: Iterable[document_parts.Part]) -> None:
-        """Hold parts that came another way; others are read when needed."""
+    def cache(self, parts: Iterable[document_parts.Part]) -> None:
+        """Cache parts that were received from elsewhere, if intact."""
         for part in parts:
             if document_parts.is_whole(part):
-                self._kept[part.digest] = part.content
+                self._cached[part.digest] = part.content
 
     def keep_only(self, digests: Iterable[str]) -> None:
-        """Drop every part but these."""
+        """Drop all other parts from the cache."""
         wanted = set(digests)
-        self._kept = {
+        self._cached = {
             digest: content
-            for digest, content in self._kept.items()
+            for digest, content in self._cached.items()
             if digest in wanted
         }
 
     async def get(self, digests: Iterable[str]) -> tuple[bytes, ...]:
-        """Return the bytes of parts, in order; reads those not held.
+        """Return the bytes of parts, in order, reading those not cached.
 
         Raises:
-            PartMissingError: One isn't there any more.
+            PartMissingError: A part does not exist any more or is damaged.
             ObjectApiError: The platform can't be read.
         """
         return tuple(await asyncio.gather(*map(self._get, digests)))
 
     async def put(self, part: document_parts.Part) -> None:
-        """Write a part, over itself if it is there.
+        """Write a part, also if it exists already.
 
-        Writing over it moves its version, so a collector that listed it as
-        unused before can no longer delete it: its delete is conditional on
-        the listed version. The bytes are the same whoever writes them, so
-        an uncertain write is simply made again.
+        Overwriting changes its version, so a collector that listed it as
+        unused before can't delete it any more: its delete is conditional on
+        the listed version. All writers write the same bytes, so a write with
+        unknown outcome is just repeated.
 
         Raises:
-            ObjectApiError: It could not be written.
+            ObjectApiError: The part could not be written.
         """
         key = document_parts.key_of(part.digest)
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             try:
                 await self._api.write(key, part.content, None)
             except object_data.TooLargeError:
                 raise
             except object_data.ObjectApiError:
-                if attempt + 1 == ATTEMPTS:
+                if attempt + 1 == MAX_ATTEMPTS:
                     raise
-                await asyncio.sleep(PAUSE_S * (1 << attempt))
+                await asyncio.sleep(RETRY_DELAY_S * (1 << attempt))
             else:
                 return
 
     async def _get(self, digest: str) -> bytes:
-        content = self._kept.get(digest)
+        content = self._cached.get(digest)
         if content is None:
-            async with self._gate:
+            async with self._read_limit:
                 content = await self._fetch(digest)
-            self._kept[digest] = content
+            self._cached[digest] = content
         return content
 
     async def _fetch(self, digest: str) -> bytes:
--- a/beryllug/drivers/plain_service.py
+++ b/beryllug/drivers/plain_service.py
@@ -1,7 +1,7 @@
-"""Adapter of the plain services beside the model engines.
+"""Adapter of plain HTTP services, which run beside the model engines.
 
-A call passes through as it came, with our request id added. The answer's
-bytes pass through too; errors are the HTTP driver's.
+A call is forwarded unchanged, with the request id added. The response's bytes
+pass through as well; errors are those of the HTTP client.
 """
 
 from typing import NamedTuple, Protocol
@@ -17,14 +17,14 @@
     """A call of a plain service.
 
     Attributes:
-        request_id: Our id of the request.
+        request_id: Id of the request, assigned by beryllug.
         account_id: The client account.
         method: HTTP method in upper case.
         target: Path and query at the service.
-        body: The body as it came.
+        body: The body as received.
         content_type: Media type of the body, or empty.
         idempotency_key: The caller's key, or empty.
-        fresh: Take a new connection, never a kept one.
+        fresh: Open a new connection instead of reusing an idle one.
     """
 
     request_id: str
@@ -38,10 +38,10 @@
 
 
 class PlainService(Protocol):
-    """What the system needs of plain services, each at its address."""
+    """The interface to plain services, each at its address."""
 
     async def call(self, address: str, ask: PlainAsk) -> http_client.Incoming:
-        """Pass a call on; returns when the answer's head is here.
+        """Forward a call; returns once the response head arrived.
 
         Raises:
             NotSentError: No byte can have reached the service.
@@ -53,11 +53,11 @@
     """Plain services over HTTP."""
 
     def __init__(self, client: http_client.HttpClient) -> None:
-        """Bind the adapter to a client."""
+        """Keep the HTTP client."""
         self._client = client
 
     async def call(self, address: str, ask: PlainAsk) -> http_client.Incoming:
-        """Pass a call on; see `PlainService`."""
+        """Forward a call; see `PlainService`."""
         headers = {REQUEST_ID: ask.request_id, ACCOUNT: ask.account_id}
         if ask.content_type:
             headers['content-type'] = ask.content_type
--- a/beryllug/drivers/rating.py
+++ b/beryllug/drivers/rating.py
@@ -1,7 +1,7 @@
 """Adapter of the rating service.
 
-A rating is never worth holding an answer for long: the call is bounded, and
-every way in which it fails is one error, on which the caller falls back.
+A response must not be delayed for long by its rating: each call has a timeout,
+and all failures raise one error, on which the caller uses its fallback.
 """
 
 from http import HTTPStatus
@@ -16,11 +16,11 @@
 
 
 class RatingError(Exception):
-    """No rating was given."""
+    """No rating was returned."""
 
 
 class RatingAsk(NamedTuple):
-    """An answer to be rated."""
+    """A response to be rated."""
 
     request_id: str
     version: config_data.VersionRef
@@ -28,13 +28,13 @@
 
 
 class Rater(Protocol):
-    """What the system needs of the rating service."""
+    """The interface to the rating service."""
 
     async def rate(self, ask: RatingAsk, timeout_s: float) -> float:
-        """Rate an answer, from 0 to 1.
+        """Rate a response, from 0 to 1.
 
         Raises:
-            RatingError: No rating was given in time.
+            RatingError: No rating was returned in time.
         """
 
 
@@ -46,12 +46,12 @@
     """The rating service over HTTP."""
 
     def __init__(self, client: http_client.HttpClient, address: str) -> None:
-        """Bind the adapter to the service's address."""
+        """Keep the client and the service's address."""
         self._client = client
         self._address = address
 
     async def rate(self, ask: RatingAsk, timeout_s: float) -> float:
-        """Rate an answer; see `Rater`."""
+        """Rate a response; see `Rater`."""
         fields = {
             'request_id': ask.request_id,
             'answer': ask.answer,
@@ -79,4 +79,4 @@
         raise RatingError(f'answer unreadable: {exc}') from exc
     if 0 <= rating <= 1:
         return rating
-    raise RatingError(f'rating {rating} is not from 0 to 1')
+    raise RatingError(f'rating {rating} is not between 0 and 1')
--- a/beryllug/drivers/weight_store.py
+++ b/beryllug/drivers/weight_store.py
@@ -13,7 +13,7 @@
 
 
 class Weights(NamedTuple):
-    """What the store says of a version's weights."""
+    """The store's metadata of a version's weights."""
 
     size_bytes: int
     digest: str
@@ -24,19 +24,19 @@
 
 
 class RateLimitedError(WeightStoreError):
-    """Too many reads; ask again later."""
+    """Too many reads; retry later."""
 
     def __init__(self, retry_after_s: float) -> None:
-        """Keep when a read can succeed again."""
+        """Keep the seconds until a read can succeed again."""
         super().__init__(f'retry after {retry_after_s} s')
         self.retry_after_s = retry_after_s
 
 
 class WeightStore(Protocol):
-    """What the system needs of the weight store."""
+    """The interface to the weight store."""
 
     async def read(self, version: config_data.VersionRef) -> Weights | None:
-        """Read the facts on a version; None where it is not stored.
+        """Read the metadata of a version; None if it is not stored.
 
         Raises:
             RateLimitedError: Too many reads.
@@ -58,13 +58,13 @@
         address: str,
         timeout_s: float,
     ) -> None:
-        """Bind the adapter to the store's address; the timeout is a call's."""
+        """Keep the store's address; the timeout applies to each call."""
         self._client = client
         self._address = address
         self._timeout_s = timeout_s
 
     async def read(self, version: config_data.VersionRef) -> Weights | None:
-        """Read the facts on a version; see `WeightStore`."""
+        """Read the metadata of a version; see `WeightStore`."""
         model = url_parse.quote(version.model, safe='')
         name = url_parse.quote(version.version, safe='')
         outgoing = http_data.Outgoing('GET', f'{ROOT}/{model}/{name}', {})
