--- a/beryllug/control/rollout_judge.py
+++ b/beryllug/control/rollout_judge.py
@@ -1,9 +1,9 @@
-"""Decides about one roll-out while this process holds its lease.
+"""Decides about one rollout while this process holds its lease.
 
-The record in the platform keeps the state and the sums of the evidence, so
-whoever holds the lease next goes on where this process stopped and skips no
-stage. Evidence is acknowledged once the record that contains it is written:
-what was lost with this process is reported again.
+The record in the platform contains the state and the sums of the evidence, so
+the next lease holder resumes where this process stopped and skips no stage.
+Evidence is acknowledged only after the record that contains it was written; if
+this process crashes before, the entries report it again.
 """
 
 import asyncio
@@ -24,9 +24,9 @@
 from beryllug.drivers import object_api, object_data
 
 PREFIX = 'beryllug/rollouts/'
-TICK_S = 0.5
-IDLE_WRITE_S = 5.0
-WAIT_S = 1.5
+STEP_INTERVAL_S = 0.5
+IDLE_INTERVAL_S = 5.0
+DURABLE_TIMEOUT_S = 1.5
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(rollout_data.Record).decode
@@ -34,11 +34,11 @@
 Declared = Callable[[], config_data.Rollout | None]
 IsHeld = Callable[[], bool]
 IsLoaded = Callable[[config_data.VersionRef], bool]
-Show = Callable[[rpc_data.RolloutState], None]
+StateListener = Callable[[rpc_data.RolloutState], None]
 
 
-class RolloutJudge:
-    """The record of one roll-out, its evidence and its decisions."""
+class RolloutController:
+    """The record of one rollout, its evidence and its decisions."""
 
     def __init__(
         self,
@@ -47,24 +47,24 @@
         declared: Declared,
         is_held: IsHeld,
         is_loaded: IsLoaded,
-        show: Show,
+        on_state: StateListener,
     ) -> None:
-        """Make a judge; `start` starts its task.
+        """Create the controller; `start` starts its task.
 
         Args:
             model: The model that is rolled out.
             api: The platform.
-            declared: Returns its declaration in force, None without one.
+            declared: Returns the current declaration, None without one.
             is_held: Tells whether the lease is held at this moment.
-            is_loaded: Tells whether engines can run a version.
-            show: Takes each new state.
+            is_loaded: Tells whether an engine can serve a version.
+            on_state: Called with each new state.
         """
         self._model = model
         self._api = api
         self._declared = declared
         self._is_held = is_held
         self._is_loaded = is_loaded
-        self._show = show
+        self._on_state = on_state
         self._record: rollout_data.Record | None = None
         self._written: rollout_data.Record | None = None
         self._version = 0
@@ -73,17 +73,17 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start to decide."""
+        """Start the decision loop."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop; what was not written is reported again by the entries."""
+        """Stop; the entries report unwritten evidence again."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def dump(self) -> dict[str, Any]:
-        """Return state and exposure."""
+        """Return the state and the exposure."""
         record = self._record
         if record is None:
             return {'version': self._version}
@@ -103,7 +103,7 @@
         }
 
     def state(self) -> rpc_data.RolloutState | None:
-        """Return what entries are to know, None before the record is read."""
+        """Return the state for entries, None before the record is read."""
         record = self._record
         if record is None:
             return None
@@ -117,21 +117,21 @@
             budgets,
         )
 
-    async def take(self, report: rpc_data.EvidenceReport) -> bool:
-        """Take an entry's report; tell whether it is durable."""
+    async def add_report(self, report: rpc_data.EvidenceReport) -> bool:
+        """Add an entry's report; tell whether it is durable."""
         declared = self._declared()
         if self._record is None or declared is None:
             return False
         before = self._record
         self._record = rollout.absorb(before, declared, report, time.time())
         if self._record is before and before == self._written:
-            # It was counted before and its acknowledgement was lost. Nothing
-            # changes, so no write would ever acknowledge it.
+            # A report that was counted before and whose acknowledgement was
+            # lost. It changes nothing, so no write would acknowledge it.
             return True
         self._changed.set()
         durable = self._durable
         try:
-            async with asyncio.timeout(WAIT_S):
+            async with asyncio.timeout(DURABLE_TIMEOUT_S):
                 await durable.wait()
         except TimeoutError:
             return False
@@ -147,7 +147,7 @@
                     self._model,
                     exc,
                 )
-                self._forget_if_overtaken(exc)
+                self._discard_if_overwritten(exc)
             await self._wait()
 
     async def _step(self) -> None:
@@ -169,8 +169,8 @@
         decision = rollout.decide(record, declared)
         record = rollout.carry_out(record, declared, decision)
         candidate = config_data.VersionRef(record.model, record.candidate)
-        # Without an engine that has it loaded its first callers would find no
-        # server, which is no evidence against it.
+        # If no engine has the candidate loaded, its first callers would find
+        # no server, which is not evidence against the candidate.
         if self._is_loaded(candidate):
             record = rollout.deal(record, declared, time.time())
         self._record = record
@@ -185,9 +185,9 @@
                 record.reason,
             )
         if record.verdict is view_data.Verdict.STOPPED:
-            # A stop takes effect before it is durable: in an outage of the
-            # platform it would else wait while callers reach a bad version.
-            self._tell()
+            # A stop takes effect before it is durable: otherwise callers
+            # would reach a bad version during an outage of the platform.
+            self._notify()
 
     async def _read(self, declared: config_data.Rollout) -> None:
         stored = await self._api.read(PREFIX + self._model)
@@ -197,35 +197,38 @@
         accounts = record.accounts if record else 1
         self._record = rollout.resume(record, declared, accounts)
         if self._record == record:
-            # Nothing may ever change again, as after a stop, and then no
-            # write would show it.
-            self._tell()
+            # The record may never change again, as after a stop, and then no
+            # write would publish it.
+            self._notify()
 
     async def _write(self) -> None:
-        """Write the record on the condition of its version: the fence.
+        """Write the record on the condition of its version.
+
+        The condition fences off a former lease holder.
 
         Raises:
-            ObjectApiError: It was not written, or nobody knows.
+            ObjectApiError: It was not written, or the outcome is unknown.
         """
         record = self._record
         assert record is not None
         key = PREFIX + self._model
-        # What arrives during the write is not in it, and waits for the next.
+        # Reports that arrive during the write are acknowledged by the next.
         durable = self._durable
         self._durable = asyncio.Event()
         try:
             version = await self._api.write(key, _encode(record), self._version)
         except object_data.UncertainError:
-            version = await self._settle(record)
+            version = await self._resolve_write(record)
         self._version = version
         self._written = record
         durable.set()
-        self._tell()
+        self._notify()
 
-    async def _settle(self, record: rollout_data.Record) -> int:
-        """Find out whether a write took effect whose answer was lost.
+    async def _resolve_write(self, record: rollout_data.Record) -> int:
+        """Find out whether a write whose reply was lost took effect.
 
         Raises:
+            UnavailableError: It did not.
             ConflictError: Another holder has written since.
         """
         stored = await self._api.read(PREFIX + self._model)
@@ -236,21 +239,21 @@
             raise object_data.UnavailableError('the write had no effect')
         raise object_data.ConflictError(version)
 
-    def _forget_if_overtaken(self, exc: Exception) -> None:
-        """Read the record anew after another holder wrote it."""
+    def _discard_if_overwritten(self, exc: Exception) -> None:
+        """Discard the record, to be read again, if another holder wrote it."""
         if isinstance(exc, object_data.ConflictError):
             self._record = None
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         state = self.state()
         if state is not None:
-            self._show(state)
+            self._on_state(state)
 
     async def _wait(self) -> None:
-        await asyncio.sleep(TICK_S)
+        await asyncio.sleep(STEP_INTERVAL_S)
         if self._written is not None and self._written == self._record:
             try:
-                async with asyncio.timeout(IDLE_WRITE_S):
+                async with asyncio.timeout(IDLE_INTERVAL_S):
                     await self._changed.wait()
             except TimeoutError:
                 return
--- a/beryllug/control/rollout_judge_test.py
+++ b/beryllug/control/rollout_judge_test.py
@@ -1,4 +1,4 @@
-"""Tests of the judge of a roll-out, in virtual time."""
+"""Tests of the decisions about a rollout, in virtual time."""
 
 import asyncio
 import unittest
@@ -30,16 +30,16 @@
     return rpc_data.EvidenceReport(ENTRY, sequence, counts)
 
 
-class Host:
-    """A control process that may judge the roll-out."""
+class ControlProcess:
+    """A control process that may decide about the rollout."""
 
     def __init__(self, store: fake_platform_test.Store) -> None:
-        """Make it, holding the lease."""
+        """Create a process that holds the lease."""
         self.client = fake_platform_test.Client(store)
         self.client.faulty = rollout_judge.PREFIX
         self.holds = True
         self.shown: list[rpc_data.RolloutState] = []
-        self.judge = rollout_judge.RolloutJudge(
+        self.controller = rollout_judge.RolloutController(
             'desk',
             self.client,
             lambda: DECLARED,
@@ -49,42 +49,44 @@
         )
 
     async def begin(self) -> None:
-        """Begin to judge and wait for the first state."""
-        self.judge.start()
+        """Start the decision loop and wait for the first state."""
+        self.controller.start()
         async with asyncio.timeout(30):
             while not self.shown:
                 await asyncio.sleep(0.1)
 
     async def report(self, sequence: int, *, failed: bool = False) -> bool:
-        """Report, once; tell whether it was acknowledged."""
-        return await self.judge.take(_report(sequence, failed=failed))
+        """Send a report once; tell whether it was acknowledged."""
+        return await self.controller.add_report(
+            _report(sequence, failed=failed)
+        )
 
     async def report_until_taken(self, sequence: int) -> None:
-        """Report again until it is acknowledged, as an entry does."""
+        """Send a report until it is acknowledged, as an entry does."""
         async with asyncio.timeout(30):
             while not await self.report(sequence):
                 await asyncio.sleep(0.1)
 
 
 class RolloutJudgeTest(virtual_time_test.VirtualTimeCase):
-    """Evidence survives its holder, and counts once."""
+    """Evidence survives a crash of the lease holder and is counted once."""
 
     def setUp(self) -> None:
-        """Make a platform and two control processes."""
+        """Create a platform and two control processes."""
         self.store = fake_platform_test.Store()
-        self.first = Host(self.store)
-        self.second = Host(self.store)
+        self.first = ControlProcess(self.store)
+        self.second = ControlProcess(self.store)
 
     async def asyncTearDown(self) -> None:
-        """Stop judging."""
-        await self.first.judge.stop()
-        await self.second.judge.stop()
+        """Stop both processes."""
+        await self.first.controller.stop()
+        await self.second.controller.stop()
 
     async def test_acknowledged_once_written(self) -> None:
         """A report arrives while an earlier record is being written.
 
-        That write does not contain it. Acknowledged with it, it would be
-        lost when the holder dies before its next write.
+        That write does not contain the report. If the write acknowledged it,
+        the report would be lost if the holder crashes before its next write.
         """
         await self.first.begin()
         self.first.client.gate.clear()
@@ -98,9 +100,9 @@
         self.assertEqual(self._share().sequence, 2)
 
     async def test_lost_answer(self) -> None:
-        """The answer to the write of the record is lost.
+        """The reply to the write of the record is lost.
 
-        Whether it took effect or not, the evidence is counted once.
+        Whether the write took effect or not, the evidence is counted once.
         """
         for sequence, fault in enumerate((Fault.LOST_ANSWER, Fault.LOST), 1):
             with self.subTest(fault):
@@ -111,13 +113,13 @@
                 self.assertEqual(self._share().given, 8 * sequence)
 
     async def test_next_holder(self) -> None:
-        """A holder dies right after it acknowledged evidence.
+        """A holder crashes right after it acknowledged evidence.
 
-        The next one has the sums and the stage; a report whose
-        acknowledgement was lost changes nothing when it comes again.
+        The next holder has the sums and the stage. A repeated report, whose
+        acknowledgement was lost, changes nothing.
         """
         await self._reach_second_stage()
-        await self.first.judge.stop()
+        await self.first.controller.stop()
         before = self._stored()
         await self.second.begin()
         self.assertTrue(await self.second.report(1, failed=True))
@@ -126,10 +128,11 @@
         self.assertEqual(after.scopes, before.scopes)
 
     async def test_paused_holder(self) -> None:
-        """A holder is paused, another judges, then the first wakes.
+        """A paused holder resumes after another process took over.
 
-        Its next write meets another version. It must not overwrite the stop
-        with its own older state, nor go on from it.
+        Its next write conflicts with a newer version. It must neither
+        overwrite the stop with its own older state nor continue from that
+        state.
         """
         await self.first.begin()
         self.first.holds = False
@@ -145,10 +148,10 @@
         self.assertIs(last.verdict, view_data.Verdict.STOPPED)
 
     async def test_outage(self) -> None:
-        """The platform is down when a candidate turns out bad.
+        """The platform is down when a candidate proves to be bad.
 
-        The stop is shown at once and written afterwards. Nothing is dealt
-        meanwhile: shares that are not recorded would be dealt again.
+        The stop is published at once and written afterwards. Meanwhile no
+        exposure is allocated: unrecorded shares would be allocated twice.
         """
         await self.first.begin()
         self.assertTrue(await self.first.report(1))
--- a/beryllug/control/rollout_states.py
+++ b/beryllug/control/rollout_states.py
@@ -1,8 +1,8 @@
-"""The newest state of every roll-out, pushed by those who judge them.
+"""The newest state of every rollout, pushed by the lease holders.
 
-A state is pushed to all live members at each change and shown to the entries
-of this process. The version of the record in the platform orders the states,
-so a late or repeated message changes nothing.
+A state is pushed to all live members at each change and published to the
+entries of this process. States are ordered by the version of the record in
+the platform, so a late or repeated message changes nothing.
 """
 
 import asyncio
@@ -15,11 +15,11 @@
 from beryllug.core import config_data, rpc_data, view_data
 from beryllug.drivers import methods, rpc, rpc_peers
 
-PUSH_S = 1.0
+PUSH_TIMEOUT_S = 1.0
 
 
 class Members(Protocol):
-    """What is needed of the membership."""
+    """Interface of the membership."""
 
     def live(self, now: float) -> tuple[str, ...]:
         """Return the names of live members."""
@@ -29,7 +29,7 @@
 
 
 class RolloutStates:
-    """What this process knows of all roll-outs."""
+    """The newest known states of all rollouts."""
 
     def __init__(
         self,
@@ -43,34 +43,37 @@
         self._calls = calls
         self._members = members
         self._view = view
-        self._known: dict[str, rpc_data.RolloutState] = {}
+        self._latest: dict[str, rpc_data.RolloutState] = {}
         self._pushes: set[asyncio.Task[None]] = set()
 
     def serve(self, server: rpc.RpcServer) -> None:
-        """Add the method by which peers push."""
-        server.unary(methods.ROLLOUT_PUSH, self.take_push)
+        """Register the method by which peers push states."""
+        server.unary(methods.ROLLOUT_PUSH, self.on_push)
 
     async def stop(self) -> None:
-        """End pushes that are under way."""
+        """Cancel pushes in progress."""
         for task in self._pushes:
             task.cancel()
         await asyncio.gather(*self._pushes, return_exceptions=True)
 
     def dump(self) -> dict[str, Any]:
-        """Return the state of each roll-out."""
+        """Return the state of each rollout."""
         return {
             model: known.status._asdict()
-            for model, known in self._known.items()
+            for model, known in self._latest.items()
         }
 
-    async def take_push(self, state: rpc_data.RolloutState) -> rpc_data.Empty:
-        """Take a state that its judge pushed."""
-        self.learn(state)
+    async def on_push(self, state: rpc_data.RolloutState) -> rpc_data.Empty:
+        """Process a state that its lease holder pushed."""
+        self.update(state)
         return rpc_data.Empty()
 
-    def show(self, state: rpc_data.RolloutState) -> None:
-        """Show a new state to this process's entries and push it to peers."""
-        if not self.learn(state):
+    def broadcast(self, state: rpc_data.RolloutState) -> None:
+        """Publish a new state to this process's entries and push it to peers.
+
+        A state that is not newer than the known one is ignored.
+        """
+        if not self.update(state):
             return
         for member in self._members.live(time.monotonic()):
             address = self._members.address_of(member)
@@ -79,25 +82,27 @@
                 self._pushes.add(task)
                 task.add_done_callback(self._pushes.discard)
 
-    def learn(self, state: rpc_data.RolloutState) -> bool:
-        """Take a state unless a newer one is known; tell whether it was."""
-        known = self._known.get(state.status.model)
+    def update(self, state: rpc_data.RolloutState) -> bool:
+        """Accept a state if it is newer; tell whether it was."""
+        known = self._latest.get(state.status.model)
         if known is not None and not is_newer(known, state):
             return False
-        self._known[state.status.model] = state
+        self._latest[state.status.model] = state
         self._publish()
         return True
 
     async def _push(self, address: str, state: rpc_data.RolloutState) -> None:
         try:
-            await self._calls.call(address, methods.ROLLOUT_PUSH, state, PUSH_S)
+            await self._calls.call(
+                address, methods.ROLLOUT_PUSH, state, PUSH_TIMEOUT_S
+            )
         except rpc.RpcError as exc:
             logging.info(
                 'event=rollout_push_failed peer=%s error=%s', address, exc
             )
 
     def _publish(self) -> None:
-        states = [self._known[model] for model in sorted(self._known)]
+        states = [self._latest[model] for model in sorted(self._latest)]
         budgets: dict[str, tuple[rpc_data.ExposureShare, ...]] = {}
         for known in states:
             ref = config_data.VersionRef(
@@ -114,11 +119,11 @@
 def is_newer(
     known: rpc_data.RolloutState, offered: rpc_data.RolloutState
 ) -> bool:
-    """Tell whether a state is to be taken in place of a known one.
+    """Tell whether an offered state replaces the known one.
 
-    A late message or a process that was paused must not take a stop back; of
-    one version a stop is the newer state, since it is shown before it is
-    durable.
+    A late message or a process that was paused must not revert a stop. Of two
+    states of one version a stop is the newer one, since it is published before
+    it is durable.
     """
     if offered.version != known.version:
         return offered.version > known.version
