--- a/beryllug/control/config_desk.py
+++ b/beryllug/control/config_desk.py
@@ -1,7 +1,7 @@
-"""What operators do with the configuration, without HTTP.
+"""Operations of operators on the configuration, independent of HTTP.
 
-Every way to change it ends in the same judgement and the same conditional
-apply: a whole document, or an edit that makes one.
+Every change, whether a whole document or an edit that produces one, passes the
+same validation and the same conditional apply.
 """
 
 import asyncio
@@ -25,32 +25,34 @@
 )
 from beryllug.drivers import config_store, object_data
 
-JUDGE = 'beryllug.checks.judge'
-SOURCE = 'document'
-PRESENT = -1
-OLDER = 'a newer release wrote the document; ask a control of that release'
+VALIDATOR_MODULE = 'beryllug.checks.judge'
+DOCUMENT_SOURCE = 'document'
+CURRENT_REVISION = -1
+NEWER_RELEASE = (
+    'a newer release wrote the document; ask a control daemon of that release'
+)
 
 Findings = list[finding.Finding]
-Judged = tuple[config_data.Document | None, Findings]
+Validation = tuple[config_data.Document | None, Findings]
 
 
-class Judge(Protocol):
-    """What is needed of the module that judges documents."""
+class Validator(Protocol):
+    """Interface of the module that validates documents."""
 
     def schema(self) -> dict[str, Any]:
         """Return the JSON Schema of a document."""
 
-    def judge(self, text: str | bytes, source: str) -> Judged:
-        """Judge one document."""
+    def judge(self, text: str | bytes, source: str) -> Validation:
+        """Validate one document."""
 
 
-class Order(NamedTuple):
-    """Who applies what was written against which revision.
+class ApplyParams(NamedTuple):
+    """Parameters of an apply.
 
     Attributes:
-        expect_revision: The revision it was written against.
+        expect_revision: The revision that the change is based on.
         author: Who applies it.
-        apply_id: Unique id of this apply, the same in a repeat.
+        apply_id: Unique id of this apply; a retry has the same one.
     """
 
     expect_revision: int
@@ -58,17 +60,17 @@
     apply_id: str
 
 
-class Shown(NamedTuple):
-    """A configuration as operators see it.
+class ConfigSnapshot(NamedTuple):
+    """A configuration as shown to operators.
 
     Attributes:
         root: Its root, with the history.
         document: Its document.
         source: Where it was read: the platform, or this process when the
             platform can't be read.
-        rendered: The document as operators write it, with all its fields.
-        understood: False when a newer release wrote fields into it that this
-            one doesn't know.
+        rendered: The document as plain data, with all its fields.
+        understood: False if a newer release wrote fields into it that this
+            release doesn't know.
     """
 
     root: config_root.Root
@@ -80,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The document was refused whole; these are all findings."""
+    """The whole document was rejected; these are all findings."""
 
     findings: tuple[finding.Finding, ...]
 
@@ -90,118 +92,123 @@
 
 
 class ConfigDesk:
-    """Reads, judges, edits and applies configurations."""
+    """Reads, validates, edits and applies configurations."""
 
     def __init__(self, view: config.Config) -> None:
         """Bind to the configuration service."""
         self._view = view
         self._store = view.watch.store
 
-    async def show(self) -> Shown:
-        """Return the configuration in force."""
+    async def show(self) -> ConfigSnapshot:
+        """Return the current configuration."""
         try:
             found = await self._store.read()
         except object_data.ObjectApiError:
             root = config_root.Root(self._view.revision)
-            return _shown(root, self._view.document, 'this process')
+            return _snapshot(root, self._view.document, 'this process')
         if found is None:
             empty = config_data.Document()
-            return _shown(config_root.Root(), empty, 'platform')
-        shown = _shown(found.root, found.document, 'platform')
+            return _snapshot(config_root.Root(), empty, 'platform')
+        snapshot = _snapshot(found.root, found.document, 'platform')
         if all(map(document_parts.is_understood, found.chunks)):
-            return shown
+            return snapshot
         written = document_parts.join_plain(found.chunks)
-        return shown._replace(rendered=written, understood=False)
+        return snapshot._replace(rendered=written, understood=False)
 
     async def past(self, revision: int) -> config_data.Document | None:
-        """Return the document of a remembered revision, or None.
+        """Return the document of a retained past revision, or None.
 
         Raises:
             ObjectApiError: The platform can't be read.
         """
         return await self._store.past(revision)
 
-    async def judge(self, text: bytes, source: str = SOURCE) -> Judged:
-        """Judge a document, beside the event loop: a large one takes long."""
-        return await asyncio.to_thread(_judge, text, source)
+    async def check_document(
+        self, text: bytes, source: str = DOCUMENT_SOURCE
+    ) -> Validation:
+        """Validate a document, in a thread: a large one takes long."""
+        return await asyncio.to_thread(_check_document, text, source)
 
     async def schema(self) -> dict[str, Any]:
         """Return the JSON Schema of a document."""
         return await asyncio.to_thread(_schema)
 
-    async def apply(self, text: bytes, order: Order) -> Outcome:
-        """Judge a document and put it in force."""
-        document, findings = await self.judge(text)
+    async def apply(self, text: bytes, params: ApplyParams) -> Outcome:
+        """Validate a document and apply it."""
+        document, findings = await self.check_document(text)
         if document is None:
             return result.Err(Invalid(tuple(findings)))
-        return await self._apply(document, order)
+        return await self._apply(document, params)
 
-    async def edit(self, edit: edits.Edit, order: Order) -> Outcome:
-        """Make an edit of the document in force, judge it and apply it.
+    async def edit(self, edit: edits.Edit, params: ApplyParams) -> Outcome:
+        """Edit the current document, validate the result and apply it.
 
-        The answer to an edit may be lost, and the edit be asked for again.
-        Made a second time it would fail, or undo what came after it; so its
-        apply id is looked up first.
+        The reply to an edit may be lost and the edit be retried. A second
+        edit would fail, or undo later changes, so the apply id is looked up
+        first.
 
         Args:
             edit: What to change.
-            order: Who changes it; its revision may be `PRESENT`.
+            params: Parameters of the apply; its revision may be
+                `CURRENT_REVISION`.
         """
-        shown = await self.show()
-        revision = config_root.applied(shown.root, order.apply_id)
+        snapshot = await self.show()
+        revision = config_root.applied(snapshot.root, params.apply_id)
         if revision is not None:
             return result.Ok(revision)
-        if order.expect_revision == PRESENT:
-            order = order._replace(expect_revision=shown.root.revision)
-        if not shown.understood:
-            return result.Err(_refused(edit, OLDER))
+        if params.expect_revision == CURRENT_REVISION:
+            params = params._replace(expect_revision=snapshot.root.revision)
+        if not snapshot.understood:
+            return result.Err(_invalid_edit(edit, NEWER_RELEASE))
         try:
-            document = edits.apply(shown.document, edit)
+            document = edits.apply(snapshot.document, edit)
         except LookupError as exc:
-            return result.Err(_refused(edit, str(exc.args[0])))
+            return result.Err(_invalid_edit(edit, str(exc.args[0])))
         text = json.dumps(document_plain.render(document))
-        return await self.apply(text.encode(), order)
+        return await self.apply(text.encode(), params)
 
     async def _apply(
-        self, document: config_data.Document, order: Order
+        self, document: config_data.Document, params: ApplyParams
     ) -> Outcome:
         outcome = await self._store.apply(
-            config_store.Apply(document, *order), time.time()
+            config_store.Apply(document, *params), time.time()
         )
         logging.info(
             'event=config_apply author=%s apply_id=%s expect=%d outcome=%s',
-            order.author,
-            order.apply_id,
-            order.expect_revision,
-            _word(outcome),
+            params.author,
+            params.apply_id,
+            params.expect_revision,
+            _outcome_name(outcome),
         )
         return outcome
 
 
-def _shown(
+def _snapshot(
     root: config_root.Root, document: config_data.Document, source: str
-) -> Shown:
-    return Shown(root, document, source, document_plain.render(document))
+) -> ConfigSnapshot:
+    return ConfigSnapshot(
+        root, document, source, document_plain.render(document)
+    )
 
 
-def _refused(edit: edits.Edit, reason: str) -> Invalid:
+def _invalid_edit(edit: edits.Edit, reason: str) -> Invalid:
     return Invalid((finding.Finding('edit', type(edit).__name__, reason),))
 
 
-def _word(outcome: Outcome) -> str:
+def _outcome_name(outcome: Outcome) -> str:
     if outcome.is_ok():
         return 'accepted'
     return type(outcome.unwrap_err()).__name__
 
 
-def _judge(text: bytes, source: str) -> Judged:
-    """Import and judge in one thread: the first import takes long, too."""
-    return _judging().judge(text, source)
+def _check_document(text: bytes, source: str) -> Validation:
+    """Import and validate in one thread: the first import takes long, too."""
+    return _validator().judge(text, source)
 
 
 def _schema() -> dict[str, Any]:
-    return _judging().schema()
+    return _validator().schema()
 
 
-def _judging() -> Judge:
-    return cast('Judge', importlib.import_module(JUDGE))
+def _validator() -> Validator:
+    return cast('Validator', importlib.import_module(VALIDATOR_MODULE))
--- a/beryllug/control/console.py
+++ b/beryllug/control/console.py
@@ -1,8 +1,9 @@
-"""The operators' console: forms whose output is one validated document.
+"""The operators' console: HTML forms that edit the configuration document.
 
-Pages without scripts, made from the JSON Schema. A page carries the revision
-the operator started from and the records changed since; applying them ends in
-the same judgement and the same conditional apply as any other document.
+The pages have no scripts and are generated from the JSON Schema. A page
+carries the base revision of the draft and the records changed since; applying
+them passes the same validation and the same conditional apply as any other
+document.
 """
 
 import json
@@ -45,26 +46,26 @@
     {'content-type': 'text/css; charset=utf-8'}
 )
 
-START = ('start', 'discard')
+RESTART_VERBS = ('start', 'discard')
 Fields = console_session.Fields
 Session = console_pages.Session
 
 
-class _Act(NamedTuple):
-    """What was done in the form of a record."""
+class _FormAction(NamedTuple):
+    """A button pressed in the form of a record, with the form's fields."""
 
     fields: Fields
     verb: str
-    rest: str
+    argument: str
 
 
 class Console:
     """Serves the console's pages."""
 
-    def __init__(self, desk: config_desk.ConfigDesk) -> None:
-        """Bind to the desk."""
-        self._desk = desk
-        self._drafts = console_drafts.Drafts(desk)
+    def __init__(self, admin: config_desk.ConfigDesk) -> None:
+        """Bind to the configuration operations."""
+        self._admin = admin
+        self._drafts = console_drafts.Drafts(admin)
 
     def routes(self) -> ops.Routes:
         """Return the handlers by method and path."""
@@ -78,117 +79,133 @@
         self, req: http_data.Request, exchange: http_server.Exchange
     ) -> None:
         """Serve a page."""
-        fields = console_session.fields_of(req)
-        session = console_session.read(req, fields)
-        ours = console_session.is_ours(req, fields, session)
-        if req.method == 'POST' and not ours:
-            text = 'This form is not of this console, or too old. Start anew.'
+        fields = console_session.form_fields(req)
+        session = console_session.read_session(req, fields)
+        is_genuine = console_session.passes_csrf_check(req, fields, session)
+        if req.method == 'POST' and not is_genuine:
+            text = (
+                'Not a form of this console, or an outdated one. Start again.'
+            )
             await exchange.respond(FORBIDDEN, text.encode(), HTML)
             return
         try:
-            shown = await self._answer(session, fields)
+            shown = await self._handle(session, fields)
         except object_data.ObjectApiError as exc:
-            text = f'The platform can not be read: {exc}. Try again.'
+            text = f'The platform cannot be read: {exc}. Try again.'
             failed = console_pages.notice(text, good=False)
             shown = console_pages.page(session, 'Not available', failed)
         await exchange.respond(OK, shown.encode(), HTML)
 
-    async def _answer(self, session: Session, fields: Fields) -> str:
-        verb, _, rest = fields.get('act', 'start').partition(' ')
-        if verb in START:
-            return await self._fresh(session)
+    async def _handle(self, session: Session, fields: Fields) -> str:
+        verb, _, argument = fields.get('act', 'start').partition(' ')
+        if verb in RESTART_VERBS:
+            return await self._new_draft(session)
         base = await self._drafts.base(session.revision)
         if base is None:
-            text = f'Revision {session.revision} is forgotten. Start anew.'
+            text = (
+                f'Revision {session.revision} is no longer retained. '
+                'Start again.'
+            )
             notice = console_pages.notice(text, good=False)
-            return await self._fresh(session, notice)
+            return await self._new_draft(session, notice)
         match verb:
             case 'open' | 'remove':
-                section, _, key = rest.partition(' ')
+                section, _, key = argument.partition(' ')
                 change = draft.Change(section, key, None)
-                return await self._pick(session, base, change, verb)
+                return await self._open_or_remove(session, base, change, verb)
             case 'keep' | 'add' | 'drop':
-                act = _Act(fields, verb, rest)
-                return await self._edit(session, base, act)
+                action = _FormAction(fields, verb, argument)
+                return await self._edit_record(session, base, action)
             case 'apply' | 'rebase':
-                return await self._finish(session, base, verb)
+                return await self._apply_or_rebase(session, base, verb)
         find = fields.get('find', '')
         return await self._overview(session, base, find=find)
 
-    async def _finish(
-        self, session: Session, base: console_drafts.Base, verb: str
+    async def _apply_or_rebase(
+        self, session: Session, base: console_drafts.BaseDocument, verb: str
     ) -> str:
         if verb == 'apply':
             return await self._apply(session, base)
         return await self._rebase(session, base)
 
-    async def _fresh(self, session: Session, notice: str = '') -> str:
-        """Begin a draft over the revision in force."""
-        shown = await self._desk.show()
-        fresh = session._replace(
+    async def _new_draft(self, session: Session, notice: str = '') -> str:
+        """Start a draft based on the current revision."""
+        shown = await self._admin.show()
+        restarted = session._replace(
             revision=shown.root.revision, changes=(), apply_id=uuid.uuid4().hex
         )
-        base = console_drafts.Base(shown.rendered, shown.document)
-        return await self._overview(fresh, base, notice)
+        base = console_drafts.BaseDocument(shown.rendered, shown.document)
+        return await self._overview(restarted, base, notice)
 
     async def _overview(
         self,
         session: Session,
-        base: console_drafts.Base,
+        base: console_drafts.BaseDocument,
         notice: str = '',
         find: str = '',
     ) -> str:
-        made = await self._drafts.judge(session, base)
+        validated = await self._drafts.check(session, base)
         differences: tuple[diff.Difference, ...] = ()
-        if made.document is not None:
-            differences = diff.compare(base.document, made.document)
+        if validated.document is not None:
+            differences = diff.compare(base.document, validated.document)
         return console_pages.overview(
             session,
             console_pages.Overview(
-                made.rendered, made.findings, differences, notice, find
+                validated.rendered,
+                validated.findings,
+                differences,
+                notice,
+                find,
             ),
         )
 
-    async def _pick(
+    async def _open_or_remove(
         self,
         session: Session,
-        base: console_drafts.Base,
+        base: console_drafts.BaseDocument,
         change: draft.Change,
         verb: str,
     ) -> str:
-        """Open a record, or remove it."""
+        """Open a record or remove it."""
         rendered = draft.apply(base.rendered, session.changes)
         if change.section not in rendered:
             return await self._overview(session, base)
         if verb == 'remove':
             changes = draft.merge(session.changes, change)
             return await self._overview(session._replace(changes=changes), base)
-        place = draft.place_of(rendered, change.section, change.key)
-        record = {} if place is None else rendered[change.section][place]
-        return await self._record(session, base, change._replace(record=record))
+        index = draft.place_of(rendered, change.section, change.key)
+        record = {} if index is None else rendered[change.section][index]
+        return await self._show_record(
+            session, base, change._replace(record=record)
+        )
 
-    async def _edit(
-        self, session: Session, base: console_drafts.Base, act: _Act
+    async def _edit_record(
+        self,
+        session: Session,
+        base: console_drafts.BaseDocument,
+        action: _FormAction,
     ) -> str:
-        """Take what the form of a record states."""
-        change = await self._stated(act.fields)
+        """Apply a button pressed in the form of a record."""
+        change = await self._decode_change(action.fields)
         if change is None:
             return await self._overview(session, base)
         record = change.record or {}
-        if act.verb == 'keep' and draft.key_of(change.section, record):
+        if action.verb == 'keep' and draft.key_of(change.section, record):
             changes = draft.merge(session.changes, change)
             session = session._replace(changes=changes)
             name = draft.key_of(change.section, record)
             change = change._replace(key=name)
-        elif act.verb == 'add':
-            record = console_forms.add_row(record, act.rest)
-        elif act.verb == 'drop':
-            record = console_forms.drop_row(record, act.rest)
-        return await self._record(session, base, change._replace(record=record))
+        elif action.verb == 'add':
+            record = console_forms.add_row(record, action.argument)
+        elif action.verb == 'drop':
+            record = console_forms.drop_row(record, action.argument)
+        return await self._show_record(
+            session, base, change._replace(record=record)
+        )
 
-    async def _stated(self, fields: Fields) -> draft.Change | None:
-        """Return the change that the form of a record states."""
-        schema = await self._desk.schema()
+    async def _decode_change(self, fields: Fields) -> draft.Change | None:
+        """Return the change that a submitted record form contains."""
+        schema = await self._admin.schema()
         section = fields.get('of', '')
         if section not in schema['properties']:
             return None
@@ -196,21 +213,24 @@
         record = console_forms.decode(schema['$defs'], of_record, fields)
         return draft.Change(section, fields.get('was', ''), record)
 
-    async def _record(
-        self, session: Session, base: console_drafts.Base, change: draft.Change
+    async def _show_record(
+        self,
+        session: Session,
+        base: console_drafts.BaseDocument,
+        change: draft.Change,
     ) -> str:
-        """Show a record, with what is wrong in the draft at its fields."""
-        schema = await self._desk.schema()
+        """Return the page of a record, with findings at its fields."""
+        schema = await self._admin.schema()
         reasons: console_forms.Reasons = {}
         if change.record:
             merged = draft.merge(session.changes, change)
-            made = await self._drafts.judge(
+            validated = await self._drafts.check(
                 session._replace(changes=merged), base
             )
             key = draft.key_of(change.section, change.record)
-            place = draft.place_of(made.rendered, change.section, key)
-            reasons = console_drafts.reasons_of(
-                made.findings, f'{change.section}[{place}]'
+            index = draft.place_of(validated.rendered, change.section, key)
+            reasons = console_drafts.findings_under(
+                validated.findings, f'{change.section}[{index}]'
             )
         form = console_forms.Form(schema['$defs'], reasons)
         of_record = console_forms.record_schema(schema, change.section)
@@ -221,46 +241,52 @@
             console_pages.RecordPage(change.section, change.key, inputs, left),
         )
 
-    async def _apply(self, session: Session, base: console_drafts.Base) -> str:
-        """Apply the draft; a refusal keeps it, with its apply id."""
+    async def _apply(
+        self, session: Session, base: console_drafts.BaseDocument
+    ) -> str:
+        """Apply the draft; if refused, it is kept with its apply id."""
         rendered = draft.apply(base.rendered, session.changes)
-        order = config_desk.Order(
+        params = config_desk.ApplyParams(
             session.revision, session.author, session.apply_id
         )
-        outcome = await self._desk.apply(json.dumps(rendered).encode(), order)
+        outcome = await self._admin.apply(json.dumps(rendered).encode(), params)
         if outcome.is_ok():
             done = f'Revision {outcome.unwrap()} is in force.'
             notice = console_pages.notice(done, good=True)
-            return await self._fresh(session, notice)
-        notice = _notice(outcome.unwrap_err())
+            return await self._new_draft(session, notice)
+        notice = _refusal_notice(outcome.unwrap_err())
         return await self._overview(session, base, notice)
 
-    async def _rebase(self, session: Session, base: console_drafts.Base) -> str:
-        """Carry the draft over to the revision in force.
+    async def _rebase(
+        self, session: Session, base: console_drafts.BaseDocument
+    ) -> str:
+        """Rebase the draft on the current revision.
 
-        A record that another operator changed meanwhile is not carried over:
-        the draft's would silently undo what the other did.
+        Changes of records that another operator changed meanwhile are
+        dropped, since they would silently undo the other operator's changes.
         """
-        shown = await self._desk.show()
-        clashing = draft.clashes(base.rendered, shown.rendered, session.changes)
+        shown = await self._admin.show()
+        conflicting = draft.clashes(
+            base.rendered, shown.rendered, session.changes
+        )
         kept = tuple(
-            change for change in session.changes if change not in clashing
+            change for change in session.changes if change not in conflicting
         )
-        moved = session._replace(
+        rebased = session._replace(
             revision=shown.root.revision,
             changes=kept,
             apply_id=uuid.uuid4().hex,
         )
         notice = ''.join(
             console_pages.notice(
-                f'Changed by another, do it again: {change.section} '
-                f'{change.key}',
+                'Changed by another operator, edit it again: '
+                f'{change.section} {change.key}',
                 good=False,
             )
-            for change in clashing
+            for change in conflicting
         )
-        present = console_drafts.Base(shown.rendered, shown.document)
-        return await self._overview(moved, present, notice)
+        present = console_drafts.BaseDocument(shown.rendered, shown.document)
+        return await self._overview(rebased, present, notice)
 
 
 async def _serve_style(
@@ -269,11 +295,14 @@
     await exchange.respond(OK, console_pages.STYLE.encode(), CSS)
 
 
-def _notice(refusal: config_desk.Refusal) -> str:
-    """Say why an apply was refused, and what to do."""
+def _refusal_notice(refusal: config_desk.Refusal) -> str:
+    """Return a notice of why an apply was refused and what to do."""
     match refusal:
         case config_desk.Invalid():
-            return console_pages.notice('Refused whole.', good=False)
+            return console_pages.notice(
+                'The configuration is invalid; nothing has been applied.',
+                good=False,
+            )
         case config_store.Conflict(revision, author, differences):
             lines = [diff.describe(found) for found in differences]
             text = f'Revision {revision} by {author} is in force:'
--- a/beryllug/control/console_drafts.py
+++ b/beryllug/control/console_drafts.py
@@ -1,4 +1,4 @@
-"""Drafts of the console: the document they start from, and their judgement."""
+"""Drafts of the console: their base documents and their validation."""
 
 import json
 from typing import NamedTuple
@@ -7,15 +7,15 @@
 from beryllug.core import config_data, document_plain, draft, finding
 
 
-class Base(NamedTuple):
-    """The document that the draft starts from."""
+class BaseDocument(NamedTuple):
+    """The document that a draft is based on."""
 
     rendered: draft.Rendered
     document: config_data.Document
 
 
 class Draft(NamedTuple):
-    """The draft judged as a whole."""
+    """A draft, validated as a whole document."""
 
     rendered: draft.Rendered
     document: config_data.Document | None
@@ -23,36 +23,38 @@
 
 
 class Drafts:
-    """Makes whole documents of drafts and judges them."""
+    """Builds whole documents from drafts and validates them."""
 
-    def __init__(self, desk: config_desk.ConfigDesk) -> None:
-        """Bind to the desk."""
-        self._desk = desk
+    def __init__(self, admin: config_desk.ConfigDesk) -> None:
+        """Bind to the configuration operations."""
+        self._admin = admin
 
-    async def base(self, revision: int) -> Base | None:
-        """Return the document of the revision that a draft starts from."""
-        shown = await self._desk.show()
+    async def base(self, revision: int) -> BaseDocument | None:
+        """Return the document of a draft's base revision, None if expired."""
+        shown = await self._admin.show()
         if shown.root.revision == revision:
-            return Base(shown.rendered, shown.document)
-        document = await self._desk.past(revision)
+            return BaseDocument(shown.rendered, shown.document)
+        document = await self._admin.past(revision)
         if document is None:
             return None
-        return Base(document_plain.render(document), document)
+        return BaseDocument(document_plain.render(document), document)
 
-    async def judge(self, session: console_pages.Session, base: Base) -> Draft:
-        """Make the whole document of a draft and judge it."""
+    async def check(
+        self, session: console_pages.Session, base: BaseDocument
+    ) -> Draft:
+        """Build the whole document of a draft and validate it."""
         rendered = draft.apply(base.rendered, session.changes)
         if not session.changes:
             return Draft(rendered, base.document, [])
         text = json.dumps(rendered).encode()
-        document, findings = await self._desk.judge(text)
+        document, findings = await self._admin.check_document(text)
         return Draft(rendered, document, findings)
 
 
-def reasons_of(
+def findings_under(
     findings: list[finding.Finding], prefix: str
 ) -> console_forms.Reasons:
-    """Return what is wrong inside one record, by path within it."""
+    """Return the findings inside one record, by path within it."""
     reasons: console_forms.Reasons = {}
     for found in findings:
         if found.path.startswith(prefix):
--- a/beryllug/control/console_forms.py
+++ b/beryllug/control/console_forms.py
@@ -1,7 +1,7 @@
-"""Forms of single records, made from the JSON Schema of a document.
+"""Forms of single records, generated from the JSON Schema of a document.
 
-The name of each input is the path of its value, which is also what a finding
-carries: so a finding is shown at its field without any table between them.
+The name of each input is the path of its value. Findings have the same paths,
+so a finding is shown at its field without a mapping between them.
 """
 
 import re
@@ -13,7 +13,7 @@
 Reasons = dict[str, list[str]]
 Fields = Mapping[str, str]
 
-WHOLE = re.compile(r'-?\d{1,15}')
+INTEGER = re.compile(r'-?\d{1,15}')
 DECIMAL = re.compile(r'-?\d{1,15}(\.\d{1,15})?')
 ROW = re.compile(r'\[(\d{1,4})\]')
 BOOLEAN = 'boolean'
@@ -22,11 +22,11 @@
 
 
 class Form(NamedTuple):
-    """What a form is rendered from.
+    """Input for rendering a form.
 
     Attributes:
-        definitions: The named parts of the schema.
-        reasons: What is wrong, by path; what was shown is taken out.
+        definitions: The named definitions of the schema.
+        reasons: Findings by path; rendered ones are removed.
     """
 
     definitions: Mapping[str, Schema]
@@ -40,14 +40,14 @@
 
 
 def render(form: Form, schema: Schema, record: Any, path: str = '') -> str:
-    """Return the inputs of a record."""
+    """Return the inputs of a record as HTML."""
     required = schema.get('required', ())
     return ''.join(
         _field(
             form,
             _resolve(declared, form.definitions),
             record.get(name, declared.get('default', '')),
-            _Place(_join(path, name), name in required),
+            _FieldInfo(_join(path, name), name in required),
         )
         for name, declared in schema['properties'].items()
     )
@@ -59,19 +59,19 @@
     fields: Fields,
     path: str = '',
 ) -> dict[str, Any]:
-    """Return the record that a submitted form states.
+    """Return the record that a submitted form contains.
 
-    Text that is no number stays text: the parser of documents then has a
-    finding at its path, as for any other document.
+    Text that isn't a valid number stays text: the document parser then reports
+    a finding at its path, as for any other document.
     """
     record: dict[str, Any] = {}
     required = schema.get('required', ())
     for name, declared in schema['properties'].items():
         resolved = _resolve(declared, definitions)
-        place = _Place(_join(path, name), name in required)
-        stated = _decode_value(definitions, resolved, fields, place)
-        if stated is not None:
-            record[name] = stated
+        field = _FieldInfo(_join(path, name), name in required)
+        value = _decode_value(definitions, resolved, fields, field)
+        if value is not None:
+            record[name] = value
     return record
 
 
@@ -81,120 +81,120 @@
 
 
 def drop_row(record: dict[str, Any], row: str) -> dict[str, Any]:
-    """Return a record without a row, named as ``allowed[1]``."""
-    name, _, place = row.rstrip(']').partition('[')
+    """Return a record without one row, given as ``allowed[1]``."""
+    name, _, position = row.rstrip(']').partition('[')
     rows = list(record.get(name, ()))
-    if place.isdigit() and int(place) < len(rows):
-        rows.pop(int(place))
+    if position.isdigit() and int(position) < len(rows):
+        rows.pop(int(position))
     return {**record, name: rows}
 
 
-class _Place(NamedTuple):
-    """Where a value stands, and whether it must be there."""
+class _FieldInfo(NamedTuple):
+    """Path of a value, and whether it is required."""
 
     path: str
     required: bool
 
 
-def _field(form: Form, schema: Schema, stated: Any, place: _Place) -> str:
+def _field(form: Form, schema: Schema, value: Any, field: _FieldInfo) -> str:
     if schema.get('type') == ARRAY:
         items = _resolve(schema['items'], form.definitions)
         if 'properties' in items:
-            return _rows(form, items, stated or [], place)
-        stated = '\n'.join(map(str, stated or ()))
-    label = _label(schema, place)
+            return _rows(form, items, value or [], field)
+        value = '\n'.join(map(str, value or ()))
+    label = _label(schema, field)
     return (
-        f'<div class="field"><label for="{place.path}">{label}</label>'
-        f'{_input(schema, stated, place)}{_told(form, place.path)}'
-        f'{_told_inside(form, place.path)}</div>'
+        f'<div class="field"><label for="{field.path}">{label}</label>'
+        f'{_input(schema, value, field)}{_errors(form, field.path)}'
+        f'{_errors_inside(form, field.path)}</div>'
     )
 
 
-def _rows(form: Form, schema: Schema, rows: Any, place: _Place) -> str:
-    name = place.path
+def _rows(form: Form, schema: Schema, rows: Any, field: _FieldInfo) -> str:
+    name = field.path
     shown = ''.join(
         f'<fieldset>{render(form, schema, row, f"{name}[{index}]")}'
         f'<button name="act" value="drop {name}[{index}]">Remove</button>'
-        f'{_told(form, f"{name}[{index}]")}</fieldset>'
+        f'{_errors(form, f"{name}[{index}]")}</fieldset>'
         for index, row in enumerate(rows)
     )
     return (
-        f'<fieldset><legend>{escape(name)}</legend>{_told(form, name)}{shown}'
+        f'<fieldset><legend>{escape(name)}</legend>{_errors(form, name)}{shown}'
         f'<button name="act" value="add {name}">Add</button></fieldset>'
     )
 
 
-def _input(schema: Schema, stated: Any, place: _Place) -> str:
-    named = f'id="{place.path}" name="{place.path}"'
+def _input(schema: Schema, value: Any, field: _FieldInfo) -> str:
+    named = f'id="{field.path}" name="{field.path}"'
     if schema.get('type') == BOOLEAN:
-        checked = ' checked' if stated is True else ''
+        checked = ' checked' if value is True else ''
         return f'<input type="checkbox" {named}{checked}>'
-    words = schema.get('enum')
-    if words is not None:
-        return f'<select {named}>{_options(words, stated)}</select>'
-    text = escape(str(stated))
+    choices = schema.get('enum')
+    if choices is not None:
+        return f'<select {named}>{_options(choices, value)}</select>'
+    text = escape(str(value))
     if schema.get('type') == ARRAY:
         return f'<textarea {named} rows="3">{text}</textarea>'
     return f'<input {named} value="{text}">'
 
 
-def _options(words: list[str], stated: Any) -> str:
+def _options(choices: list[str], value: Any) -> str:
     options = []
-    for word in words:
-        chosen = ' selected' if word == stated else ''
-        options.append(f'<option{chosen}>{escape(word)}</option>')
+    for word in choices:
+        selected = ' selected' if word == value else ''
+        options.append(f'<option{selected}>{escape(word)}</option>')
     return ''.join(options)
 
 
-def _label(schema: Schema, place: _Place) -> str:
-    """Return the name of a field, what it means and what it may hold."""
-    name = place.path.rpartition('.')[2]
+def _label(schema: Schema, field: _FieldInfo) -> str:
+    """Return the name of a field, its description and its bounds."""
+    name = field.path.rpartition('.')[2]
     bounds = ', '.join(_bounds(schema))
     hint = ' '.join(filter(None, (schema.get('description', ''), bounds)))
-    star = ' *' if place.required else ''
-    return f'{escape(name)}{star}<small>{escape(hint)}</small>'
+    required_mark = ' *' if field.required else ''
+    return f'{escape(name)}{required_mark}<small>{escape(hint)}</small>'
 
 
 def _bounds(schema: Schema) -> Iterator[str]:
     if schema.get('type') == ARRAY:
-        yield 'one a line'
+        yield 'one per line'
     for name, word in (('minimum', 'at least'), ('maximum', 'at most')):
         bound = schema.get(name)
         if bound is not None:
             yield f'{word} {bound}'
 
 
-def _told(form: Form, path: str) -> str:
-    """Return what is wrong at a path, and take it out of what is left."""
+def _errors(form: Form, path: str) -> str:
+    """Return the errors at a path as HTML and remove them from the form."""
     reasons = form.reasons.pop(path, [])
-    return ''.join(map(wrong, reasons))
+    return ''.join(map(error_line, reasons))
 
 
-def wrong(reason: str) -> str:
-    """Return a line that says what is wrong."""
+def error_line(reason: str) -> str:
+    """Return an error line as HTML."""
     return f'<p class="wrong" role="alert">{escape(reason)}</p>'
 
 
-def _told_inside(form: Form, path: str) -> str:
-    """Return what is wrong with the lines of a list."""
+def _errors_inside(form: Form, path: str) -> str:
+    """Return the errors of the items of a list as HTML."""
     inside = [key for key in form.reasons if key.startswith(f'{path}[')]
-    return ''.join(_told(form, key) for key in inside)
+    return ''.join(_errors(form, key) for key in inside)
 
 
 def _decode_value(
     definitions: Mapping[str, Schema],
     schema: Schema,
     fields: Fields,
-    place: _Place,
+    field: _FieldInfo,
 ) -> Any:
-    """Return what a form states for one value; None when it is left out."""
+    """Return one value of a submitted form, None if it is left out."""
     kind = schema.get('type')
     if kind == ARRAY:
-        return _decode_list(definitions, schema, fields, place.path)
+        return _decode_list(definitions, schema, fields, field.path)
     if kind == BOOLEAN:
-        return place.path in fields
-    text = fields.get(place.path, '').strip()
-    if not text and not place.required:
+        return field.path in fields
+    text = fields.get(field.path, '').strip()
+    if not text and not field.required:
         return None
     return _number(text) if kind in NUMBERS else text
 
@@ -212,10 +212,10 @@
             for row in sorted(_row_numbers(fields, path))
         ]
     lines = [line.strip() for line in fields.get(path, '').splitlines()]
-    stated = filter(None, lines)
+    value = filter(None, lines)
     if items.get('type') in NUMBERS:
-        return [_number(text) for text in stated]
-    return list(stated)
+        return [_number(text) for text in value]
+    return list(value)
 
 
 def _row_numbers(fields: Fields, path: str) -> set[int]:
@@ -228,7 +228,7 @@
 
 
 def _number(text: str) -> Any:
-    if WHOLE.fullmatch(text):
+    if INTEGER.fullmatch(text):
         return int(text)
     return float(text) if DECIMAL.fullmatch(text) else text
 
@@ -238,7 +238,7 @@
 
 
 def _resolve(schema: Schema, definitions: Mapping[str, Schema]) -> Schema:
-    """Return a part of the schema with what it refers to."""
+    """Return a schema merged with the definition that it refers to."""
     reference = schema.get('$ref', '')
     if not reference:
         return schema
--- a/beryllug/control/console_pages.py
+++ b/beryllug/control/console_pages.py
@@ -28,13 +28,13 @@
 
 
 class Session(NamedTuple):
-    """What a page carries from one request to the next.
+    """State that a page carries from one request to the next.
 
     Attributes:
-        author: Who is at the console.
-        token: Shows that a submitted form came from one of our pages.
-        revision: The revision that the operator started from.
-        changes: What was changed since.
+        author: Name of the operator.
+        token: CSRF token; proves that a form came from one of our pages.
+        revision: The base revision of the draft.
+        changes: The changes of the draft.
         apply_id: Id under which the draft will be applied.
     """
 
@@ -46,14 +46,14 @@
 
 
 class Overview(NamedTuple):
-    """All that the first page shows.
+    """Content of the first page.
 
     Attributes:
-        rendered: The document with the changes made so far.
-        findings: What is wrong with it.
-        differences: How it differs from the revision started from.
-        notice: What became of the last act, as HTML.
-        find: Only records whose name has this are listed.
+        rendered: The document with the changes of the draft.
+        findings: Findings of its validation.
+        differences: Differences from the base revision.
+        notice: Result of the last action, as HTML.
+        find: Only records whose name contains this are listed.
     """
 
     rendered: draft.Rendered
@@ -64,13 +64,13 @@
 
 
 class RecordPage(NamedTuple):
-    """One record in its form.
+    """Content of the page of one record.
 
     Attributes:
         section: Its section.
-        key: Its name as it was, empty for a new one.
+        key: Its name before the change, empty for a new record.
         inputs: Its inputs, as HTML.
-        left: What is wrong with it and has no field of its own.
+        left: Findings that belong to no input.
     """
 
     section: str
@@ -79,39 +79,39 @@
     left: Sequence[str] = ()
 
 
-def overview(session: Session, shown: Overview) -> str:
-    """Return the first page: sections, findings, differences, apply."""
+def overview(session: Session, content: Overview) -> str:
+    """Return the first page: notices, findings, differences and sections."""
     sections = ''.join(
-        _section(session, section, records, shown.find)
-        for section, records in shown.rendered.items()
+        _section(session, section, records, content.find)
+        for section, records in content.rendered.items()
     )
     body = (
-        f'{shown.notice}{_findings(shown)}{_differences(session, shown)}'
+        f'{content.notice}{_findings(content)}{_differences(session, content)}'
         f'<p><label for="find">Find by name</label>'
-        f'<input id="find" name="find" value="{escape(shown.find)}">'
+        f'<input id="find" name="find" value="{escape(content.find)}">'
         f'{_button("find", "Find")}</p>{sections}'
     )
     return page(session, f'Revision {session.revision}', body)
 
 
-def record(session: Session, shown: RecordPage) -> str:
+def record(session: Session, content: RecordPage) -> str:
     """Return the page of one record."""
-    left = ''.join(map(console_forms.wrong, shown.left))
+    left = ''.join(map(console_forms.error_line, content.left))
     body = (
-        f'<input type="hidden" name="of" value="{escape(shown.section)}">'
-        f'<input type="hidden" name="was" value="{escape(shown.key)}">'
-        # The first button of a form is what the enter key presses.
+        f'<input type="hidden" name="of" value="{escape(content.section)}">'
+        f'<input type="hidden" name="was" value="{escape(content.key)}">'
+        # The enter key presses the first button of a form.
         f'{_button("keep", "Keep in the draft")}{_button("back", "Back")}'
-        f'{left}{shown.inputs}'
+        f'{left}{content.inputs}'
     )
-    title = f'{shown.section}: {shown.key or "new"}'
+    title = f'{content.section}: {content.key or "new"}'
     return page(session, title, body)
 
 
 def page(session: Session, title: str, body: str) -> str:
-    """Return a whole page with what it carries on."""
+    """Return a whole page, with the session in hidden inputs."""
     changes = json.dumps(plain.to_plain(session.changes))
-    carried = ''.join(
+    hidden_inputs = ''.join(
         f'<input type="hidden" name="{name}" value="{escape(text)}">'
         for name, text in (
             ('token', session.token),
@@ -126,22 +126,22 @@
         '<meta name="viewport" content="width=device-width">'
         '<link rel="stylesheet" href="/console/style.css"></head><body>'
         f'<h1>{escape(title)}</h1><p>You are {escape(session.author)}.</p>'
-        f'<form method="post" action="/console">{carried}{body}</form>'
+        f'<form method="post" action="/console">{hidden_inputs}{body}</form>'
         '</body></html>'
     )
 
 
 def notice(text: str, *, good: bool) -> str:
-    """Return a line about the last act."""
+    """Return a line about the last action as HTML."""
     if good:
         return f'<p class="good" role="status">{escape(text)}</p>'
-    return console_forms.wrong(text)
+    return console_forms.error_line(text)
 
 
 def conflict(text: str, lines: Sequence[str]) -> str:
-    """Return what another operator did, and the way on."""
+    """Return another operator's changes with a button to rebase the draft."""
     button = _button('rebase', 'Carry my changes over')
-    return f'{console_forms.wrong(text)}{_list(lines)}{button}'
+    return f'{console_forms.error_line(text)}{_list(lines)}{button}'
 
 
 def _section(
@@ -155,7 +155,7 @@
         if change.section == section
     }
     lines = ''.join(
-        _line(section, key, key in changed) for key in found[:MAX_SHOWN]
+        _record_line(section, key, key in changed) for key in found[:MAX_SHOWN]
     )
     more = len(found) - MAX_SHOWN
     hidden = f'<p>and {more} more; find them by name</p>' if more > 0 else ''
@@ -165,7 +165,7 @@
     )
 
 
-def _line(section: str, key: str, is_changed: bool) -> str:
+def _record_line(section: str, key: str, is_changed: bool) -> str:
     marked = ' class="changed"' if is_changed else ''
     return (
         f'<li{marked}>{escape(key)} {_button(f"open {section} {key}", "Edit")}'
@@ -173,18 +173,18 @@
     )
 
 
-def _findings(shown: Overview) -> str:
+def _findings(content: Overview) -> str:
     return ''.join(
-        console_forms.wrong(f'{found.path}: {found.reason}')
-        for found in shown.findings
+        console_forms.error_line(f'{found.path}: {found.reason}')
+        for found in content.findings
     )
 
 
-def _differences(session: Session, shown: Overview) -> str:
+def _differences(session: Session, content: Overview) -> str:
     if not session.changes:
         return '<p>Nothing is changed yet.</p>'
-    lines = _list(map(diff.describe, shown.differences))
-    can_apply = not shown.findings and shown.differences
+    lines = _list(map(diff.describe, content.differences))
+    can_apply = not content.findings and content.differences
     apply = _button('apply', 'Apply') if can_apply else ''
     return f'{lines}{apply}{_button("discard", "Discard the draft")}'
 
--- a/beryllug/control/console_test.py
+++ b/beryllug/control/console_test.py
@@ -1,4 +1,4 @@
-"""Tests of the console, as a browser without scripts would use it."""
+"""Tests of the console, used like by a browser without scripts."""
 
 import base64
 import itertools
@@ -33,57 +33,57 @@
 
 
 class _Page(parser.HTMLParser):
-    """The fields, the buttons and the lines of a page."""
+    """Parser for the fields, the buttons and the error lines of a page."""
 
     def __init__(self, text: str) -> None:
         super().__init__()
         self.text = text
         self.fields: dict[str, str] = {}
         self.acts: list[str] = []
-        self.wrong: list[str] = []
-        self._within = ''
-        self._told = False
+        self.errors: list[str] = []
+        self._open_field = ''
+        self._in_error_line = False
         self.feed(text)
 
     def handle_starttag(self, tag: str, attrs: Any) -> None:
-        """Take what a browser would submit."""
-        stated = dict(attrs)
-        name = stated.get('name', '')
-        self._told = stated.get('class') == 'wrong'
+        """Collect the fields that a browser would submit."""
+        attributes = dict(attrs)
+        name = attributes.get('name', '')
+        self._in_error_line = attributes.get('class') == 'wrong'
         match tag:
-            case 'input' if stated.get('type') == 'checkbox':
-                if 'checked' in stated:
+            case 'input' if attributes.get('type') == 'checkbox':
+                if 'checked' in attributes:
                     self.fields[name] = 'on'
             case 'input':
-                self.fields[name] = stated.get('value', '')
+                self.fields[name] = attributes.get('value', '')
             case 'textarea' | 'select':
-                self._within = name
+                self._open_field = name
                 self.fields[name] = ''
-            case 'option' if 'selected' in stated:
-                self.fields[self._within] = '?'
+            case 'option' if 'selected' in attributes:
+                self.fields[self._open_field] = '?'
             case 'button':
-                self.acts.append(stated['value'])
+                self.acts.append(attributes['value'])
 
     def handle_endtag(self, tag: str) -> None:
-        """Leave a field."""
+        """End a field or an error line."""
         if tag in {'textarea', 'select'}:
-            self._within = ''
-        self._told = False
+            self._open_field = ''
+        self._in_error_line = False
 
     def handle_data(self, data: str) -> None:
-        """Take the text of a field or of a line."""
-        chosen = self.fields.get(self._within) == '?'
-        if self._within and (chosen or self.lasttag == 'textarea'):
-            self.fields[self._within] = data
-        if self._told:
-            self.wrong.append(data)
+        """Collect the text of a field or of an error line."""
+        chosen = self.fields.get(self._open_field) == '?'
+        if self._open_field and (chosen or self.lasttag == 'textarea'):
+            self.fields[self._open_field] = data
+        if self._in_error_line:
+            self.errors.append(data)
 
 
 class FormsTest(IsolatedAsyncioTestCase):
-    """Forms state what they show."""
+    """Decoded forms equal the records they were rendered from."""
 
     def test_round_trip(self) -> None:
-        """Each record of the examples comes back from its form unchanged."""
+        """Each record of the examples is unchanged after render and decode."""
         schema = document.schema()
         for name in ('kesarvan', 'takas'):
             text = (EXAMPLES / f'{name}.json').read_text()
@@ -98,7 +98,7 @@
         form = console_forms.Form(schema['$defs'], {})
         page = _Page(console_forms.render(form, of_record, record))
         decoded = console_forms.decode(schema['$defs'], of_record, page.fields)
-        # Defaults are stated in a form, and may be left out of a document.
+        # A form contains default values; a document may leave them out.
         parsed = [
             document.parse(json.dumps({section: [one]}), 'd')[0]
             for one in (record, decoded)
@@ -109,7 +109,7 @@
 
 
 class ConsoleTest(IsolatedAsyncioTestCase):
-    """From a page to a revision in force."""
+    """Editing in the console and applying the result."""
 
     async def asyncSetUp(self) -> None:
         no_pause = mock.patch.object(config_store, 'PAUSE_S', 0)
@@ -118,7 +118,7 @@
         self.api = object_fake_test.FakeObjects()
         calls = mock.Mock(call=mock.AsyncMock(side_effect=rpc.RpcError))
         view = config.Config(PROCESS, CONTROL, self.api, calls)
-        self.desk = config_desk.ConfigDesk(view)
+        self.admin = config_desk.ConfigDesk(view)
         self.operators = ops.Operators(
             settings_data.Operators('127.0.0.1:0', (KEY,)),
             registry.Registry(),
@@ -135,21 +135,21 @@
         await self.operators.stop(0)
 
     async def test_change(self) -> None:
-        """A value is changed in its form and is in force after the apply."""
+        """A value changed in a form is in the current document after apply."""
         page = await self.press(await self.open(), f'open accounts {FIRST}')
         page.fields['weight'] = '9'
         page = await self.press(page, 'keep')
-        self.assertEqual(page.wrong, [])
+        self.assertEqual(page.errors, [])
         page = await self.press(page, 'back')
         self.assertIn(f'accounts[{FIRST}].weight: 5 -&gt; 9', page.text)
         page = await self.press(page, 'apply')
         self.assertIn('Revision 2 is in force', page.text)
-        shown = await self.desk.show()
+        shown = await self.admin.show()
         self.assertEqual(shown.document.accounts[0].weight, 9)
         self.assertEqual(shown.root.author, 'ann')
 
     async def test_findings(self) -> None:
-        """What is wrong stands at its field, and keeps the draft unapplied."""
+        """Findings are shown at their fields and prevent an apply."""
         page = await self.press(await self.open(), f'open accounts {FIRST}')
         page.fields['weight'] = 'much'
         page.fields['allowed[1].version'] = 'v9'
@@ -159,16 +159,16 @@
         self.assertEqual(page.fields['weight'], 'much')
         page.fields['weight'] = '5'
         page = await self.press(page, 'keep')
-        self.assertIn("model 'desk-large' has no version 'v9'", page.wrong)
+        self.assertIn("model 'desk-large' has no version 'v9'", page.errors)
         place = page.text.index('id="allowed[1].version"')
         self.assertIn('class="wrong"', page.text[place : place + 120])
         page = await self.press(page, 'back')
         self.assertNotIn('apply', page.acts)
-        listed = ' '.join(page.wrong)
+        listed = ' '.join(page.errors)
         self.assertIn('accounts[0].allowed[1].version', listed)
 
     async def test_rows(self) -> None:
-        """Rows are added and removed, whole records too."""
+        """List rows and whole records are added and removed."""
         page = await self.press(await self.open(), f'open accounts {FIRST}')
         page = await self.press(page, 'drop allowed[0]')
         self.assertEqual(page.fields['allowed[0].model'], 'desk-large')
@@ -184,53 +184,54 @@
         page = await self.press(page, 'remove accounts saputara-spa')
         page = await self.press(page, 'apply')
         self.assertIn('Revision 2 is in force', page.text)
-        accounts = (await self.desk.show()).document.accounts
+        accounts = (await self.admin.show()).document.accounts
         names = [account.account_id for account in accounts]
         self.assertEqual(names, [FIRST, 'saputara-2'])
         models = [ref.model for ref in accounts[0].allowed]
         self.assertEqual(models, ['desk-large', 'desk-small'])
 
     async def test_conflict(self) -> None:
-        """Another operator applies while a draft is open.
+        """Another operator applies a change while a draft is open.
 
-        The draft is refused. Carried over, it keeps what the other did not
-        touch; a record that both changed must be done again, since the
-        draft's would undo what the other did.
+        The draft is refused. Rebased, it keeps changes of records that the
+        other operator did not change. A record changed by both must be edited
+        again, since the draft would undo the other operator's change.
         """
         for target, kept in (
             ('"weight": 5', False),
             ('"total_ms": 400', True),
         ):
             with self.subTest(target):
-                revision = (await self.desk.show()).root.revision
+                revision = (await self.admin.show()).root.revision
                 page = await self.open()
                 page = await self.press(page, f'open accounts {FIRST}')
                 page.fields['weight'] = '8'
                 page = await self.press(page, 'keep')
                 await self.apply(TEXT.replace(target, f'{target}1'), revision)
                 page = await self.press(page, 'apply')
-                self.assertIn('by bob is in force', page.wrong[0])
+                self.assertIn('by bob is in force', page.errors[0])
                 page = await self.press(page, 'rebase')
                 self.assertEqual('apply' in page.acts, kept)
                 await self.apply(TEXT, revision + 1)
 
     async def test_lost_answer(self) -> None:
-        """The platform's answer is lost: pressing Apply again is safe."""
+        """The platform's reply is lost: pressing Apply again is safe."""
         page = await self.press(await self.open(), f'open accounts {FIRST}')
         page.fields['weight'] = '9'
         page = await self.press(page, 'keep')
-        self.api.before_write = self._lose_root
+        self.api.before_write = self._lose_root_reply
         page = await self.press(page, 'apply')
-        self.assertIn('Not known whether', page.wrong[0])
+        self.assertIn('Not known whether', page.errors[0])
         self.api.drop.clear()
         page = await self.press(page, 'apply')
         self.assertIn('Revision 2 is in force', page.text)
 
     async def test_access(self) -> None:
-        """A foreign page can't make the browser change anything.
+        """A page of another site can't make the browser change anything.
 
-        The browser would send the operator's name and key with it. The form
-        of the foreign page lacks our token, or the browser says whose it is.
+        The browser sends the operator's name and key with such requests. They
+        are refused because the form lacks the CSRF token, or because of the
+        Sec-Fetch-Site header.
         """
         page = await self.open()
         self.assertIn("default-src 'none'", self.answer[CSP])
@@ -244,7 +245,7 @@
         self.assertIn('Basic', self.answer['www-authenticate'])
 
     async def test_hostile_fields(self) -> None:
-        """Broken or hostile fields never make a broken page or a change."""
+        """Malformed or hostile fields never break a page or apply a change."""
         page = await self.open()
         before = dict(self.api.stored)
         hostile = '<script>alert(1)</script>'
@@ -284,8 +285,8 @@
 
     async def apply(self, text: str, expect: int) -> None:
         """Apply a document as another operator."""
-        order = config_desk.Order(expect, 'bob', f'apply-{expect}')
-        outcome = await self.desk.apply(text.encode(), order)
+        params = config_desk.ApplyParams(expect, 'bob', f'apply-{expect}')
+        outcome = await self.admin.apply(text.encode(), params)
         self.assertTrue(outcome.is_ok(), outcome)
 
     async def _send(
@@ -306,12 +307,12 @@
         self.body = answer.decode()
         return incoming.status
 
-    async def _lose_root(self, key: str) -> None:
+    async def _lose_root_reply(self, key: str) -> None:
         if key == config_root.KEY:
             self.api.lose = [f'write {key}']
             self.api.drop = list(itertools.repeat(f'read {key}', 9))
         else:
-            self.api.before_write = self._lose_root
+            self.api.before_write = self._lose_root_reply
 
 
 if __name__ == '__main__':
--- a/beryllug/control/fleet_status.py
+++ b/beryllug/control/fleet_status.py
@@ -1,7 +1,7 @@
-"""The state of every process of the fleet, gathered when it is asked for.
+"""The state of every process of the fleet, gathered on request.
 
 Each control process knows itself and the entries that follow it. An operator
-asks one of them, which asks all others once; nothing is gathered otherwise.
+asks one of them, which asks all others once; there is no polling.
 """
 
 import asyncio
@@ -11,31 +11,31 @@
 from beryllug.core import rpc_data, settings_data
 from beryllug.drivers import methods, rpc, rpc_peers
 
-CALL_S = 1.0
-AT_ONCE = 32
+CALL_TIMEOUT_S = 1.0
+MAX_CONCURRENT_CALLS = 32
 
 Processes = tuple[rpc_data.ProcessStatus, ...]
 
 
 class FleetStatus:
-    """Tells the state of this process, and gathers that of all others."""
+    """Returns the state of this process and gathers that of all others."""
 
     def __init__(self, view: config.Config, calls: rpc_peers.Caller) -> None:
-        """Bind to the configuration service and the calls of peers."""
+        """Bind to the configuration service and the RPC client for peers."""
         self._view = view
         self._calls = calls
-        self._gate = asyncio.Semaphore(AT_ONCE)
+        self._call_limit = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
     def serve(self, server: rpc.RpcServer) -> None:
         """Register the method that other control processes call."""
         server.unary(methods.STATUS, self.on_status)
 
     async def on_status(self, ask: rpc_data.Empty) -> rpc_data.StatusReply:
-        """Tell of this process and of the entries that follow it."""
-        return rpc_data.StatusReply(self.own())
+        """Return the state of this process and of its entries to a peer."""
+        return rpc_data.StatusReply(self.own_processes())
 
-    def own(self) -> Processes:
-        """Return this process and the entries that follow it."""
+    def own_processes(self) -> Processes:
+        """Return the state of this process and of its entries."""
         process = self._view.process
         control = rpc_data.ProcessStatus(
             name=process.name,
@@ -58,12 +58,15 @@
         return (control, *entries)
 
     async def gather(self) -> Processes:
-        """Return all processes; those that don't answer are named, too."""
+        """Return all processes, including those that don't answer."""
         others = self._view.others.everyone()
         replies = await asyncio.gather(*map(self._ask, others))
-        return (*self.own(), *(item for reply in replies for item in reply))
+        return (
+            *self.own_processes(),
+            *(item for reply in replies for item in reply),
+        )
 
-    def backends(self) -> list[dict[str, Any]]:
+    def backend_servers(self) -> list[dict[str, Any]]:
         """Return the backend servers with their last reported load."""
         parts = self._view.feed.parts
         loads = {load.server_id: load for load in parts.loads}
@@ -81,17 +84,17 @@
         return listed
 
     async def _ask(self, address: str) -> Processes:
-        async with self._gate:
+        async with self._call_limit:
             try:
                 reply = await self._calls.call(
-                    address, methods.STATUS, rpc_data.Empty(), CALL_S
+                    address, methods.STATUS, rpc_data.Empty(), CALL_TIMEOUT_S
                 )
             except rpc.RpcError as exc:
-                return (_silent(address, exc),)
+                return (_unreachable(address, exc),)
         return reply.processes
 
 
-def _silent(address: str, exc: rpc.RpcError) -> rpc_data.ProcessStatus:
+def _unreachable(address: str, exc: rpc.RpcError) -> rpc_data.ProcessStatus:
     return rpc_data.ProcessStatus(
         name=address,
         role=settings_data.Role.CONTROL.value,
--- a/beryllug/control/operator_replies.py
+++ b/beryllug/control/operator_replies.py
@@ -1,7 +1,7 @@
-"""Requests and answers of the operators' address, as plain data.
+"""Requests and replies of the operators' address, as plain data.
 
-Every answer is JSON. One that isn't 200 has ``error``, a word for programs,
-and ``message``, which tells a person what to do next.
+Every reply is JSON. One whose status isn't 200 has ``error``, an error code
+for programs, and ``message``, which tells the operator what to do next.
 """
 
 import re
@@ -28,35 +28,35 @@
 INVALID = 422
 UNAVAILABLE = 503
 UNCERTAIN = 504
-WORD = re.compile('[A-Za-z0-9][A-Za-z0-9._@-]{0,62}')
+IDENTIFIER = re.compile('[A-Za-z0-9][A-Za-z0-9._@-]{0,62}')
 
 
 class Reply(NamedTuple):
-    """Status and body of an answer."""
+    """Status and body of a reply."""
 
     status: int
     body: Any
 
 
 class UsageError(Exception):
-    """The request can't be understood; the text says what is missing."""
+    """The request is invalid; the text says which parameter and why."""
 
 
 Query = dict[str, str]
-Answer = Callable[[Query, bytes], Awaitable[Reply]]
+Handler = Callable[[Query, bytes], Awaitable[Reply]]
 
 
 async def serve(
-    answer: Answer, req: http_data.Request, exchange: http_server.Exchange
+    handler: Handler, req: http_data.Request, exchange: http_server.Exchange
 ) -> None:
-    """Answer one request; a failure is an answer, too."""
+    """Handle one request; errors are turned into replies."""
     query = dict(parse_qsl(urlsplit(req.target).query))
     try:
-        reply = await answer(query, req.body)
+        reply = await handler(query, req.body)
     except UsageError as exc:
-        reply = failed(BAD_REQUEST, 'usage', str(exc))
+        reply = error_reply(BAD_REQUEST, 'usage', str(exc))
     except object_data.ObjectApiError as exc:
-        reply = failed(UNAVAILABLE, 'unavailable', f'platform: {exc}')
+        reply = error_reply(UNAVAILABLE, 'unavailable', f'platform: {exc}')
     await exchange.respond(
         reply.status,
         msgspec.json.encode(reply.body),
@@ -64,30 +64,37 @@
     )
 
 
-def applied(outcome: config_desk.Outcome, order: config_desk.Order) -> Reply:
-    """Turn the outcome of an apply into an answer."""
+def apply_reply(
+    outcome: config_desk.Outcome, params: config_desk.ApplyParams
+) -> Reply:
+    """Turn the outcome of an apply into a reply."""
     if outcome.is_ok():
-        done = {'revision': outcome.unwrap(), 'apply_id': order.apply_id}
-        return Reply(OK, done)
+        accepted = {'revision': outcome.unwrap(), 'apply_id': params.apply_id}
+        return Reply(OK, accepted)
     match outcome.unwrap_err():
         case config_desk.Invalid(findings):
-            return invalid(findings)
+            return invalid_reply(findings)
         case config_store.Conflict() as conflict:
             return _conflict(conflict)
         case config_store.Unavailable(reason):
-            return failed(
+            return error_reply(
                 UNAVAILABLE, 'unavailable', f'nothing changed: {reason}'
             )
         case config_store.Uncertain(apply_id, reason):
-            message = f'repeat it with the same apply id to learn: {reason}'
-            refused = failed(UNCERTAIN, 'uncertain', message)
-            return Reply(UNCERTAIN, {**refused.body, 'apply_id': apply_id})
+            message = (
+                'repeat it with the same apply id to learn the result: '
+                f'{reason}'
+            )
+            base_reply = error_reply(UNCERTAIN, 'uncertain', message)
+            return Reply(UNCERTAIN, {**base_reply.body, 'apply_id': apply_id})
 
 
-def invalid(findings: Sequence[finding.Finding]) -> Reply:
-    refused = failed(INVALID, 'invalid', 'refused whole; mend all findings')
+def invalid_reply(findings: Sequence[finding.Finding]) -> Reply:
+    base_reply = error_reply(
+        INVALID, 'invalid', 'refused whole; mend all findings'
+    )
     listed = plain.to_plain(tuple(findings))
-    return Reply(INVALID, {**refused.body, 'findings': listed})
+    return Reply(INVALID, {**base_reply.body, 'findings': listed})
 
 
 def _conflict(conflict: config_store.Conflict) -> Reply:
@@ -95,11 +102,11 @@
         f'revision {conflict.revision} by {conflict.author or "nobody"} is in '
         'force; look at the differences and apply against it'
     )
-    refused = failed(CONFLICT, 'conflict', message)
+    base_reply = error_reply(CONFLICT, 'conflict', message)
     return Reply(
         CONFLICT,
         {
-            **refused.body,
+            **base_reply.body,
             'revision': conflict.revision,
             'author': conflict.author,
             'differences': plain.to_plain(conflict.differences),
@@ -107,33 +114,39 @@
     )
 
 
-def failed(status: int, word: str, message: str) -> Reply:
-    return Reply(status, {'error': word, 'message': message})
+def error_reply(status: int, error: str, message: str) -> Reply:
+    return Reply(status, {'error': error, 'message': message})
 
 
-def order_of(query: Query, expect: int) -> config_desk.Order:
-    author = word_of(query, 'author')
+def apply_params(query: Query, expect: int) -> config_desk.ApplyParams:
+    author = identifier_param(query, 'author')
     apply_id = query.get('apply_id') or uuid.uuid4().hex
-    if WORD.fullmatch(apply_id) is None:
-        raise UsageError('apply_id must be a word')
-    return config_desk.Order(expect, author, apply_id)
+    if IDENTIFIER.fullmatch(apply_id) is None:
+        raise UsageError(
+            'apply_id must be a letter or digit, then up to 62 letters, '
+            'digits or ._@-'
+        )
+    return config_desk.ApplyParams(expect, author, apply_id)
 
 
-def ref_of(query: Query) -> config_data.VersionRef:
+def version_ref_param(query: Query) -> config_data.VersionRef:
     return config_data.VersionRef(
-        word_of(query, 'model'), word_of(query, 'version')
+        identifier_param(query, 'model'), identifier_param(query, 'version')
     )
 
 
-def word_of(query: Query, name: str) -> str:
-    found = query.get(name, '')
-    if WORD.fullmatch(found) is None:
-        raise UsageError(f'{name} must be given, as a word')
-    return found
+def identifier_param(query: Query, name: str) -> str:
+    text = query.get(name, '')
+    if IDENTIFIER.fullmatch(text) is None:
+        raise UsageError(
+            f'{name} must be given: a letter or digit, then up to 62 letters, '
+            'digits or ._@-'
+        )
+    return text
 
 
-def number_of(query: Query, name: str) -> int:
-    found = query.get(name, '')
-    if not (found.isascii() and found.isdigit()):
+def integer_param(query: Query, name: str) -> int:
+    text = query.get(name, '')
+    if not (text.isascii() and text.isdigit()):
         raise UsageError(f'{name} must be given, as a whole number')
-    return int(found)
+    return int(text)
--- a/beryllug/control/operators.py
+++ b/beryllug/control/operators.py
@@ -18,39 +18,39 @@
 GET = 'GET'
 POST = 'POST'
 
-Answers = dict[tuple[str, str], replies.Answer]
+Handlers = dict[tuple[str, str], replies.Handler]
 Query = replies.Query
 
 
 class Usage(Protocol):
-    """What is needed of the journal."""
+    """Interface of the journal."""
 
     async def usage(self) -> Any:
-        """Return the aggregate of all bills."""
+        """Return the sum of all billed usage."""
 
 
 def routes(
-    desk: config_desk.ConfigDesk,
+    admin: config_desk.ConfigDesk,
     status: fleet_status.FleetStatus,
     usage: Usage | None = None,
 ) -> ops.Routes:
     """Return the handlers by method and path.
 
     Args:
-        desk: What operators do with the configuration.
-        status: The state of the fleet.
+        admin: Operations on the configuration.
+        status: State of the fleet.
         usage: The journal; None in a process without one.
     """
-    answers = {
-        **ConfigRoutes(desk).answers(),
-        **EditRoutes(desk).answers(),
-        **StatusRoutes(status, usage).answers(),
+    handlers = {
+        **ConfigRoutes(admin).handlers(),
+        **EditRoutes(admin).handlers(),
+        **StatusRoutes(status, usage).handlers(),
     }
     served = {
-        ops.Route(*route): functools.partial(replies.serve, answer)
-        for route, answer in answers.items()
+        ops.Route(*route): functools.partial(replies.serve, handler)
+        for route, handler in handlers.items()
     }
-    return {**served, **console.Console(desk).routes()}
+    return {**served, **console.Console(admin).routes()}
 
 
 def for_control(
@@ -63,8 +63,8 @@
 
     Args:
         view: The configuration service.
-        calls: Calls of peers.
-        server: Takes the method by which peers ask for this process's state.
+        calls: RPC client for peers.
+        server: RPC server of this process; peers request its state there.
         usage: The journal; None in a process without one.
     """
     status = fleet_status.FleetStatus(view, calls)
@@ -73,14 +73,14 @@
 
 
 class ConfigRoutes:
-    """Shows, judges and applies whole documents."""
+    """Shows, validates and applies whole documents."""
 
-    def __init__(self, desk: config_desk.ConfigDesk) -> None:
-        """Bind to the desk."""
-        self._desk = desk
+    def __init__(self, admin: config_desk.ConfigDesk) -> None:
+        """Bind to the configuration operations."""
+        self._admin = admin
 
-    def answers(self) -> Answers:
-        """Return the answers by method and path."""
+    def handlers(self) -> Handlers:
+        """Return the handlers by method and path."""
         return {
             (GET, '/v1/config'): self.show,
             (POST, '/v1/config'): self.apply,
@@ -91,10 +91,12 @@
         }
 
     async def show(self, query: Query, body: bytes) -> replies.Reply:
-        """Show the document in force, or one that is remembered."""
+        """Show the current document or a retained past revision."""
         if 'revision' in query:
-            return await self._show_past(replies.number_of(query, 'revision'))
-        shown = await self._desk.show()
+            return await self._show_past(
+                replies.integer_param(query, 'revision')
+            )
+        shown = await self._admin.show()
         return replies.Reply(
             replies.OK,
             {
@@ -106,34 +108,36 @@
         )
 
     async def apply(self, query: Query, body: bytes) -> replies.Reply:
-        """Put a document in force."""
-        expect = replies.number_of(query, 'expect')
-        order = replies.order_of(query, expect)
-        return replies.applied(await self._desk.apply(body, order), order)
+        """Apply a document."""
+        expect = replies.integer_param(query, 'expect')
+        params = replies.apply_params(query, expect)
+        return replies.apply_reply(
+            await self._admin.apply(body, params), params
+        )
 
     async def history(self, query: Query, body: bytes) -> replies.Reply:
-        """Show who applied the last revisions, and when."""
-        shown = await self._desk.show()
+        """Show author and time of the last revisions."""
+        shown = await self._admin.show()
         listed = plain.to_plain(shown.root.history)
         return replies.Reply(replies.OK, {'history': listed})
 
     async def schema(self, query: Query, body: bytes) -> replies.Reply:
         """Show the JSON Schema of a document."""
-        return replies.Reply(replies.OK, await self._desk.schema())
+        return replies.Reply(replies.OK, await self._admin.schema())
 
     async def validate(self, query: Query, body: bytes) -> replies.Reply:
-        """Judge a document and change nothing."""
-        document, findings = await self._desk.judge(body)
+        """Validate a document without applying it."""
+        document, findings = await self._admin.check_document(body)
         if document is None:
-            return replies.invalid(findings)
+            return replies.invalid_reply(findings)
         return replies.Reply(replies.OK, {'findings': []})
 
     async def compare(self, query: Query, body: bytes) -> replies.Reply:
-        """Tell how a document differs from the one in force."""
-        document, findings = await self._desk.judge(body)
+        """Show the differences between a document and the current one."""
+        document, findings = await self._admin.check_document(body)
         if document is None:
-            return replies.invalid(findings)
-        shown = await self._desk.show()
+            return replies.invalid_reply(findings)
+        shown = await self._admin.show()
         differences = diff.compare(shown.document, document)
         return replies.Reply(
             replies.OK,
@@ -144,24 +148,24 @@
         )
 
     async def _show_past(self, revision: int) -> replies.Reply:
-        document = await self._desk.past(revision)
+        document = await self._admin.past(revision)
         if document is None:
             message = f'revision {revision} is not remembered'
-            return replies.failed(replies.NOT_FOUND, 'unknown', message)
+            return replies.error_reply(replies.NOT_FOUND, 'unknown', message)
         rendered = document_plain.render(document)
         shown = {'revision': revision, 'document': rendered}
         return replies.Reply(replies.OK, shown)
 
 
 class EditRoutes:
-    """Changes the document in force by name."""
+    """Edits versions and rollouts of the current document."""
 
-    def __init__(self, desk: config_desk.ConfigDesk) -> None:
-        """Bind to the desk."""
-        self._desk = desk
+    def __init__(self, admin: config_desk.ConfigDesk) -> None:
+        """Bind to the configuration operations."""
+        self._admin = admin
 
-    def answers(self) -> Answers:
-        """Return the answers by method and path."""
+    def handlers(self) -> Handlers:
+        """Return the handlers by method and path."""
         return {
             (POST, '/v1/withdraw'): self.withdraw,
             (POST, '/v1/restore'): self.restore,
@@ -172,41 +176,45 @@
 
     async def withdraw(self, query: Query, body: bytes) -> replies.Reply:
         """Withdraw a version."""
-        return await self._edit(edits.Withdraw(replies.ref_of(query)), query)
+        return await self._edit(
+            edits.Withdraw(replies.version_ref_param(query)), query
+        )
 
     async def restore(self, query: Query, body: bytes) -> replies.Reply:
         """Let a withdrawn version serve again."""
-        return await self._edit(edits.Restore(replies.ref_of(query)), query)
+        return await self._edit(
+            edits.Restore(replies.version_ref_param(query)), query
+        )
 
     async def start(self, query: Query, body: bytes) -> replies.Reply:
-        """Start the roll-out that the body declares."""
+        """Start the rollout that the body declares."""
         try:
             rollout = plain.from_plain(config_data.Rollout, json.loads(body))
         except (TypeError, ValueError) as exc:
-            reason = f'the body is no roll-out: {exc}'
+            reason = f'the body is not a valid roll-out: {exc}'
             raise replies.UsageError(reason) from exc
         return await self._edit(edits.StartRollout(rollout), query)
 
     async def promote(self, query: Query, body: bytes) -> replies.Reply:
-        """End a roll-out in favour of the candidate."""
-        model = replies.word_of(query, 'model')
+        """End a rollout and make the candidate the incumbent."""
+        model = replies.identifier_param(query, 'model')
         return await self._edit(edits.PromoteRollout(model), query)
 
     async def stop(self, query: Query, body: bytes) -> replies.Reply:
-        """End a roll-out and withdraw the candidate."""
-        model = replies.word_of(query, 'model')
+        """End a rollout and withdraw the candidate."""
+        model = replies.identifier_param(query, 'model')
         return await self._edit(edits.StopRollout(model), query)
 
     async def _edit(self, edit: edits.Edit, query: Query) -> replies.Reply:
-        expect = config_desk.PRESENT
+        expect = config_desk.CURRENT_REVISION
         if 'expect' in query:
-            expect = replies.number_of(query, 'expect')
-        order = replies.order_of(query, expect)
-        return replies.applied(await self._desk.edit(edit, order), order)
+            expect = replies.integer_param(query, 'expect')
+        params = replies.apply_params(query, expect)
+        return replies.apply_reply(await self._admin.edit(edit, params), params)
 
 
 class StatusRoutes:
-    """Shows the fleet and its bills."""
+    """Shows the state of the fleet and the billed usage."""
 
     def __init__(
         self, status: fleet_status.FleetStatus, usage: Usage | None
@@ -215,28 +223,28 @@
         self._status = status
         self._usage = usage
 
-    def answers(self) -> Answers:
-        """Return the answers by method and path."""
+    def handlers(self) -> Handlers:
+        """Return the handlers by method and path."""
         return {
             (GET, '/v1/status'): self.show_status,
             (GET, '/v1/usage'): self.show_usage,
         }
 
     async def show_status(self, query: Query, body: bytes) -> replies.Reply:
-        """Show every process and backend server, as far as known."""
+        """Show all known processes and backend servers."""
         processes = await self._status.gather()
         return replies.Reply(
             replies.OK,
             {
                 'processes': plain.to_plain(processes),
-                'servers': self._status.backends(),
+                'servers': self._status.backend_servers(),
             },
         )
 
     async def show_usage(self, query: Query, body: bytes) -> replies.Reply:
-        """Show what was billed."""
+        """Show the billed usage."""
         if self._usage is None:
-            message = 'this process keeps no bills'
-            return replies.failed(replies.NOT_FOUND, 'unknown', message)
+            message = 'this process has no billing records'
+            return replies.error_reply(replies.NOT_FOUND, 'unknown', message)
         shown = plain.to_plain(await self._usage.usage())
         return replies.Reply(replies.OK, shown)
--- a/beryllug/control/operators_test.py
+++ b/beryllug/control/operators_test.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration over HTTP on the operators' address."""
+"""Tests of the configuration API on the operators' address."""
 
 import itertools
 import json
@@ -51,7 +51,7 @@
 
 
 class _Case(NamedTuple):
-    """One request that changes nothing, and what it gets."""
+    """One request that changes nothing, and its expected reply."""
 
     title: str
     method: str
@@ -124,7 +124,7 @@
 
 
 class _NoPeers:
-    """Peers that can't be reached."""
+    """An RPC client whose peers are all unreachable."""
 
     async def call(
         self,
@@ -133,12 +133,12 @@
         ask: rpc.Ask,
         timeout_s: float,
     ) -> rpc.Reply:
-        """Refuse."""
+        """Raise an error."""
         raise rpc.RpcError('UNAVAILABLE', address)
 
 
 class OperatorsTest(IsolatedAsyncioTestCase):
-    """What operators can do, and what they are told when they can't."""
+    """Operations of operators, and the replies to refused ones."""
 
     async def asyncSetUp(self) -> None:
         no_pause = mock.patch.object(config_store, 'PAUSE_S', 0)
@@ -148,9 +148,12 @@
         calls = _NoPeers()
         self.view = config.Config(PROCESS, CONTROL, self.api, calls)
         status = fleet_status.FleetStatus(self.view, calls)
-        desk = config_desk.ConfigDesk(self.view)
+        admin = config_desk.ConfigDesk(self.view)
         self.operators = ops.Operators(
-            OPERATORS, registry.Registry(), bool, operators.routes(desk, status)
+            OPERATORS,
+            registry.Registry(),
+            bool,
+            operators.routes(admin, status),
         )
         self.client = http_client.HttpClient()
         await self.operators.start()
@@ -160,7 +163,7 @@
         await self.operators.stop(0)
 
     async def test_apply(self) -> None:
-        """A document is applied, shown, remembered and compared."""
+        """A document is applied, shown, retained and compared."""
         schema = await self.get('/v1/schema')
         self.assertIn('accounts', schema['properties'])
         await self.apply(TEXT, 0, 'ann')
@@ -181,7 +184,7 @@
         self.assertEqual(first['document'], shown['document'])
 
     async def test_refused(self) -> None:
-        """Each refusal says why, and changes nothing."""
+        """Each refusal has the expected error and changes nothing."""
         await self.apply(TEXT, 0, 'ann')
         before = dict(self.api.stored)
         for case in REFUSED:
@@ -197,7 +200,7 @@
                 self.assertEqual(self.api.stored, before)
 
     async def test_conflict(self) -> None:
-        """The second of two operators learns whose change came first."""
+        """The second of two operators is told whose change came first."""
         await self.apply(TEXT, 0, 'ann')
         await self.apply(HEAVIER, 1, 'ann')
         status, body = await self.call(
@@ -209,7 +212,7 @@
         self.assertEqual(paths, ['accounts[kutch-resorts].weight'])
 
     async def test_outage(self) -> None:
-        """Without the platform nothing is applied, and that is said."""
+        """Without the platform nothing is applied, and the reply says so."""
         await self.apply(TEXT, 0, 'ann')
         await self.view.watch.read()
         self.api.down = True
@@ -222,14 +225,14 @@
         self.assertEqual(shown['revision'], 1)
 
     async def test_uncertain(self) -> None:
-        """The answer is lost and the platform goes away: ask again later.
+        """The reply to an apply is lost and the platform becomes unavailable.
 
-        The operator can't know whether the document is in force. Repeating
-        it blindly would conflict with itself; with the same apply id it says
-        that the first one took effect.
+        The operator can't know whether the document was applied. A retry with
+        a new apply id would conflict with the first apply; one with the same
+        apply id reports that the first took effect.
         """
         await self.apply(TEXT, 0, 'ann')
-        self.api.before_write = self._lose_root
+        self.api.before_write = self._lose_root_reply
         target = '/v1/config?expect=1&author=ann&apply_id=mine'
         status, body = await self.call('POST', target, HEAVIER)
         self.assertEqual((status, body['apply_id']), (504, 'mine'))
@@ -238,7 +241,7 @@
         self.assertEqual((status, body['revision']), (200, 2))
 
     async def test_edits(self) -> None:
-        """Versions and roll-outs are changed by name, each edit once."""
+        """Versions and rollouts are edited by name, each edit once."""
         await self.apply(TEXT, 0, 'ann')
         query = 'author=ann&apply_id'
         for target, body in (
@@ -262,11 +265,12 @@
         )
 
     async def test_newer_release(self) -> None:
-        """A control of the next release wrote a field that this one lacks.
+        """A control process of a newer release wrote a field unknown here.
 
-        During a rolling upgrade an operator edits through an old control. It
-        would write the document back without the new field, and nobody would
-        notice. It refuses the edit; serving by the document goes on.
+        During a rolling upgrade an operator edits through an old control
+        process. It would silently drop the new field when it writes the
+        document back, so it refuses the edit. The document itself is accepted
+        and stays in use.
         """
         await self.apply(TEXT, 0, 'ann')
         stored = self.api.stored[config_root.KEY]
@@ -297,7 +301,7 @@
         self.assertEqual(self.view.revision, 2)
 
     async def test_status(self) -> None:
-        """All processes are named, also those that don't answer."""
+        """All processes are listed, also those that don't answer."""
         stream = self.view.feed.stream(rpc_data.ViewAsk('e0', 'zone-1'))
         self.view.feed.open()
         await anext(stream)
@@ -320,7 +324,7 @@
         self.assertEqual((status, body.get('revision')), (200, expect + 1))
 
     async def get(self, target: str) -> dict[str, Any]:
-        """Get a document that must be there."""
+        """Send a GET request that must succeed."""
         status, body = await self.call('GET', target, '')
         self.assertEqual(status, 200, body)
         return body
@@ -328,7 +332,7 @@
     async def call(
         self, method: str, target: str, body: str
     ) -> tuple[int, dict[str, Any]]:
-        """Make a request as an operator."""
+        """Send a request as an operator."""
         headers = {'authorization': f'Bearer {KEY}'}
         incoming, answer = await self.client.call(
             f'127.0.0.1:{self.operators.port}',
@@ -338,12 +342,12 @@
         decoded: dict[str, Any] = json.loads(answer)
         return incoming.status, decoded
 
-    async def _lose_root(self, key: str) -> None:
+    async def _lose_root_reply(self, key: str) -> None:
         if key == config_root.KEY:
             self.api.lose = [f'write {key}']
             self.api.drop = list(itertools.repeat(f'read {key}', 100))
         else:
-            self.api.before_write = self._lose_root
+            self.api.before_write = self._lose_root_reply
 
 
 if __name__ == '__main__':
--- a/beryllug/control/servers.py
+++ b/beryllug/control/servers.py
@@ -1,8 +1,8 @@
-"""Service 'servers': backend servers by the host list, and their loads.
+"""Service 'servers': the backend servers of the host list, and their loads.
 
-A host list that can't be read changes nothing: the last one stays in force
-with its age shown. A server that leaves is shown as leaving at once, and one
-that is no longer listed is gone.
+If the host list can't be read, the last one stays valid and the dump shows its
+age. A server that leaves is published as leaving at once; one that is no
+longer listed is removed.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 from beryllug.core import config_data, view_data
 from beryllug.drivers import engine, engine_data, host_list
 
-HOSTS_EVERY_S = 1.0
-LOADS_EVERY_S = 1.0
+HOST_LIST_INTERVAL_S = 1.0
+LOAD_INTERVAL_S = 1.0
 
 Servers = tuple[view_data.BackendServer, ...]
 
 
 class BackendServers:
-    """Reads the host list and the engines' load reports now and then."""
+    """Polls the host list and the engines' load reports."""
 
     def __init__(
         self,
@@ -31,8 +31,8 @@
         engines: engine.Engine,
         view: config.Config,
     ) -> None:
-        """Bind the host list, the engines and the view to publish to."""
-        self._list = listed
+        """Bind to the host list, the engines and the view to publish to."""
+        self._host_list = listed
         self._engines = engines
         self._view = view
         self._servers: Servers = ()
@@ -41,7 +41,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Read the host list once, then go on reading in the background."""
+        """Read the host list once, then poll in the background."""
         await self._read_hosts()
         self._tasks = [
             asyncio.create_task(self._follow_hosts()),
@@ -49,7 +49,7 @@
         ]
 
     async def stop(self, grace_s: float) -> None:
-        """Stop reading."""
+        """Stop polling."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -67,12 +67,12 @@
 
     async def _follow_hosts(self) -> None:
         while True:
-            await asyncio.sleep(HOSTS_EVERY_S)
+            await asyncio.sleep(HOST_LIST_INTERVAL_S)
             await self._read_hosts()
 
     async def _read_hosts(self) -> None:
         try:
-            servers = await self._list.read()
+            servers = await self._host_list.read()
         except host_list.HostListError as exc:
             logging.warning('event=host_list_unread error=%s', exc)
             return
@@ -84,10 +84,10 @@
     async def _follow_loads(self) -> None:
         while True:
             await self._read_loads()
-            await asyncio.sleep(LOADS_EVERY_S)
+            await asyncio.sleep(LOAD_INTERVAL_S)
 
     async def _read_loads(self) -> None:
-        engines = _engines(self._servers, self._view.document)
+        engines = _engine_servers(self._servers, self._view.document)
         listed = {server.server_id for server in engines}
         reports = await asyncio.gather(*map(self._read_load, engines))
         for report in reports:
@@ -113,7 +113,7 @@
         )
 
 
-def _engines(
+def _engine_servers(
     servers: Sequence[view_data.BackendServer],
     document: config_data.Document,
 ) -> list[view_data.BackendServer]:
