--- a/beryllug/control/config_desk.py
+++ b/beryllug/control/config_desk.py
@@ -29,7 +29,7 @@
 DOCUMENT_SOURCE = 'document'
 CURRENT_REVISION = -1
 NEWER_RELEASE = (
-    'a newer release wrote the document; ask a control daemon of that release'
+    'a newer release wrote the document; ask a control of that release'
 )
 
 Findings = list[finding.Finding]
--- a/beryllug/control/operator_replies.py
+++ b/beryllug/control/operator_replies.py
@@ -81,10 +81,7 @@
                 UNAVAILABLE, 'unavailable', f'nothing changed: {reason}'
             )
         case config_store.Uncertain(apply_id, reason):
-            message = (
-                'repeat it with the same apply id to learn the result: '
-                f'{reason}'
-            )
+            message = f'repeat it with the same apply id to learn: {reason}'
             base_reply = error_reply(UNCERTAIN, 'uncertain', message)
             return Reply(UNCERTAIN, {**base_reply.body, 'apply_id': apply_id})
 
@@ -122,10 +119,7 @@
     author = identifier_param(query, 'author')
     apply_id = query.get('apply_id') or uuid.uuid4().hex
     if IDENTIFIER.fullmatch(apply_id) is None:
-        raise UsageError(
-            'apply_id must be a letter or digit, then up to 62 letters, '
-            'digits or ._@-'
-        )
+        raise UsageError('apply_id must be a word')
     return config_desk.ApplyParams(expect, author, apply_id)
 
 
@@ -138,10 +132,7 @@
 def identifier_param(query: Query, name: str) -> str:
     text = query.get(name, '')
     if IDENTIFIER.fullmatch(text) is None:
-        raise UsageError(
-            f'{name} must be given: a letter or digit, then up to 62 letters, '
-            'digits or ._@-'
-        )
+        raise UsageError(f'{name} must be given, as a word')
     return text
 
 
--- a/beryllug/control/operators.py
+++ b/beryllug/control/operators.py
@@ -191,7 +191,7 @@
         try:
             rollout = plain.from_plain(config_data.Rollout, json.loads(body))
         except (TypeError, ValueError) as exc:
-            reason = f'the body is not a valid roll-out: {exc}'
+            reason = f'the body is no roll-out: {exc}'
             raise replies.UsageError(reason) from exc
         return await self._edit(edits.StartRollout(rollout), query)
 
@@ -244,7 +244,7 @@
     async def show_usage(self, query: Query, body: bytes) -> replies.Reply:
         """Show the billed usage."""
         if self._usage is None:
-            message = 'this process has no billing records'
+            message = 'this process keeps no bills'
             return replies.error_reply(replies.NOT_FOUND, 'unknown', message)
         shown = plain.to_plain(await self._usage.usage())
         return replies.Reply(replies.OK, shown)
