--- a/beryllug/parsing/__init__.py
+++ b/beryllug/parsing/__init__.py
@@ -1,4 +1,4 @@
-"""Turn bytes and text from outside into the records of core.
+"""Parse external bytes and text into the records of `core`.
 
-Every parser returns ``(value, errors)`` and reports all it finds.
+Every parser returns ``(value, findings)`` and reports all errors at once.
 """
--- a/beryllug/parsing/chat.py
+++ b/beryllug/parsing/chat.py
@@ -1,7 +1,7 @@
 """Parse the body of a chat-completions request.
 
-Only the fields that a decision needs are read; the body itself goes to the
-engine byte for byte, so fields we don't know keep working.
+Only the fields needed for routing are decoded; the body is forwarded to the
+engine byte for byte, so unknown fields keep working.
 """
 
 import hashlib
@@ -28,14 +28,14 @@
 
 
 class ChatBody(NamedTuple):
-    """What is read of a chat request.
+    """The decoded fields of a chat request.
 
     Attributes:
-        model: The model or cascade the caller asks for.
-        stream: Whether the answer is wanted as a stream of events.
-        max_tokens: Bound on the answer, 0 where the caller set none.
+        model: The requested model or cascade.
+        stream: Whether the response is streamed as server-sent events.
+        max_tokens: Limit on the response, 0 if the caller set none.
         prompt_chars: Length of the prompt, to estimate its cost.
-        prefix_key: Hash of the start of the prompt, for prefix caches.
+        prefix_key: Hash of the prompt prefix, for prefix caches.
     """
 
     model: str
@@ -60,13 +60,15 @@
     try:
         body = _decoder.decode(raw)
     except msgspec.ValidationError as exc:
-        return None, [_from_validation(str(exc))]
+        return None, [_from_validation_error(str(exc))]
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as exc:
         return None, [finding.Finding(SOURCE, '$', f'not valid JSON: {exc}')]
-    findings = _check(body)
+    findings = _validate_body(body)
     if findings:
         return None, findings
-    texts = [_text(message.get('content')) for message in body['messages']]
+    texts = [
+        _message_text(message.get('content')) for message in body['messages']
+    ]
     parsed = ChatBody(
         model=body['model'],
         stream=body.get('stream', False),
@@ -77,13 +79,13 @@
     return parsed, []
 
 
-def _check(body: _Body) -> list[finding.Finding]:
+def _validate_body(body: _Body) -> list[finding.Finding]:
     findings = []
     if not body.get('model'):
-        reason = 'name a model or a cascade'
+        reason = 'must name a model or a cascade'
         findings.append(finding.Finding(SOURCE, '$.model', reason))
     if not body.get('messages'):
-        reason = 'needs at least one message'
+        reason = 'must have at least one message'
         findings.append(finding.Finding(SOURCE, '$.messages', reason))
     if body.get('max_tokens', 0) < 0:
         reason = 'must not be negative'
@@ -91,12 +93,12 @@
     return findings
 
 
-def _from_validation(message: str) -> finding.Finding:
+def _from_validation_error(message: str) -> finding.Finding:
     reason, _, path = message.partition(' - at ')
     return finding.Finding(SOURCE, path.strip('`') or '$', reason)
 
 
-def _text(content: Any) -> str:
+def _message_text(content: Any) -> str:
     """Return the text of a message: a string or a list of typed parts."""
     if isinstance(content, str):
         return content
--- a/beryllug/parsing/chat_answer.py
+++ b/beryllug/parsing/chat_answer.py
@@ -1,52 +1,56 @@
-"""Read the text out of a chat answer, to have it rated.
+"""Extract the text of a chat response for rating.
 
-Only answers that are rated are parsed; all others pass through as bytes.
+Only responses that are rated are parsed; all others pass through as bytes.
 """
 
 from typing import TypedDict
 
 import msgspec
 
-EVENT = b'data: '
+EVENT_PREFIX = b'data: '
 DONE = b'[DONE]'
 
 
-class _Text(TypedDict, total=False):
+class _MessageContent(TypedDict, total=False):
     content: str | None
 
 
 class _Choice(TypedDict, total=False):
-    delta: _Text
-    message: _Text
+    delta: _MessageContent
+    message: _MessageContent
 
 
-class _Answer(TypedDict, total=False):
+class _ChatResponse(TypedDict, total=False):
     choices: list[_Choice]
 
 
-_decode = msgspec.json.Decoder(_Answer).decode
+_decode = msgspec.json.Decoder(_ChatResponse).decode
 
 
 def text_of(body: bytes) -> str:
-    """Return the text of a whole answer, streamed or not.
+    """Return the text of a complete response, streamed or not.
 
-    Events that can't be read count as empty: a rating of what is left says
-    more than none.
+    Events that can't be decoded count as empty: rating the remaining text is
+    more useful than no rating.
     """
-    if not body.startswith(EVENT):
-        return _part(body)
+    if not body.startswith(EVENT_PREFIX):
+        return _decode_text(body)
     lines = body.splitlines()
-    events = (line[len(EVENT) :] for line in lines if line.startswith(EVENT))
-    return ''.join(_part(event) for event in events if event != DONE)
+    events = (
+        line[len(EVENT_PREFIX) :]
+        for line in lines
+        if line.startswith(EVENT_PREFIX)
+    )
+    return ''.join(_decode_text(event) for event in events if event != DONE)
 
 
-def _part(document: bytes) -> str:
+def _decode_text(document: bytes) -> str:
     try:
-        answer = _decode(document)
+        response = _decode(document)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return ''
     parts = []
-    for choice in answer.get('choices', []):
+    for choice in response.get('choices', []):
         text = choice.get('delta') or choice.get('message') or {}
         parts.append(text.get('content') or '')
     return ''.join(parts)
--- a/beryllug/parsing/chat_answer_test.py
+++ b/beryllug/parsing/chat_answer_test.py
@@ -1,4 +1,4 @@
-"""Tests of reading the text of chat answers."""
+"""Tests of extracting the text of chat responses."""
 
 import unittest
 
@@ -17,15 +17,15 @@
     ('empty', b'', ''),
     ('not JSON', b'{', ''),
     ('no text', b'{"choices":[{"message":{"content":null}}]}', ''),
-    ('cut event', b'data: {"choices":[{"del', ''),
+    ('truncated event', b'data: {"choices":[{"del', ''),
 )
 
 
 class ChatAnswerTest(unittest.TestCase):
-    """The text of an answer, however it was sent."""
+    """The text of streamed and whole responses."""
 
     def test_text(self) -> None:
-        """Every shape gives its text, a broken one an empty text."""
+        """Every format yields its text; an invalid body yields none."""
         for title, body, expected in CASES:
             with self.subTest(title):
                 self.assertEqual(chat_answer.text_of(body), expected)
--- a/beryllug/parsing/chat_test.py
+++ b/beryllug/parsing/chat_test.py
@@ -6,7 +6,7 @@
 
 MESSAGES = b'"messages":[{"role":"user","content":"hello"}]'
 
-BROKEN: tuple[tuple[str, bytes, tuple[str, ...]], ...] = (
+INVALID_BODIES: tuple[tuple[str, bytes, tuple[str, ...]], ...] = (
     ('empty', b'', ('$',)),
     ('not JSON', b'{', ('$',)),
     ('not UTF-8', b'{"model":"\xff"}', ('$',)),
@@ -23,18 +23,18 @@
 
 
 class ChatTest(unittest.TestCase):
-    """What is read of a body and what is refused."""
+    """Valid and invalid request bodies."""
 
-    def test_broken(self) -> None:
+    def test_invalid(self) -> None:
         """Every finding names its path."""
-        for title, raw, paths in BROKEN:
+        for title, raw, paths in INVALID_BODIES:
             with self.subTest(title):
                 body, findings = chat.parse(raw)
                 self.assertIsNone(body)
                 self.assertEqual(tuple(item.path for item in findings), paths)
 
-    def test_good(self) -> None:
-        """Unknown fields are left alone; typed parts count as text."""
+    def test_valid(self) -> None:
+        """Unknown fields are ignored; typed content parts count as text."""
         parts = b'"messages":[{"content":[{"type":"text","text":"hello"}]}]'
         for title, messages in (('text', MESSAGES), ('parts', parts)):
             with self.subTest(title):
--- a/beryllug/parsing/document.py
+++ b/beryllug/parsing/document.py
@@ -1,7 +1,7 @@
-"""Configuration documents: JSON to `config_data.Document`.
+"""Parses configuration documents: JSON to `config_data.Document`.
 
-Every finding carries its path. A document of the right structure may still
-make no sense; that is judged by `checks.validations`.
+Every finding carries its path. Only the structure is checked here; the
+semantic rules are checked by `checks.validations`.
 """
 
 import json
@@ -18,8 +18,8 @@
 TOO_SHORT = 'too_short'
 
 
-class _RepeatedError(ValueError):
-    """An object has a field twice."""
+class _DuplicateFieldError(ValueError):
+    """An object has a duplicate field."""
 
 
 def parse(
@@ -35,15 +35,19 @@
         The document and no findings, or None and the findings.
     """
     if len(text) > MAX_BYTES:
-        return None, [_whole(source, f'is larger than {MAX_BYTES} bytes')]
+        return None, [
+            _document_finding(source, f'is larger than {MAX_BYTES} bytes')
+        ]
     try:
-        json.loads(text, object_pairs_hook=_refuse_repeats)
+        json.loads(text, object_pairs_hook=_reject_duplicate_fields)
     except (ValueError, RecursionError) as exc:
-        return None, [_whole(source, f'is no JSON document: {exc}')]
+        return None, [
+            _document_finding(source, f'is not a JSON document: {exc}')
+        ]
     try:
         model = document_model.Document.model_validate_json(text)
     except pydantic.ValidationError as exc:
-        return None, _findings(exc, source)
+        return None, _to_findings(exc, source)
     return document_plain.build(model.model_dump()), []
 
 
@@ -52,43 +56,48 @@
     return document_model.Document.model_json_schema()
 
 
-def _whole(source: str, reason: str) -> finding.Finding:
+def _document_finding(source: str, reason: str) -> finding.Finding:
     return finding.Finding(source, 'document', reason)
 
 
-def _refuse_repeats(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Refuse a field that stands twice, of which readers take either one."""
+def _reject_duplicate_fields(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    """Reject duplicate fields, since JSON parsers differ in which one wins."""
     fields = dict(pairs)
     if len(fields) < len(pairs):
         names = [name for name, _ in pairs]
-        twice = sorted({name for name in names if names.count(name) > 1})
-        listed = ', '.join(twice)
-        raise _RepeatedError(f'a field stands twice in an object: {listed}')
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        listed = ', '.join(duplicates)
+        raise _DuplicateFieldError(f'an object has duplicate fields: {listed}')
     return fields
 
 
-def _findings(exc: pydantic.ValidationError, source: str) -> Findings:
-    """Turn the library's errors into findings, each with its path."""
+def _to_findings(exc: pydantic.ValidationError, source: str) -> Findings:
+    """Convert pydantic errors to findings, each with its path."""
     errors = exc.errors(include_url=False, include_input=False)
-    inside = {error['loc'][:-depth] for error in errors for depth in (1, 2)}
-    found = [
+    with_nested_errors = {
+        error['loc'][:-depth] for error in errors for depth in (1, 2)
+    }
+    findings = [
         finding.Finding(source, _path(error['loc']), error['msg'])
         for error in errors
-        # A list is counted without its broken items, so it seems too short
-        # when its only item has a finding of its own.
-        if error['type'] != TOO_SHORT or error['loc'] not in inside
+        # Pydantic doesn't count invalid items, so a list also counts as too
+        # short when its only item has a finding of its own.
+        if error['type'] != TOO_SHORT or error['loc'] not in with_nested_errors
     ]
-    more = len(found) - MAX_FINDINGS
-    if more > 0:
-        return [*found[:MAX_FINDINGS], _whole(source, f'has {more} more')]
-    return found
+    omitted = len(findings) - MAX_FINDINGS
+    if omitted > 0:
+        return [
+            *findings[:MAX_FINDINGS],
+            _document_finding(source, f'has {omitted} further errors'),
+        ]
+    return findings
 
 
 def _path(location: tuple[str | int, ...]) -> str:
     path = ''
-    for step in location:
-        if isinstance(step, int):
-            path = f'{path}[{step}]'
+    for key in location:
+        if isinstance(key, int):
+            path = f'{path}[{key}]'
         else:
-            path = f'{path}.{step}' if path else step
+            path = f'{path}.{key}' if path else key
     return path or 'document'
--- a/beryllug/parsing/document_model.py
+++ b/beryllug/parsing/document_model.py
@@ -1,9 +1,9 @@
 """The structure of a configuration document, for its parser and its schema.
 
-These models exist to judge foreign JSON and to publish its JSON Schema; the
-rest of the system works on the records of `core.config_data`, whose fields
-they mirror. Structure is all they judge: whether names resolve and shares
-rise is the matter of `checks`.
+These models validate untrusted JSON and provide its JSON Schema; the rest of
+the system uses the records of `core.config_data`, whose fields they mirror.
+They check structure only: `checks` verifies that names resolve and that the
+shares of a roll-out increase.
 """
 
 from typing import Annotated
@@ -23,22 +23,22 @@
 MAX_BUDGET = 1000000
 MAX_MS = 86400000
 MAX_ACCOUNTS = 10000
-MAX_NAMED = 1000
+MAX_ITEMS = 1000
 MAX_KEYS = 8
 MAX_STAGES = 32
-ALL = 100
+ALL_PERCENT = 100
 
 Name = Annotated[str, pydantic.Field(pattern=NAME_PATTERN)]
 VersionName = Annotated[str, pydantic.Field(pattern=VERSION_PATTERN)]
 KeyHash = Annotated[str, pydantic.Field(pattern=HASH_PATTERN)]
 Ratio = Annotated[float, pydantic.Field(ge=0, le=1)]
-Share = Annotated[int, pydantic.Field(ge=1, le=ALL)]
-Names = Annotated[tuple[Name, ...], pydantic.Field(max_length=MAX_NAMED)]
+Share = Annotated[int, pydantic.Field(ge=1, le=ALL_PERCENT)]
+Names = Annotated[tuple[Name, ...], pydantic.Field(max_length=MAX_ITEMS)]
 Millis = Annotated[int, pydantic.Field(ge=1, le=MAX_MS)]
 
 
 class Strict(pydantic.BaseModel):
-    """Refuses unknown fields and values of another type."""
+    """Rejects unknown fields and values of another type."""
 
     model_config = pydantic.ConfigDict(
         extra='forbid', strict=True, frozen=True, allow_inf_nan=False
@@ -62,7 +62,7 @@
         description='Hex SHA-256 of each bearer key that is valid.',
     )
     allowed: tuple[VersionRef, ...] = pydantic.Field(
-        max_length=MAX_NAMED,
+        max_length=MAX_ITEMS,
         description='Versions that its requests may run on.',
     )
     cascades: Names = pydantic.Field(
@@ -100,7 +100,7 @@
 
     name: Name
     versions: tuple[Version, ...] = pydantic.Field(
-        min_length=1, max_length=MAX_NAMED
+        min_length=1, max_length=MAX_ITEMS
     )
 
 
@@ -184,7 +184,7 @@
     name: Name
     pool: Name
     operations: tuple[Operation, ...] = pydantic.Field(
-        min_length=1, max_length=MAX_NAMED
+        min_length=1, max_length=MAX_ITEMS
     )
 
 
@@ -200,9 +200,9 @@
     """A whole configuration document of beryllug."""
 
     accounts: tuple[Account, ...] = pydantic.Field((), max_length=MAX_ACCOUNTS)
-    models: tuple[Model, ...] = pydantic.Field((), max_length=MAX_NAMED)
-    cascades: tuple[Cascade, ...] = pydantic.Field((), max_length=MAX_NAMED)
-    rollouts: tuple[Rollout, ...] = pydantic.Field((), max_length=MAX_NAMED)
-    pools: tuple[Pool, ...] = pydantic.Field((), max_length=MAX_NAMED)
-    services: tuple[Service, ...] = pydantic.Field((), max_length=MAX_NAMED)
-    targets: tuple[Targets, ...] = pydantic.Field((), max_length=MAX_NAMED)
+    models: tuple[Model, ...] = pydantic.Field((), max_length=MAX_ITEMS)
+    cascades: tuple[Cascade, ...] = pydantic.Field((), max_length=MAX_ITEMS)
+    rollouts: tuple[Rollout, ...] = pydantic.Field((), max_length=MAX_ITEMS)
+    pools: tuple[Pool, ...] = pydantic.Field((), max_length=MAX_ITEMS)
+    services: tuple[Service, ...] = pydantic.Field((), max_length=MAX_ITEMS)
+    targets: tuple[Targets, ...] = pydantic.Field((), max_length=MAX_ITEMS)
--- a/beryllug/parsing/document_test.py
+++ b/beryllug/parsing/document_test.py
@@ -10,15 +10,15 @@
 EXAMPLES = pathlib.Path(__file__).parents[2] / 'examples'
 TEXT = (EXAMPLES / 'kesarvan.json').read_text()
 
-# Title, text replaced, its replacement, paths of the findings.
-BROKEN: tuple[tuple[str, str, str, tuple[str, ...]], ...] = (
+# Title, replaced text, replacement, paths of the findings.
+INVALID_EDITS: tuple[tuple[str, str, str, tuple[str, ...]], ...] = (
     ('no JSON', '{', '{,', ('document',)),
-    ('cut short', TEXT[-20:], '', ('document',)),
+    ('truncated', TEXT[-20:], '', ('document',)),
     ('not an object', TEXT, '[]', ('document',)),
-    ('no number', '"weight": 5', '"weight": NaN', ('accounts[0].weight',)),
-    ('part', '"weight": 5', '"weight": 5.5', ('accounts[0].weight',)),
+    ('NaN number', '"weight": 5', '"weight": NaN', ('accounts[0].weight',)),
+    ('fraction', '"weight": 5', '"weight": 5.5', ('accounts[0].weight',)),
     ('text', '"weight": 5', '"weight": "5"', ('accounts[0].weight',)),
-    ('truth', '"weight": 5', '"weight": true', ('accounts[0].weight',)),
+    ('bool', '"weight": 5', '"weight": true', ('accounts[0].weight',)),
     ('below', '"weight": 5', '"weight": 0', ('accounts[0].weight',)),
     ('unknown', '"weight": 5', '"w": 5', ('accounts[0].w',)),
     ('name', 'kutch-resorts', 'kutch resorts', ('accounts[0].account_id',)),
@@ -31,15 +31,15 @@
     ('star', '"version": "v2"', '"version": "*"', ('models[0].versions[1]',)),
     ('missing', '"weight": 5', '"weight": 5}, {', ('accounts[1].allowed',)),
     ('path', '"/holds"', '"holds"', ('services[0].operations[1].path',)),
-    ('twice', '"weight": 5', '"weight": 5, "weight": 6', ('document',)),
+    ('duplicate', '"weight": 5', '"weight": 5, "weight": 6', ('document',)),
 )
 
 
 class DocumentTest(unittest.TestCase):
-    """Whole documents, and every finding of broken ones."""
+    """Valid documents, and the findings of invalid ones."""
 
     def test_example(self) -> None:
-        """The example parses and comes back from its rendering."""
+        """The example document parses, and its rendering parses to the same."""
         parsed, findings = document.parse(TEXT, 'd')
         self.assertEqual(findings, [])
         assert parsed is not None
@@ -48,9 +48,9 @@
         self.assertEqual((again, findings), (parsed, []))
         self.assertEqual(document_plain.build(rendered), parsed)
 
-    def test_broken(self) -> None:
-        """Each mistake is refused and named with its path."""
-        for title, old, new, paths in BROKEN:
+    def test_invalid(self) -> None:
+        """Each error is rejected with its path."""
+        for title, old, new, paths in INVALID_EDITS:
             with self.subTest(title):
                 self.assertIn(old, TEXT)
                 parsed, findings = document.parse(TEXT.replace(old, new), 'd')
@@ -62,7 +62,7 @@
                     )
 
     def test_all_at_once(self) -> None:
-        """Mistakes in several places are reported together."""
+        """Errors at several paths are reported together."""
         text = TEXT.replace('"weight": 5', '"w": 5').replace('0.85', '2')
         _, findings = document.parse(text, 'd')
         self.assertEqual(
@@ -71,7 +71,7 @@
         )
 
     def test_bounds(self) -> None:
-        """A huge or deeply nested text is refused, not chewed on."""
+        """Oversized or deeply nested text is rejected with one finding."""
         nested = '[' * 100000
         padded = f'{TEXT}{" " * document.MAX_BYTES}'
         for title, text in (('nested', nested), ('padded', padded)):
--- a/beryllug/parsing/log_page.py
+++ b/beryllug/parsing/log_page.py
@@ -1,4 +1,4 @@
-"""Structured log lines, as processes write them, to records."""
+"""Parses the structured log lines of processes into records."""
 
 from collections.abc import Iterable, Iterator
 
@@ -7,8 +7,8 @@
 from beryllug.core import losses
 from beryllug.core.placement import sizes
 
-# Why an answer of a smaller model was kept although it was unsure.
-UNSURE = frozenset(
+# Why a low-confidence response of a smaller model was not escalated.
+LOW_CONFIDENCE_REASONS = frozenset(
     (
         sizes.Why.LATE.value,
         sizes.Why.DELAY.value,
@@ -18,7 +18,7 @@
 )
 
 
-class _Line(msgspec.Struct, rename={'written_at': 't'}):
+class _LogLine(msgspec.Struct, rename={'written_at': 't'}):
     written_at: float
     event: str
     process: str = ''
@@ -32,42 +32,42 @@
     late: bool = False
 
 
-_decode = msgspec.json.Decoder(_Line).decode
+_decode = msgspec.json.Decoder(_LogLine).decode
 
 
 def read(text: Iterable[str], process: str = '') -> Iterator[losses.Line]:
-    """Yield the lines that can be read; others are passed over.
+    """Yield the lines that can be decoded; others are skipped.
 
-    What stands before the JSON of a line, as log collectors put it there, is
-    left out; its last word is taken for the process, if any.
+    A prefix before the JSON of a line, as added by log collectors, is ignored,
+    except that its last word names the process if the JSON does not.
 
     Args:
         text: Lines of text.
-        process: The process that wrote them, where no line says so.
+        process: Default process name, for lines that have none.
     """
-    for each in text:
-        before, brace, rest = each.partition('{')
+    for line in text:
+        prefix, brace, rest = line.partition('{')
         try:
-            found = _decode(brace + rest)
+            decoded = _decode(brace + rest)
         except msgspec.MsgspecError:
             continue
-        words = before.split() or [process]
-        yield _line(found, found.process or words[-1])
+        prefix_words = prefix.split() or [process]
+        yield _to_record(decoded, decoded.process or prefix_words[-1])
 
 
-def _line(found: _Line, process: str) -> losses.Line:
-    reason = found.reason
-    if found.why in UNSURE:
-        reason = found.why or ''
+def _to_record(decoded: _LogLine, process: str) -> losses.Line:
+    reason = decoded.reason
+    if decoded.why in LOW_CONFIDENCE_REASONS:
+        reason = decoded.why or ''
     return losses.Line(
-        at=found.written_at,
-        event=found.event,
+        at=decoded.written_at,
+        event=decoded.event,
         process=process,
-        request=found.id,
-        route=found.route,
-        status=found.status,
+        request=decoded.id,
+        route=decoded.route,
+        status=decoded.status,
         reason=reason,
-        server=found.server,
-        zone=found.zone,
-        is_late=found.late,
+        server=decoded.server,
+        zone=decoded.zone,
+        is_late=decoded.late,
     )
--- a/beryllug/parsing/log_page_test.py
+++ b/beryllug/parsing/log_page_test.py
@@ -1,4 +1,4 @@
-"""Tests of what counts as lost, and how it is grouped."""
+"""Tests of parsing log lines and of grouping the lost requests."""
 
 import unittest
 
@@ -37,25 +37,29 @@
 
 
 class LossesTest(unittest.TestCase):
-    """Lines of one process, some of which can't be read."""
+    """Log lines of one process, some of which can't be decoded."""
 
     def setUp(self) -> None:
         lines = log_page.read(TEXT.splitlines())
         self.ended = losses.ended(lines)
 
     def test_reasons(self) -> None:
-        """Each request has one end, with its last server and a reason."""
+        """Each request has one result, with its last server and a reason."""
         found = tuple(
-            (each.route, each.server, each.reason) for each in self.ended
+            (request.route, request.server, request.reason)
+            for request in self.ended
         )
         self.assertEqual(found, REASONS)
 
     def test_groups(self) -> None:
-        """Lost requests of all, most lost first."""
+        """Groups count lost and all requests; most lost requests come first."""
         for by, expected in GROUPS:
             with self.subTest(by):
                 found = losses.group(self.ended, by)
-                rows = [(*each.key, each.lost, each.all) for each in found]
+                rows = [
+                    (*loss_group.key, loss_group.lost, loss_group.all)
+                    for loss_group in found
+                ]
                 self.assertEqual(rows, expected)
 
 
--- a/beryllug/parsing/settings.py
+++ b/beryllug/parsing/settings.py
@@ -1,9 +1,9 @@
-"""Settings files: INI text to `settings_data.Settings`.
+"""Parses settings files: INI text to `settings_data.Settings`.
 
-Every mistake of a file is reported at once with its section and key, so an
-operator mends it in one go; a process never starts on half-understood
-settings. What a key may hold is read from the type of its field and from
-`settings_rules.RULES`, which the page docs/SETTINGS.md is made from too.
+All errors of a file are reported at once, each with its section and key, so
+an operator can fix them in one pass; a process never starts on partially valid
+settings. Keys and defaults come from the records of `settings_data`, allowed
+values from `settings_rules.RULES`; docs/SETTINGS.md is generated from both.
 """
 
 import configparser
@@ -19,8 +19,8 @@
 ROLE_SECTIONS = ('entry', 'control', 'router')
 
 
-class _Outcome(NamedTuple):
-    """Records by section name, and what is wrong."""
+class _ParsedSections(NamedTuple):
+    """Parsed records by section name, and the findings."""
 
     records: dict[str, Any]
     findings: Findings
@@ -30,7 +30,7 @@
     """Read a settings file.
 
     Args:
-        path: Where the file is.
+        path: Path of the file.
 
     Returns:
         The settings and no findings, or None and every finding.
@@ -60,54 +60,54 @@
     ini, findings = _read_ini(text, source)
     findings += _unknown_sections(ini, source)
     records: dict[str, Any] = {}
-    for section in _wanted_sections(ini):
-        outcome = _section(ini, section, source)
-        findings += outcome.findings
-        records.update(outcome.records)
+    for section in _required_sections(ini):
+        parsed_section = _parse_section(ini, section, source)
+        findings += parsed_section.findings
+        records.update(parsed_section.records)
     if findings:
         return None, findings
     settings = settings_data.Settings(**records)
-    findings = settings_rules.across(settings, source)
+    findings = settings_rules.check_cross_key_constraints(settings, source)
     return (None, findings) if findings else (settings, [])
 
 
 def _read_ini(
     text: str, source: str
 ) -> tuple[configparser.RawConfigParser, Findings]:
-    """Read the INI syntax; a key given twice is a finding, as is no syntax."""
+    """Parse the INI syntax; report syntax errors and duplicate keys."""
     ini = configparser.RawConfigParser(strict=False, default_section='')
-    findings = list(_repeats(text, source))
+    findings = list(_duplicates(text, source))
     try:
         ini.read_string(text, source)
     except configparser.MissingSectionHeaderError as exc:
-        reason = 'a key stands before the first [section]'
-        findings.append(_at_line(source, exc.lineno, reason))
+        reason = 'a key comes before the first [section]'
+        findings.append(_finding_at_line(source, exc.lineno, reason))
     except configparser.ParsingError as exc:
         findings += [
-            _at_line(source, line, f'cannot be understood: {content}')
+            _finding_at_line(source, line, f'invalid syntax: {content}')
             for line, content in exc.errors
         ]
     return ini, findings
 
 
-def _at_line(source: str, line: int, reason: str) -> finding.Finding:
+def _finding_at_line(source: str, line: int, reason: str) -> finding.Finding:
     return finding.Finding(source, f'line {line}', reason)
 
 
-def _repeats(text: str, source: str) -> Iterator[finding.Finding]:
-    """Find sections and keys that stand twice; INI would take the last."""
+def _duplicates(text: str, source: str) -> Iterator[finding.Finding]:
+    """Report duplicate sections and keys; configparser would use the last."""
     seen: set[str] = set()
     section = ''
     for line in text.splitlines():
-        path = _declared(line, section)
+        path = _declared_path(line, section)
         if path.startswith('['):
             section = path.strip('[]')
         if path and path in seen:
-            yield finding.Finding(source, path, 'is given twice')
+            yield finding.Finding(source, path, 'is given more than once')
         seen.add(path)
 
 
-def _declared(line: str, section: str) -> str:
+def _declared_path(line: str, section: str) -> str:
     """Return the ``[section]`` or ``section.key`` that a line declares."""
     if line.startswith('[') and ']' in line:
         return line[: line.index(']') + 1]
@@ -117,65 +117,65 @@
     return f'{section}.{key}'
 
 
-def _wanted_sections(ini: configparser.RawConfigParser) -> tuple[str, ...]:
-    """Name the sections a file of this role must have."""
+def _required_sections(ini: configparser.RawConfigParser) -> tuple[str, ...]:
+    """Return the sections that a file of this role must have."""
     role = ini.get('process', 'role', fallback='')
-    own = (role,) if role in ROLE_SECTIONS else ()
-    return ('process', 'operators', 'fleet', *own)
+    role_sections = (role,) if role in ROLE_SECTIONS else ()
+    return ('process', 'operators', 'fleet', *role_sections)
 
 
 def _unknown_sections(
     ini: configparser.RawConfigParser, source: str
 ) -> Findings:
-    wanted = _wanted_sections(ini)
-    known = ', '.join(wanted)
-    reason = f'is not a section of this role; it has {known}'
+    required = _required_sections(ini)
+    known = ', '.join(required)
+    reason = f'is not a section of this role; expected: {known}'
     return [
         finding.Finding(source, section, reason)
         for section in ini.sections()
-        if section not in wanted
+        if section not in required
     ]
 
 
-def _section(
+def _parse_section(
     ini: configparser.RawConfigParser, section: str, source: str
-) -> _Outcome:
-    """Build the record of one section."""
+) -> _ParsedSections:
+    """Parse one section into its record."""
     if not ini.has_section(section):
         missing = finding.Finding(source, section, 'this section is missing')
-        return _Outcome({}, [missing])
+        return _ParsedSections({}, [missing])
     record = settings_rules.RECORDS[section]
-    texts = dict(ini.items(section))
-    findings = _unknown_keys(section, texts, record, source)
-    given: dict[str, Any] = {}
+    raw_values = dict(ini.items(section))
+    findings = _unknown_keys(section, raw_values, record, source)
+    parsed_values: dict[str, Any] = {}
     for key in record._fields:
-        if key not in texts:
-            findings += _missing(section, key, record, source)
+        if key not in raw_values:
+            findings += _missing_key(section, key, record, source)
             continue
         rule = settings_rules.rule_of(section, key)
-        parsed, reason = settings_rules.parse(rule, texts[key])
+        parsed, reason = settings_rules.parse(rule, raw_values[key])
         if reason:
             findings.append(finding.Finding(source, f'{section}.{key}', reason))
-        given[key] = parsed
+        parsed_values[key] = parsed
     if findings:
-        return _Outcome({}, findings)
-    return _Outcome({section: record(**given)}, [])
+        return _ParsedSections({}, findings)
+    return _ParsedSections({section: record(**parsed_values)}, [])
 
 
 def _unknown_keys(
     section: str,
-    texts: Mapping[str, str],
+    raw_values: Mapping[str, str],
     record: type[Any],
     source: str,
 ) -> Findings:
     return [
         finding.Finding(source, f'{section}.{key}', 'is not a known key')
-        for key in texts
+        for key in raw_values
         if key not in record._fields
     ]
 
 
-def _missing(
+def _missing_key(
     section: str, key: str, record: type[Any], source: str
 ) -> Findings:
     if key in record._field_defaults:
--- a/beryllug/parsing/settings_page.py
+++ b/beryllug/parsing/settings_page.py
@@ -1,4 +1,4 @@
-"""The page docs/SETTINGS.md, made from the records and their rules."""
+"""Generates docs/SETTINGS.md from the settings records and their rules."""
 
 import inspect
 import re
@@ -23,8 +23,8 @@
 both, `operators.keys` accepts both.
 
 Keys bind one another: `control.lease_s` must be more than
-{settings_rules.LEASE_BEATS} times and `control.cut_off_s` more than
-{settings_rules.CUT_OFF_BEATS} times `control.heartbeat_s`.
+{settings_rules.MIN_LEASE_HEARTBEATS} times and `control.cut_off_s` more than
+{settings_rules.MIN_CUT_OFF_HEARTBEATS} times `control.heartbeat_s`.
 
 Samples: `examples/entry.ini`, `examples/control.ini`; `deploy/router.ini` is
 the template that the platform fills in for a `router`.
@@ -32,22 +32,22 @@
 This page is made by `python -m beryllug.scripts.reference`.
 """
 ATTRIBUTE = re.compile(r'^    (\w+): (.*)$')
-DEEPER = ' ' * 8
+CONTINUATION_INDENT = ' ' * 8
 
 
 def render() -> str:
-    """Return the whole page."""
+    """Return the text of the page."""
     sections = (
-        '\n'.join(_section(name, record))
+        '\n'.join(_render_section(name, record))
         for name, record in settings_rules.RECORDS.items()
     )
     return '\n'.join((INTRODUCTION, *sections))
 
 
-def _section(name: str, record: type[Any]) -> Iterator[str]:
-    documentation = inspect.getdoc(record) or ''
-    summary = documentation.splitlines()[0].partition(': ')[2]
-    texts = _texts(documentation)
+def _render_section(name: str, record: type[Any]) -> Iterator[str]:
+    docstring = inspect.getdoc(record) or ''
+    summary = docstring.splitlines()[0].partition(': ')[2]
+    descriptions = _field_descriptions(docstring)
     yield f'## [{name}]'
     yield ''
     yield summary[:1].upper() + summary[1:]
@@ -58,7 +58,7 @@
         rule = settings_rules.rule_of(name, key)
         allowed = settings_rules.describe(rule)
         default = _default(record, key)
-        yield f'| `{key}` | {allowed} | {default} | {texts[key]} |'
+        yield f'| `{key}` | {allowed} | {default} | {descriptions[key]} |'
     yield ''
 
 
@@ -69,15 +69,15 @@
     return 'empty' if default in {'', ()} else f'`{default}`'
 
 
-def _texts(documentation: str) -> dict[str, str]:
-    """Return what a record's comment says of each of its fields."""
-    texts: dict[str, str] = {}
-    latest = ''
-    for line in documentation.splitlines():
+def _field_descriptions(docstring: str) -> dict[str, str]:
+    """Return the description of each field from a record's docstring."""
+    descriptions: dict[str, str] = {}
+    field = ''
+    for line in docstring.splitlines():
         match = ATTRIBUTE.match(line)
         if match:
-            latest = match.group(1)
-            texts[latest] = match.group(2)
-        elif line.startswith(DEEPER) and latest:
-            texts[latest] = f'{texts[latest]} {line.strip()}'
-    return texts
+            field = match.group(1)
+            descriptions[field] = match.group(2)
+        elif line.startswith(CONTINUATION_INDENT) and field:
+            descriptions[field] = f'{descriptions[field]} {line.strip()}'
+    return descriptions
--- a/beryllug/parsing/settings_rules.py
+++ b/beryllug/parsing/settings_rules.py
@@ -1,7 +1,7 @@
-"""What each key of a settings file may hold.
+"""The allowed values of each key of a settings file.
 
-One table serves the parser and the page docs/SETTINGS.md, so that neither
-can say something else than the other.
+The parser and the generated page docs/SETTINGS.md share one table, so they
+cannot disagree.
 """
 
 import ipaddress
@@ -30,18 +30,18 @@
 MINUTE_S = 60
 MINUTE_MS = 60000
 HOUR_S = 3600
-MOST_RATIO = 10
-MOST_SLACK = 100000
+MAX_RETRY_RATIO = 10
+MAX_SLACK = 100000
 YEAR_S = 31622400
-SHORTEST_S = 0.02
+MIN_HEARTBEAT_S = 0.02
 MIB = 1048576
-MAX_BODY = 67108864
-MAX_OPEN = 100000
+MAX_BODY_BYTES = 67108864
+MAX_IN_FLIGHT = 100000
 MAX_SHARDS = 4096
-LEASE_BEATS = 2
-# A control hears from a peer once in three heartbeats at the latest, and one
-# lost comparison must not look like a lost fleet.
-CUT_OFF_BEATS = 6
+MIN_LEASE_HEARTBEATS = 2
+# A control process hears from a peer at least once per three heartbeats. Twice
+# that, so that one lost comparison is not taken for the loss of the fleet.
+MIN_CUT_OFF_HEARTBEATS = 6
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """One of some words."""
+    """One of a fixed set of words."""
 
     words: tuple[str, ...]
     build: Callable[[str], Any] = str
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An ``ip:port``; a listening one may have port 0, an optional none."""
+    """An ``ip:port``; port 0 is valid if listening, empty if optional."""
 
     listening: bool = False
     optional: bool = False
@@ -69,7 +69,7 @@
 class Addresses:
     """Several addresses, separated by commas or line ends."""
 
-    least: int
+    min_count: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,12 +78,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Secrets:
-    """One key, or two while it is rotated; the first one signs."""
+class SharedKeys:
+    """One key, or two during a rotation; the first one signs."""
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class Integer:
     """A whole number from `low` to `high`."""
 
     low: int
@@ -98,7 +98,16 @@
     high: float
 
 
-Rule = Name | Choice | Address | Addresses | Regions | Secrets | Whole | Number
+Rule = (
+    Name
+    | Choice
+    | Address
+    | Addresses
+    | Regions
+    | SharedKeys
+    | Integer
+    | Number
+)
 
 RULES: Mapping[str, Rule] = MappingProxyType(
     {
@@ -110,13 +119,13 @@
         'process.zone': Name(),
         'process.log_level': Choice(('debug', 'info', 'warning', 'error')),
         'operators.listen': Address(listening=True),
-        'operators.keys': Secrets(),
-        'fleet.keys': Secrets(),
+        'operators.keys': SharedKeys(),
+        'fleet.keys': SharedKeys(),
         'entry.listen': Address(listening=True),
-        'entry.controls': Addresses(least=1),
-        'entry.max_in_flight': Whole(1, MAX_OPEN),
-        'entry.header_bytes': Whole(1024, MIB),
-        'entry.body_bytes': Whole(1024, MAX_BODY),
+        'entry.controls': Addresses(min_count=1),
+        'entry.max_in_flight': Integer(1, MAX_IN_FLIGHT),
+        'entry.header_bytes': Integer(1024, MIB),
+        'entry.body_bytes': Integer(1024, MAX_BODY_BYTES),
         'entry.read_s': Number(0.1, HOUR_S),
         'entry.idle_s': Number(0.1, HOUR_S),
         'entry.balancer_lag_s': Number(0, HOUR_S),
@@ -124,15 +133,15 @@
         'entry.blind_s': Number(0.1, HOUR_S),
         'entry.rating': Address(optional=True),
         'control.listen': Address(listening=True),
-        'control.peers': Addresses(least=0),
+        'control.peers': Addresses(min_count=0),
         'control.platform': Address(),
         'control.host_list': Address(),
         'control.weight_store': Address(optional=True),
-        'control.watchers': Whole(0, 1000),
-        'control.shards': Whole(1, MAX_SHARDS),
+        'control.watchers': Integer(0, 1000),
+        'control.shards': Integer(1, MAX_SHARDS),
         'control.commits_per_s': Number(0.1, 1000),
         'control.lease_s': Number(0.1, HOUR_S),
-        'control.heartbeat_s': Number(SHORTEST_S, MINUTE_S),
+        'control.heartbeat_s': Number(MIN_HEARTBEAT_S, MINUTE_S),
         'control.cut_off_s': Number(0.1, HOUR_S),
         'control.drain_s': Number(0, HOUR_S),
         'control.retention_s': Number(MINUTE_S, YEAR_S),
@@ -141,15 +150,15 @@
         'router.peer_listen': Address(listening=True),
         'router.notes_listen': Address(listening=True),
         'router.store': Address(),
-        'router.seeds': Addresses(least=0),
+        'router.seeds': Addresses(min_count=0),
         'router.drain_ms': Number(0, MINUTE_MS),
         'router.grace_s': Number(0, HOUR_S),
         'router.session_s': Number(0, HOUR_S),
-        'router.retry_ratio': Number(0, MOST_RATIO),
-        'router.retry_slack': Number(0, MOST_SLACK),
+        'router.retry_ratio': Number(0, MAX_RETRY_RATIO),
+        'router.retry_slack': Number(0, MAX_SLACK),
         'router.retry_window_s': Number(0.1, HOUR_S),
         'router.trial_share': Number(0, 1),
-        'router.trial_slack': Number(0, MOST_SLACK),
+        'router.trial_slack': Number(0, MAX_SLACK),
         'router.regions': Regions(),
         'router.start_wait_s': Number(0, MINUTE_S),
     }
@@ -165,62 +174,66 @@
     """Parse the text of a key.
 
     Returns:
-        The parsed text and an empty reason, or None and what is wrong.
+        The parsed value and an empty reason, or None and the reason.
     """
-    parsed = _parsed(rule, text)
+    parsed = _parse_value(rule, text)
     if parsed is None:
         return None, f'must be {describe(rule)}'
     return parsed, ''
 
 
 def describe(rule: Rule) -> str:
-    """Say what a key may hold, as the rest of ``must be ...``."""
+    """Describe the allowed values, as the rest of ``must be ...``."""
     match rule:
         case Name():
-            told = 'a name of letters, digits, `.`, `_` and `-` (at most 63)'
+            description = (
+                'a name of letters, digits, `.`, `_` and `-` (at most 63)'
+            )
         case Choice(words):
             known = ', '.join(words)
-            told = f'one of {known}'
+            description = f'one of {known}'
         case Address(_, optional):
-            told = 'an ip:port or empty' if optional else 'an ip:port'
-        case Addresses(least):
-            few = f'at least {least} ' if least else ''
-            told = f'a list of {few}ip:port, each once'
+            description = 'an ip:port or empty' if optional else 'an ip:port'
+        case Addresses(min_count):
+            count = f'at least {min_count} ' if min_count else ''
+            description = f'a list of {count}ip:port, each once'
         case Regions():
-            told = 'a list of zone:region, each zone once'
-        case Secrets():
-            told = f'one or two keys of at least {MIN_KEY_LENGTH} characters'
-        case Whole(low, high):
-            told = f'a whole number from {low} to {high}'
+            description = 'a list of zone:region, each zone once'
+        case SharedKeys():
+            description = (
+                f'one or two keys of at least {MIN_KEY_LENGTH} characters'
+            )
+        case Integer(low, high):
+            description = f'a whole number from {low} to {high}'
         case Number(low, high):
-            told = f'a number from {low} to {high}'
-    return told
+            description = f'a number from {low} to {high}'
+    return description
 
 
-def across(
+def check_cross_key_constraints(
     settings: settings_data.Settings, source: str
 ) -> list[finding.Finding]:
-    """Check keys that bind one another."""
+    """Check constraints between keys."""
     control = settings.control
     if control is None:
         return []
     bounds = (
-        ('lease_s', control.lease_s, LEASE_BEATS),
-        ('cut_off_s', control.cut_off_s, CUT_OFF_BEATS),
+        ('lease_s', control.lease_s, MIN_LEASE_HEARTBEATS),
+        ('cut_off_s', control.cut_off_s, MIN_CUT_OFF_HEARTBEATS),
     )
     return [
         finding.Finding(
             source,
             f'control.{key}',
-            f'must be more than {beats} times control.heartbeat_s',
+            f'must be more than {heartbeats} times control.heartbeat_s',
         )
-        for key, seconds, beats in bounds
-        if seconds <= beats * control.heartbeat_s
+        for key, seconds, heartbeats in bounds
+        if seconds <= heartbeats * control.heartbeat_s
     ]
 
 
-def _parsed(rule: Rule, text: str) -> Any:
-    """Return what the text says, or None when it breaks the rule."""
+def _parse_value(rule: Rule, text: str) -> Any:
+    """Return the parsed value, or None if the text violates the rule."""
     match rule:
         case Name():
             parsed: Any = text if NAME.fullmatch(text) else None
@@ -228,25 +241,25 @@
             parsed = build(text) if text in words else None
         case Address(listening, optional):
             parsed = _address(text, 0 if listening else 1, optional)
-        case Addresses(least):
-            parsed = _addresses(_split(text), least)
+        case Addresses(min_count):
+            parsed = _addresses(_split_list(text), min_count)
         case Regions():
-            parsed = _regions(_split(text))
-        case Secrets():
-            parsed = _secrets(_split(text))
-        case Whole():
+            parsed = _regions(_split_list(text))
+        case SharedKeys():
+            parsed = _shared_keys(_split_list(text))
+        case Integer():
             parsed = _number(text, int, rule)
         case Number():
             parsed = _number(text, float, rule)
     return parsed
 
 
-def _split(text: str) -> tuple[str, ...]:
+def _split_list(text: str) -> tuple[str, ...]:
     parts = text.replace('\n', ',').split(',')
     return tuple(part.strip() for part in parts if part.strip())
 
 
-def _address(text: str, least_port: int, optional: bool) -> str | None:
+def _address(text: str, min_port: int, optional: bool) -> str | None:
     if optional and not text:
         return ''
     host, _, port = text.rpartition(':')
@@ -256,36 +269,38 @@
         return None
     if not (port.isascii() and port.isdigit()):
         return None
-    return text if least_port <= int(port) <= MAX_PORT else None
+    return text if min_port <= int(port) <= MAX_PORT else None
 
 
-def _addresses(parts: tuple[str, ...], least: int) -> tuple[str, ...] | None:
+def _addresses(
+    parts: tuple[str, ...], min_count: int
+) -> tuple[str, ...] | None:
     known = {part for part in parts if _address(part, 1, optional=False)}
-    fits = len(known) == len(parts) and len(parts) >= least
-    return parts if fits else None
+    is_valid = len(known) == len(parts) and len(parts) >= min_count
+    return parts if is_valid else None
 
 
 def _regions(parts: tuple[str, ...]) -> tuple[str, ...] | None:
     pairs = [part.partition(':') for part in parts]
     zones = {zone for zone, _, _ in pairs}
-    are_names = all(
+    are_valid_names = all(
         NAME.fullmatch(zone) and NAME.fullmatch(region)
         for zone, _, region in pairs
     )
-    return parts if are_names and len(zones) == len(parts) else None
+    return parts if are_valid_names and len(zones) == len(parts) else None
 
 
-def _secrets(parts: tuple[str, ...]) -> tuple[str, ...] | None:
+def _shared_keys(parts: tuple[str, ...]) -> tuple[str, ...] | None:
     long_enough = all(len(part) >= MIN_KEY_LENGTH for part in parts)
     return parts if long_enough and len(parts) in {1, 2} else None
 
 
 def _number(
-    text: str, build: Callable[[str], float], rule: Whole | Number
+    text: str, build: Callable[[str], float], rule: Integer | Number
 ) -> float | None:
     try:
         number = build(text)
     except ValueError:
         return None
-    # A comparison with not-a-number is False, so it is refused as well.
+    # Comparisons with NaN are false, so NaN is rejected as well.
     return number if rule.low <= number <= rule.high else None
--- a/beryllug/parsing/settings_test.py
+++ b/beryllug/parsing/settings_test.py
@@ -10,8 +10,8 @@
 CONTROL = (EXAMPLES / 'control.ini').read_text()
 ENTRY = (EXAMPLES / 'entry.ini').read_text()
 
-# Title, text replaced, its replacement, paths of the findings.
-BROKEN: tuple[tuple[str, str, str, tuple[str, ...]], ...] = (
+# Title, replaced text, replacement, paths of the findings.
+INVALID_EDITS: tuple[tuple[str, str, str, tuple[str, ...]], ...] = (
     ('no role', 'role = control\n', '', ('control', 'process.role')),
     ('role', '= control\n', '= boss\n', ('control', 'process.role')),
     ('name', 'control-1', 'a b', ('process.name',)),
@@ -31,19 +31,29 @@
     ('section twice', '[fleet]', '[process]\n[fleet]', ('[process]',)),
     ('nan', '[control]', '[control]\nlease_s = nan', ('control.lease_s',)),
     ('below', '[control]', '[control]\nshards = 0', ('control.shards',)),
-    ('part', '[control]', '[control]\nshards = 1.5', ('control.shards',)),
-    ('both', '[control]', '[control]\nlease_s = 1', ('control.lease_s',)),
-    ('cut', '[control]', '[control]\ncut_off_s = 6', ('control.cut_off_s',)),
+    ('fraction', '[control]', '[control]\nshards = 1.5', ('control.shards',)),
+    (
+        'cross-key',
+        '[control]',
+        '[control]\nlease_s = 1',
+        ('control.lease_s',),
+    ),
+    (
+        'cut-off too short',
+        '[control]',
+        '[control]\ncut_off_s = 6',
+        ('control.cut_off_s',),
+    ),
     ('no syntax', '[fleet]', '[fleet]\nhello', ('line 12',)),
     ('before', '[process]', 'a = 1\n[process]', ('line 1',)),
 )
 
 
 class SettingsTest(unittest.TestCase):
-    """Whole files, and every finding of broken ones."""
+    """Valid files, and the findings of invalid ones."""
 
     def test_examples(self) -> None:
-        """The examples parse, each to its role's section."""
+        """The example files parse, each with its role's section."""
         control, findings = settings.parse(CONTROL, 'control.ini')
         assert control is not None and control.control is not None, findings
         self.assertEqual(control.process.role, settings_data.Role.CONTROL)
@@ -52,9 +62,9 @@
         assert entry is not None and entry.entry is not None, findings
         self.assertIsNone(entry.control)
 
-    def test_broken(self) -> None:
-        """Each mistake is refused and named with its section and key."""
-        for title, old, new, paths in BROKEN:
+    def test_invalid(self) -> None:
+        """Each error is rejected with its section and key."""
+        for title, old, new, paths in INVALID_EDITS:
             with self.subTest(title):
                 self.assertIn(old, CONTROL)
                 text = CONTROL.replace(old, new)
@@ -64,7 +74,7 @@
                 self.assertLessEqual(set(paths), found)
 
     def test_all_at_once(self) -> None:
-        """Mistakes in several sections are reported together."""
+        """Errors in several sections are reported together."""
         text = CONTROL.replace('zone-1', 'a b').replace(':7001', ':x')
         _, findings = settings.parse(f'{text}\nlease_s = 0', 'f.ini')
         self.assertEqual(
@@ -74,13 +84,13 @@
         self.assertEqual({item.source for item in findings}, {'f.ini'})
 
     def test_unreadable(self) -> None:
-        """A missing file is a finding, too."""
+        """A missing file is reported as a finding."""
         parsed, findings = settings.load('/nowhere/at.ini')
         self.assertIsNone(parsed)
         self.assertIn('cannot be read', findings[0].reason)
 
     def test_rules_are_complete(self) -> None:
-        """Every field of a settings record has a rule, and none is spare."""
+        """Every field of a settings record has a rule, and vice versa."""
         fields = {
             f'{section}.{key}'
             for section, record in settings_rules.RECORDS.items()
@@ -88,21 +98,21 @@
         }
         self.assertEqual(fields, set(settings_rules.RULES))
 
-    def test_defaults_obey_rules(self) -> None:
-        """A default that is written out is accepted."""
+    def test_defaults_are_valid(self) -> None:
+        """Every default is a valid value of its key."""
         for path, rule in settings_rules.RULES.items():
             section, _, key = path.partition('.')
             record = settings_rules.RECORDS[section]
             default = record._field_defaults.get(key)
             if default is not None:
                 with self.subTest(path):
-                    written = _written(default)
-                    parsed, reason = settings_rules.parse(rule, written)
+                    ini_text = _to_ini(default)
+                    parsed, reason = settings_rules.parse(rule, ini_text)
                     self.assertEqual((parsed, reason), (default, ''))
 
 
-def _written(default: object) -> str:
-    """Return a default as a settings file has it."""
+def _to_ini(default: object) -> str:
+    """Return a default as written in a settings file."""
     return ','.join(default) if isinstance(default, tuple) else str(default)
 
 
