--- a/beryllug/checks/__init__.py
+++ b/beryllug/checks/__init__.py
@@ -1,4 +1,5 @@
 """Semantic validations of a parsed document.
 
-Each is a function of a listed table, so that one pass reports them all.
+All validation functions are listed in one table and run in one pass, so that
+all findings are reported together.
 """
--- a/beryllug/checks/accounts.py
+++ b/beryllug/checks/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts: what they may use at all."""
+"""Validates the permissions of client accounts."""
 
 from collections.abc import Iterator
 
@@ -8,27 +8,27 @@
 Findings = Iterator[finding.Finding]
 
 
-def check_useful(document: config_data.Document) -> Findings:
-    """Report an account that may use nothing: most often a lost list."""
-    for place, account in enumerate(document.accounts):
+def check_any_permission(document: config_data.Document) -> Findings:
+    """Report an account without any permission, usually an omitted list."""
+    for index, account in enumerate(document.accounts):
         if not (account.allowed or account.services):
             reason = 'may use no version and no service'
-            yield places.report(f'accounts[{place}]', reason)
+            yield places.report(f'accounts[{index}]', reason)
 
 
 def check_allowed(document: config_data.Document) -> Findings:
-    """Report a version that stands twice in an account's list."""
-    for outer, account in enumerate(document.accounts):
+    """Report a version that is listed twice in an account's `allowed`."""
+    for account_index, account in enumerate(document.accounts):
         yield from places.repeats(
             (
                 (
-                    f'accounts[{outer}].allowed[{inner}]',
+                    f'accounts[{account_index}].allowed[{ref_index}]',
                     f'{ref.model}/{ref.version}',
                 )
-                for inner, ref in enumerate(account.allowed)
+                for ref_index, ref in enumerate(account.allowed)
             ),
             'allowed version',
         )
 
 
-VALIDATIONS = (check_useful, check_allowed)
+VALIDATIONS = (check_any_permission, check_allowed)
--- a/beryllug/checks/cascades.py
+++ b/beryllug/checks/cascades.py
@@ -1,4 +1,4 @@
-"""Cascades: their stages and whether accounts can use them."""
+"""Validates the stages of cascades and whether accounts may run them."""
 
 from collections.abc import Iterator
 
@@ -6,59 +6,64 @@
 from beryllug.core import config_data, finding
 
 Findings = Iterator[finding.Finding]
-Named = dict[str, config_data.Cascade]
+CascadesByName = dict[str, config_data.Cascade]
 
 
 def check_stages(document: config_data.Document) -> Findings:
     """Report stages that are unknown, repeated or cascades themselves."""
     models = {model.name for model in document.models}
     cascades = {cascade.name: cascade for cascade in document.cascades}
-    for outer, cascade in enumerate(document.cascades):
-        path = f'cascades[{outer}].stages'
+    for outer_index, cascade in enumerate(document.cascades):
+        path = f'cascades[{outer_index}].stages'
         stages = [
-            (f'{path}[{inner}]', name)
-            for inner, name in enumerate(cascade.stages)
+            (f'{path}[{inner_index}]', name)
+            for inner_index, name in enumerate(cascade.stages)
         ]
         yield from places.repeats(stages, 'stage')
         yield from places.unknown(stages, {*models, *cascades}, 'model')
-        for place, name in stages:
+        for stage_path, name in stages:
             if name in cascades:
                 yield places.report(
-                    place, _nested(cascade.name, name, cascades)
+                    stage_path, _nesting_reason(cascade.name, name, cascades)
                 )
 
 
 def check_costs(document: config_data.Document) -> Findings:
-    """Report a stage that is cheaper than the stage before it.
+    """Report a stage that is cheaper than an earlier stage.
 
-    The first stage is tried for every request. A dear first stage makes the
-    cascade cost more than the strong model alone.
+    The first stage runs for every request. An expensive first stage makes the
+    cascade cost more than the strongest model alone.
     """
-    for outer, cascade in enumerate(document.cascades):
-        dearest = 0
-        for inner, name in enumerate(cascade.stages):
+    for outer_index, cascade in enumerate(document.cascades):
+        highest_cost = 0
+        for inner_index, name in enumerate(cascade.stages):
             cost = _least_cost(document, name)
             if cost is None:
                 continue
-            if cost < dearest:
-                path = f'cascades[{outer}].stages[{inner}]'
+            if cost < highest_cost:
+                path = f'cascades[{outer_index}].stages[{inner_index}]'
                 reason = f'model {name!r} is cheaper than a stage before it'
                 yield places.report(path, reason)
-            dearest = max(cost, dearest)
+            highest_cost = max(cost, highest_cost)
 
 
-def check_usable(document: config_data.Document) -> Findings:
-    """Report cascades of which an account may run no stage, or not the last.
+def check_last_stage_allowed(document: config_data.Document) -> Findings:
+    """Report cascades whose last stage an account is not allowed to run.
 
-    The last stage is the one that holds the quality target: an account
-    without it would be answered by whatever the cheaper stages gave.
+    The last stage is the one that ensures the quality target. Without it the
+    account would get the responses of the cheaper stages, whatever their
+    rating.
     """
-    named = {cascade.name: cascade for cascade in document.cascades}
-    for outer, account in enumerate(document.accounts):
-        for inner, name in enumerate(account.cascades):
-            stages = named[name].stages if name in named else ()
-            if stages and not _may_run(document, account, stages[-1]):
-                path = f'accounts[{outer}].cascades[{inner}]'
+    cascades_by_name = {cascade.name: cascade for cascade in document.cascades}
+    for outer_index, account in enumerate(document.accounts):
+        for inner_index, name in enumerate(account.cascades):
+            stages = (
+                cascades_by_name[name].stages
+                if name in cascades_by_name
+                else ()
+            )
+            if stages and not _is_allowed(document, account, stages[-1]):
+                path = f'accounts[{outer_index}].cascades[{inner_index}]'
                 reason = (
                     f'cascade {name!r} ends in model {stages[-1]!r}, of which '
                     'the account may use no version'
@@ -66,23 +71,25 @@
                 yield places.report(path, reason)
 
 
-def _nested(outer: str, inner: str, cascades: Named) -> str:
-    if _reaches(inner, outer, cascades):
-        return f'cascade {inner!r} leads back to {outer!r}: a cycle'
-    return f'{inner!r} is a cascade; a stage must be a model'
+def _nesting_reason(
+    outer_name: str, inner_name: str, cascades: CascadesByName
+) -> str:
+    if _is_reachable(inner_name, outer_name, cascades):
+        return f'cascade {inner_name!r} leads back to {outer_name!r}: a cycle'
+    return f'{inner_name!r} is a cascade; a stage must be a model'
 
 
-def _reaches(start: str, goal: str, cascades: Named) -> bool:
-    """Tell whether stages lead from one cascade to another."""
+def _is_reachable(start: str, target: str, cascades: CascadesByName) -> bool:
+    """Return whether stages lead from one cascade to another."""
     seen: set[str] = set()
-    ahead = [start]
-    while ahead:
-        name = ahead.pop()
-        if name == goal:
+    pending = [start]
+    while pending:
+        name = pending.pop()
+        if name == target:
             return True
         if name in cascades and name not in seen:
             seen.add(name)
-            ahead.extend(cascades[name].stages)
+            pending.extend(cascades[name].stages)
     return False
 
 
@@ -95,12 +102,14 @@
     return min(costs, default=None)
 
 
-def _may_run(
+def _is_allowed(
     document: config_data.Document, account: config_data.Account, model: str
 ) -> bool:
-    covered = places.covered(document, account, model)
-    declared = any(known.name == model for known in document.models)
-    return bool(covered) or not declared
+    allowed_versions = places.covered(document, account, model)
+    declared = any(
+        declared_model.name == model for declared_model in document.models
+    )
+    return bool(allowed_versions) or not declared
 
 
-VALIDATIONS = (check_stages, check_costs, check_usable)
+VALIDATIONS = (check_stages, check_costs, check_last_stage_allowed)
--- a/beryllug/checks/judge.py
+++ b/beryllug/checks/judge.py
@@ -1,7 +1,7 @@
-"""Judges the text of a document: its structure first, then its meaning.
+"""Validates the text of a document: its structure first, then its semantics.
 
-It loads the structure's library, which costs a process some 10 MB. Whoever
-runs long imports this module only when a document is to be judged.
+This module imports pydantic, which costs a process about 10 MB. Long-running
+processes import it only when a document has to be validated.
 """
 
 import json
@@ -22,11 +22,11 @@
 
 
 def judge(text: str | bytes, source: str) -> Judged:
-    """Judge one document.
+    """Parse and validate one document.
 
     Args:
         text: JSON, as text or as UTF-8.
-        source: Its name, for the findings.
+        source: Name of the document, for the findings.
 
     Returns:
         The document and no findings, or None and every finding.
@@ -39,33 +39,33 @@
 
 
 def judge_files(texts: Mapping[str, str], source: str) -> Judged:
-    """Judge a document that is kept in several files.
+    """Parse and validate a document that is split into several files.
 
-    Each file has some sections; lists of the same section are joined in the
-    order of the files' names.
+    Each file has some of the sections; lists of the same section are
+    concatenated in the order of the file names.
 
     Args:
-        texts: The text of each file, by its name.
-        source: Name of the whole, for what concerns more than one file.
+        texts: The text of each file, by file name.
+        source: Name of the merged document, for its findings.
     """
-    whole = config_data.Document()
+    merged = config_data.Document()
     findings: Findings = []
     for name, text in sorted(texts.items()):
-        parsed, found = document.parse(text, name)
-        findings += found
+        parsed, file_findings = document.parse(text, name)
+        findings += file_findings
         if parsed is not None:
-            whole = _joined(whole, parsed)
+            merged = _merge(merged, parsed)
     if findings:
         return None, findings
-    # Judged as a whole once more: the bounds of size hold for the whole.
-    return judge(json.dumps(document_plain.render(whole)), source)
+    # The merged document is validated again, since the size limits apply to it.
+    return judge(json.dumps(document_plain.render(merged)), source)
 
 
-def _joined(
+def _merge(
     first: config_data.Document, second: config_data.Document
 ) -> config_data.Document:
-    joined: dict[str, Any] = {
+    sections: dict[str, Any] = {
         section: getattr(first, section) + getattr(second, section)
         for section in first._fields
     }
-    return config_data.Document(**joined)
+    return config_data.Document(**sections)
--- a/beryllug/checks/names.py
+++ b/beryllug/checks/names.py
@@ -1,4 +1,4 @@
-"""Names that must be unique."""
+"""Validates that names are unique."""
 
 from collections.abc import Iterator
 
@@ -9,7 +9,7 @@
 
 
 def check_unique(document: config_data.Document) -> Findings:
-    """Report what is declared twice; readers would take either one."""
+    """Report duplicate declarations, of which a lookup could return either."""
     for section, field in (
         ('accounts', 'account_id'),
         ('pools', 'name'),
@@ -18,22 +18,22 @@
     ):
         yield from places.repeats(
             (
-                (f'{section}[{place}].{field}', getattr(record, field))
-                for place, record in enumerate(getattr(document, section))
+                (f'{section}[{index}].{field}', getattr(record, field))
+                for index, record in enumerate(getattr(document, section))
             ),
             field,
         )
 
 
-def check_asked(document: config_data.Document) -> Findings:
-    """Report names that would mean two things when a caller asks for one."""
+def check_requestable_names(document: config_data.Document) -> Findings:
+    """Report names that are ambiguous in a request: models and cascades."""
     models = [
-        (f'models[{place}].name', model.name)
-        for place, model in enumerate(document.models)
+        (f'models[{index}].name', model.name)
+        for index, model in enumerate(document.models)
     ]
     cascades = [
-        (f'cascades[{place}].name', cascade.name)
-        for place, cascade in enumerate(document.cascades)
+        (f'cascades[{index}].name', cascade.name)
+        for index, cascade in enumerate(document.cascades)
     ]
     yield from places.repeats([*models, *cascades], 'model or cascade')
 
@@ -50,31 +50,31 @@
 
 
 def check_operations(document: config_data.Document) -> Findings:
-    """Report a call of a service that is declared twice."""
-    for outer, service in enumerate(document.services):
+    """Report an operation that a service declares twice."""
+    for outer_index, service in enumerate(document.services):
         yield from places.repeats(
             (
                 (
-                    f'services[{outer}].operations[{inner}]',
+                    f'services[{outer_index}].operations[{inner_index}]',
                     f'{operation.method} {operation.path}',
                 )
-                for inner, operation in enumerate(service.operations)
+                for inner_index, operation in enumerate(service.operations)
             ),
             'operation',
         )
 
 
 def check_keys(document: config_data.Document) -> Findings:
-    """Report a key that would speak for two accounts, or twice for one.
+    """Report a key that is listed in two accounts, or twice in one.
 
-    A caller is known by the key alone. With one key in two accounts its
-    requests would be billed to either and run on what either may use.
+    A caller is identified by its key alone. With the same key in two accounts,
+    its requests could be billed to either and use the permissions of either.
     """
     yield from places.repeats(
         (
-            (f'accounts[{outer}].key_hashes[{inner}]', key_hash)
-            for outer, account in enumerate(document.accounts)
-            for inner, key_hash in enumerate(account.key_hashes)
+            (f'accounts[{outer_index}].key_hashes[{inner_index}]', key_hash)
+            for outer_index, account in enumerate(document.accounts)
+            for inner_index, key_hash in enumerate(account.key_hashes)
         ),
         'key hash',
     )
@@ -82,7 +82,7 @@
 
 VALIDATIONS = (
     check_unique,
-    check_asked,
+    check_requestable_names,
     check_versions,
     check_operations,
     check_keys,
--- a/beryllug/checks/targets.py
+++ b/beryllug/checks/targets.py
@@ -1,4 +1,4 @@
-"""Service targets: complete for what accounts may ask, and sound."""
+"""Validates that latency targets are complete and consistent."""
 
 from collections.abc import Iterator
 
@@ -8,33 +8,33 @@
 Findings = Iterator[finding.Finding]
 MODEL_CLASSES = ('draft', 'report')
 REPEATABLE_CLASS = 'lookup'
-UNREPEATABLE_CLASS = 'hold'
+NON_REPEATABLE_CLASS = 'hold'
 
 
 def check_complete(document: config_data.Document) -> Findings:
-    """Report a class of request that the document leaves without targets."""
+    """Report a request class that has no targets in the document."""
     declared = {targets.request_class for targets in document.targets}
-    for name in sorted(_needed(document) - declared):
+    for name in sorted(_required_classes(document) - declared):
         reason = f'class {name!r} has no targets'
         yield places.report('targets', reason)
 
 
 def check_order(document: config_data.Document) -> Findings:
-    """Report a first token that may come after the whole answer."""
-    for place, targets in enumerate(document.targets):
+    """Report a target for the first token later than that for the response."""
+    for index, targets in enumerate(document.targets):
         if targets.first_token_ms > targets.total_ms:
-            path = f'targets[{place}].first_token_ms'
+            path = f'targets[{index}].first_token_ms'
             yield places.report(path, 'must not be over total_ms')
 
 
-def _needed(document: config_data.Document) -> set[str]:
-    needed = set(MODEL_CLASSES) if document.models else set()
+def _required_classes(document: config_data.Document) -> set[str]:
+    required = set(MODEL_CLASSES) if document.models else set()
     for service in document.services:
-        needed |= {
-            REPEATABLE_CLASS if operation.repeatable else UNREPEATABLE_CLASS
+        required |= {
+            REPEATABLE_CLASS if operation.repeatable else NON_REPEATABLE_CLASS
             for operation in service.operations
         }
-    return needed
+    return required
 
 
 VALIDATIONS = (check_complete, check_order)
--- a/beryllug/checks/validations.py
+++ b/beryllug/checks/validations.py
@@ -1,8 +1,8 @@
-"""The validations of a document's meaning, all of them every time.
+"""Runs all semantic validations of a document.
 
-Each module of this package that has a tuple `VALIDATIONS` adds to the table.
-A document with any finding is refused whole: half of it in force would be a
-state that no operator ever wrote down.
+Each module of this package with a tuple `VALIDATIONS` adds to the table. A
+document with any finding is rejected as a whole: applying a part of it would
+result in a configuration that no operator has written.
 """
 
 import functools
@@ -20,25 +20,25 @@
 @functools.cache
 def table() -> tuple[Validation, ...]:
     """Return every validation, in the order of module names."""
-    found: list[Validation] = []
+    validations: list[Validation] = []
     for module in pkgutil.iter_modules(checks.__path__):
         if not module.name.endswith('_test'):
             loaded = importlib.import_module(f'{checks.__name__}.{module.name}')
-            found.extend(getattr(loaded, 'VALIDATIONS', ()))
-    return tuple(found)
+            validations.extend(getattr(loaded, 'VALIDATIONS', ()))
+    return tuple(validations)
 
 
 def validate(
     document: config_data.Document, source: str = SOURCE
 ) -> list[finding.Finding]:
-    """Judge a document that is well formed.
+    """Validate the semantics of a well-formed document.
 
     Args:
         document: The document.
         source: Name of the document, for the findings.
 
     Returns:
-        Every finding of every validation; none means it may be accepted.
+        The findings of all validations; empty if the document is valid.
     """
     return [
         item._replace(source=source)
--- a/beryllug/checks/validations_test.py
+++ b/beryllug/checks/validations_test.py
@@ -1,4 +1,4 @@
-"""Tests of the validations, each on one change of a sound document."""
+"""Tests of the validations, each with a few edits of a valid document."""
 
 import json
 import pathlib
@@ -13,14 +13,14 @@
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / 'examples'
 TEXT = (EXAMPLES / 'kesarvan.json').read_text()
-SOUND: Mapping[str, Any] = MappingProxyType(json.loads(TEXT))
-ANY_SMALL = MappingProxyType({'model': 'desk-small', 'version': '*'})
-HASH = SOUND['accounts'][0]['key_hashes'][0]
+VALID: Mapping[str, Any] = MappingProxyType(json.loads(TEXT))
+ALL_SMALL_VERSIONS = MappingProxyType({'model': 'desk-small', 'version': '*'})
+HASH = VALID['accounts'][0]['key_hashes'][0]
 LARGE_V1 = 'models.1.versions.0'
 
-# Title, changes of the sound document, expected paths of findings.
-Change = tuple[str, Any]
-CASES: tuple[tuple[str, tuple[Change, ...], tuple[str, ...]], ...] = (
+# Title, edits of the valid document, expected paths of findings.
+Edit = tuple[str, Any]
+CASES: tuple[tuple[str, tuple[Edit, ...], tuple[str, ...]], ...] = (
     (
         'account twice',
         (('accounts.1.account_id', 'kutch-resorts'),),
@@ -45,7 +45,7 @@
     ),
     (
         'operation twice',
-        (('services.0.operations.1', SOUND['services'][0]['operations'][0]),),
+        (('services.0.operations.1', VALID['services'][0]['operations'][0]),),
         ('services[0].operations[1]',),
     ),
     (
@@ -86,7 +86,7 @@
     ),
     (
         'allowed twice',
-        (('accounts.1.allowed', [ANY_SMALL, ANY_SMALL]),),
+        (('accounts.1.allowed', [ALL_SMALL_VERSIONS, ALL_SMALL_VERSIONS]),),
         ('accounts[1].allowed[0]', 'accounts[1].allowed[1]'),
     ),
     (
@@ -100,7 +100,7 @@
         ('accounts[0].services[0]',),
     ),
     (
-        'nothing to use',
+        'no permissions',
         (('accounts.1.allowed', []), ('accounts.1.services', [])),
         ('accounts[1]',),
     ),
@@ -160,13 +160,13 @@
         ('rollouts[0].candidate',),
     ),
     (
-        'candidate for nobody',
+        'candidate not permitted',
         (('accounts.0.allowed.0.version', 'v1'),),
         ('rollouts[0].candidate',),
     ),
     (
         'two roll-outs',
-        (('rollouts', [*SOUND['rollouts'], *SOUND['rollouts']]),),
+        (('rollouts', [*VALID['rollouts'], *VALID['rollouts']]),),
         ('rollouts[0].model', 'rollouts[1].model'),
     ),
     (
@@ -175,7 +175,7 @@
         ('rollouts[0].stages',),
     ),
     (
-        'shares stand still',
+        'shares stay equal',
         (('rollouts.0.stages', [5, 5, 100]),),
         ('rollouts[0].stages',),
     ),
@@ -184,7 +184,7 @@
         (('rollouts.0.stages', [5, 50]),),
         ('rollouts[0].stages',),
     ),
-    ('no targets', (('targets', SOUND['targets'][:1]),), ('targets',)),
+    ('no targets', (('targets', VALID['targets'][:1]),), ('targets',)),
     (
         'first token late',
         (('targets.0.first_token_ms', 500),),
@@ -194,7 +194,7 @@
 
 
 class ValidationsTest(unittest.TestCase):
-    """Sound documents pass; each senseless one is refused at its place."""
+    """Valid documents pass; each invalid one is rejected with its paths."""
 
     def test_examples(self) -> None:
         """Both example documents are accepted."""
@@ -205,62 +205,63 @@
                 assert parsed is not None, findings
                 self.assertEqual(validations.validate(parsed), [])
 
-    def test_senseless(self) -> None:
-        """Each change is found, at the places that it concerns."""
-        for title, changes, paths in CASES:
+    def test_invalid(self) -> None:
+        """Each invalid edit is reported at the affected paths."""
+        for title, edits, paths in CASES:
             with self.subTest(title):
-                found = {item.path for item in _judge(changes)}
+                found = {item.path for item in _validate_edited(edits)}
                 self.assertLessEqual(set(paths), found)
 
-    def test_every_validation_is_met(self) -> None:
-        """No validation of the table stands without a case that it finds."""
-        silent = [
+    def test_every_validation_has_a_case(self) -> None:
+        """Every validation of the table reports at least one of the cases."""
+        untested = [
             validation.__qualname__
             for validation in validations.table()
             if not any(
-                list(validation(_changed(changes))) for _, changes, _ in CASES
+                list(validation(_edited(edits))) for _, edits, _ in CASES
             )
         ]
-        self.assertEqual(silent, [])
+        self.assertEqual(untested, [])
 
-    def test_over_all(self) -> None:
-        """A share over all sessions is found beside the structure's bound."""
-        changed = _changed((('rollouts.0.stages', [5, 101]),))
-        reasons = [item.reason for item in validations.validate(changed)]
+    def test_share_over_limit(self) -> None:
+        """A share over 100 percent is reported without the schema's check."""
+        edited = _edited((('rollouts.0.stages', [5, 101]),))
+        reasons = [item.reason for item in validations.validate(edited)]
         self.assertIn('a share is over 100', reasons)
 
     def test_cycle(self) -> None:
-        """Two cascades that name each other are called a cycle."""
-        first = {**SOUND['cascades'][0], 'stages': ['second']}
+        """Two cascades that refer to each other are reported as a cycle."""
+        first = {**VALID['cascades'][0], 'stages': ['second']}
         second = {**first, 'name': 'second', 'stages': ['offers']}
         reasons = [
-            item.reason for item in _judge((('cascades', [first, second]),))
+            item.reason
+            for item in _validate_edited((('cascades', [first, second]),))
         ]
         self.assertIn(
             "cascade 'second' leads back to 'offers': a cycle", reasons
         )
 
     def test_source(self) -> None:
-        """Findings name the file that they are about."""
-        changed = _changed((('targets', []),))
-        findings = validations.validate(changed, 'spa.json')
+        """Findings carry the given source."""
+        edited = _edited((('targets', []),))
+        findings = validations.validate(edited, 'spa.json')
         self.assertEqual({item.source for item in findings}, {'spa.json'})
 
 
-def _judge(changes: tuple[Change, ...]) -> list[finding.Finding]:
-    return validations.validate(_changed(changes))
+def _validate_edited(edits: tuple[Edit, ...]) -> list[finding.Finding]:
+    return validations.validate(_edited(edits))
 
 
-def _changed(changes: tuple[Change, ...]) -> config_data.Document:
+def _edited(edits: tuple[Edit, ...]) -> config_data.Document:
     rendered = json.loads(TEXT)
-    for path, replacement in changes:
+    for path, replacement in edits:
         *steps, last = (
             int(step) if step.isdigit() else step for step in path.split('.')
         )
-        inner = rendered
+        node = rendered
         for step in steps:
-            inner = inner[step]
-        inner[last] = replacement
+            node = node[step]
+        node[last] = replacement
     return document_plain.build(rendered)
 
 
--- a/beryllug/checks/withdrawals.py
+++ b/beryllug/checks/withdrawals.py
@@ -1,4 +1,4 @@
-"""Withdrawals: what they must not leave without a version."""
+"""Validates that withdrawals leave the required versions available."""
 
 from collections.abc import Iterator
 
@@ -9,19 +9,23 @@
 
 
 def check_accounts(document: config_data.Document) -> Findings:
-    """Report a model of an account's list that has no live version left.
+    """Report a model that an account may use but has no active version.
 
-    Every request of that account for the model would be refused. Whoever
-    withdraws the last version has to say in the same document what serves
-    instead, or take the model off the list.
+    Every request of that account for the model would be refused. A document
+    that withdraws the last version must also allow a replacement or remove the
+    model from the account's list.
     """
-    for place, account in enumerate(document.accounts):
-        path = f'accounts[{place}].allowed'
-        asked = dict.fromkeys(ref.model for ref in account.allowed)
-        dead = [name for name in asked if _is_dead(document, account, name)]
-        if asked and len(dead) == len(asked):
+    for index, account in enumerate(document.accounts):
+        path = f'accounts[{index}].allowed'
+        allowed_models = dict.fromkeys(ref.model for ref in account.allowed)
+        withdrawn_models = [
+            name
+            for name in allowed_models
+            if _is_withdrawn(document, account, name)
+        ]
+        if allowed_models and len(withdrawn_models) == len(allowed_models):
             yield places.report(path, 'every version of the list is withdrawn')
-        for name in dead:
+        for name in withdrawn_models:
             reason = (
                 f'model {name!r} has no version left for this account; allow '
                 'one that is not withdrawn or take the model off the list'
@@ -30,41 +34,43 @@
 
 
 def check_stages(document: config_data.Document) -> Findings:
-    """Report a stage of a cascade whose every version is withdrawn."""
-    live = {
+    """Report a cascade stage of which all versions are withdrawn."""
+    active_models = {
         version.ref.model
         for _, version in places.versions(document)
         if not version.withdrawn
     }
-    dead = {model.name for model in document.models} - live
-    for outer, cascade in enumerate(document.cascades):
-        for inner, name in enumerate(cascade.stages):
-            if name in dead:
-                path = f'cascades[{outer}].stages[{inner}]'
+    withdrawn_models = {model.name for model in document.models} - active_models
+    for cascade_index, cascade in enumerate(document.cascades):
+        for stage_index, name in enumerate(cascade.stages):
+            if name in withdrawn_models:
+                path = f'cascades[{cascade_index}].stages[{stage_index}]'
                 reason = f'every version of model {name!r} is withdrawn'
                 yield places.report(path, reason)
 
 
 def check_rollouts(document: config_data.Document) -> Findings:
-    """Report a roll-out of or beside a withdrawn version."""
+    """Report a roll-out whose candidate or incumbent is withdrawn."""
     withdrawn = {
         version.ref
         for _, version in places.versions(document)
         if version.withdrawn
     }
-    for place, rollout in enumerate(document.rollouts):
+    for index, rollout in enumerate(document.rollouts):
         for role in ('incumbent', 'candidate'):
             name = getattr(rollout, role)
             if config_data.VersionRef(rollout.model, name) in withdrawn:
                 reason = f'version {name!r} is withdrawn; end the roll-out'
-                yield places.report(f'rollouts[{place}].{role}', reason)
+                yield places.report(f'rollouts[{index}].{role}', reason)
 
 
-def _is_dead(
+def _is_withdrawn(
     document: config_data.Document, account: config_data.Account, model: str
 ) -> bool:
-    covered = places.covered(document, account, model)
-    return bool(covered) and all(version.withdrawn for version in covered)
+    allowed_versions = places.covered(document, account, model)
+    return bool(allowed_versions) and all(
+        version.withdrawn for version in allowed_versions
+    )
 
 
 VALIDATIONS = (check_accounts, check_stages, check_rollouts)
