--- a/beryllug/scripts/__init__.py
+++ b/beryllug/scripts/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon and the command-line tool.
+"""Entry points: the daemons, the command-line tool and the demos.
 
-Thin programs over the library.
+They only wire and call the library.
 """
--- a/beryllug/scripts/ask.py
+++ b/beryllug/scripts/ask.py
@@ -1,4 +1,4 @@
-"""Sends one request to an entry and gives out the answer as it comes."""
+"""Sends one chat request to an entry and streams the response."""
 
 import json
 from collections.abc import AsyncIterator, Iterator
@@ -9,20 +9,20 @@
 
 CHAT = '/v1/chat/completions'
 OK = 200
-EVENT = 'data: '
-END = '[DONE]'
-HEAD_S = 120.0
+EVENT_PREFIX = 'data: '
+STREAM_END = '[DONE]'
+HEADER_TIMEOUT_S = 120.0
 
 
 class Question(NamedTuple):
-    """What is asked of which entry.
+    """A chat request and the entry that it is sent to.
 
     Attributes:
         address: ``ip:port`` of an entry process.
         key: Bearer key of a client account.
         model: Model or cascade.
         text: The user's message.
-        headers: Further headers.
+        headers: Additional headers.
     """
 
     address: str
@@ -33,54 +33,56 @@
 
 
 class AskError(Exception):
-    """The question was refused or its answer broke; has the outcome."""
+    """The request was refused or its response was incomplete."""
 
     def __init__(self, outcome: cli_data.Outcome) -> None:
-        """Keep the outcome."""
+        """Store the outcome for the command line."""
         super().__init__(outcome.lines[0])
         self.outcome = outcome
 
 
 async def stream(question: Question) -> AsyncIterator[str]:
-    """Yield the text of the answer as it arrives.
+    """Yield the text of the response as it arrives.
 
     Raises:
-        AskError: It was refused, or broke before its end.
+        AskError: The request was refused, or the response ended early.
     """
     client = http_client.HttpClient()
     try:
         incoming = await client.request(
-            question.address, _outgoing(question), HEAD_S
+            question.address, _outgoing(question), HEADER_TIMEOUT_S
         )
         if incoming.status != OK:
-            raise AskError(_refused(incoming.status, await incoming.read()))
+            raise AskError(_refusal(incoming.status, await incoming.read()))
         async for text in _texts(incoming):
             yield text
     except http_data.NotSentError as exc:
-        raise AskError(_failed(cli_data.Exit.UNAVAILABLE, f'not run: {exc}'))
+        raise AskError(_failure(cli_data.Exit.UNAVAILABLE, f'not run: {exc}'))
     except http_data.BrokenError as exc:
-        reason = f'the answer broke; it may have run: {exc}'
-        raise AskError(_failed(cli_data.Exit.UNCERTAIN, reason))
+        reason = f'the answer ended early; it may have run: {exc}'
+        raise AskError(_failure(cli_data.Exit.UNCERTAIN, reason))
     finally:
         await client.close()
 
 
 async def _texts(incoming: http_client.Incoming) -> AsyncIterator[str]:
-    rest = ''
+    incomplete_line = ''
     try:
         async for chunk in incoming.chunks():
-            *lines, rest = (rest + chunk.decode(errors='replace')).split('\n')
-            for text in _spoken(lines):
+            *lines, incomplete_line = (
+                incomplete_line + chunk.decode(errors='replace')
+            ).split('\n')
+            for text in _event_texts(lines):
                 yield text
     finally:
         incoming.close()
 
 
-def _spoken(lines: list[str]) -> Iterator[str]:
-    """Yield the text of each event; what has no text is passed over."""
+def _event_texts(lines: list[str]) -> Iterator[str]:
+    """Yield the text of each event; events without text are skipped."""
     for line in lines:
-        event = line.strip().removeprefix(EVENT)
-        if line.startswith(EVENT) and event != END:
+        event = line.strip().removeprefix(EVENT_PREFIX)
+        if line.startswith(EVENT_PREFIX) and event != STREAM_END:
             for choice in json.loads(event).get('choices', ()):
                 yield choice.get('delta', {}).get('content') or ''
 
@@ -100,14 +102,14 @@
     return http_data.Outgoing('POST', CHAT, headers, raw)
 
 
-def _refused(status: int, body: bytes) -> cli_data.Outcome:
+def _refusal(status: int, body: bytes) -> cli_data.Outcome:
     try:
         error = json.loads(body)['error']
         reason = f'{error["message"]} ({error["run"]})'
     except (ValueError, LookupError, TypeError):
         reason = f'status {status}'
-    return _failed(cli_data.Exit.FAILED, reason)
+    return _failure(cli_data.Exit.FAILED, reason)
 
 
-def _failed(code: cli_data.Exit, reason: str) -> cli_data.Outcome:
+def _failure(code: cli_data.Exit, reason: str) -> cli_data.Outcome:
     return cli_data.failure(code, 'refused', reason)
--- a/beryllug/scripts/beryllug.py
+++ b/beryllug/scripts/beryllug.py
@@ -5,9 +5,9 @@
 ``BERYLLUG_AUTHOR``, and for ``ask`` ``BERYLLUG_ENTRY`` and
 ``BERYLLUG_CALLER_KEY``. Every command takes ``--json`` for scripts.
 
-Exit codes: 0 done; 1 failed or refused; 2 wrong usage or an invalid document,
+Exit codes: 0 success; 1 failed or refused; 2 usage error or invalid document,
 with all findings; 3 conflict with another operator; 4 unavailable, nothing
-changed; 5 uncertain, repeat with the same ``--apply_id``.
+changed; 5 outcome unknown, repeat with the same ``--apply_id``.
 """
 
 import asyncio
@@ -22,17 +22,17 @@
 
 from fire import core, decorators
 
-from beryllug.scripts import ask as asking
+from beryllug.scripts import ask as ask_client
 from beryllug.scripts import cli_data, commands, losses_report
 
 Command = TypeVar('Command', bound=Callable[..., None])
 Options = Mapping[str, str]
 
-ON = 'True'
+FLAG_ON = 'True'
 OPTIONS = frozenset(
     ('json', 'operators', 'key', 'author', 'apply_id', 'expect', 'entry')
 )
-ROLLOUT = MappingProxyType(
+ROLLOUT_DEFAULTS = MappingProxyType(
     {
         'stages': '1,5,25,100',
         'budget': '20',
@@ -42,11 +42,11 @@
 )
 
 
-def _as_text(command: Command) -> Command:
-    """Take all arguments of a command as text.
+def _with_text_args(command: Command) -> Command:
+    """Pass all arguments of a command as strings.
 
-    The library would read the version 1.10 as the number 1.1, and an
-    operator would withdraw another version than the one named.
+    By default Fire parses the version 1.10 as the number 1.1, so an operator
+    would withdraw another version than the one given.
     """
     return cast('Command', decorators.SetParseFn(str)(command))
 
@@ -54,163 +54,168 @@
 class Rollout:
     """Start, promote or stop a roll-out."""
 
-    @_as_text
+    @_with_text_args
     def start(
         self, model: str, incumbent: str, candidate: str, **options: str
     ) -> None:
         """Roll out CANDIDATE beside INCUMBENT.
 
         Options: --stages=1,5,25,100 (percent of new sessions), --budget=20
-        (answers out and not judged), --max_error_rate=0.02, --min_rating=0.7.
+        (responses delivered and not yet rated), --max_error_rate=0.02,
+        --min_rating=0.7.
         """
-        given = {**ROLLOUT, **options}
+        rollout_options = {**ROLLOUT_DEFAULTS, **options}
         try:
-            body = _declared(model, incumbent, candidate, given)
+            body = _rollout_record(model, incumbent, candidate, rollout_options)
         except ValueError as exc:
-            _end(_usage(str(exc)), {})
-        others = {name: given[name] for name in given if name not in ROLLOUT}
-        _edit('/v1/rollout/start', {}, others, body)
-
-    @_as_text
+            _exit(_usage_error(str(exc)), {})
+        common_options = {
+            name: rollout_options[name]
+            for name in rollout_options
+            if name not in ROLLOUT_DEFAULTS
+        }
+        _run_edit('/v1/rollout/start', {}, common_options, body)
+
+    @_with_text_args
     def promote(self, model: str, **options: str) -> None:
         """End the roll-out of MODEL in favour of its candidate."""
-        _edit('/v1/rollout/promote', {'model': model}, options)
+        _run_edit('/v1/rollout/promote', {'model': model}, options)
 
-    @_as_text
+    @_with_text_args
     def stop(self, model: str, **options: str) -> None:
         """End the roll-out of MODEL and withdraw its candidate."""
-        _edit('/v1/rollout/stop', {'model': model}, options)
+        _run_edit('/v1/rollout/stop', {'model': model}, options)
 
 
 class Tool:
     """Operate beryllug. See `beryllug COMMAND --help`."""
 
     def __init__(self) -> None:
-        """Make the tool."""
+        """Create the command groups."""
         self.rollout = Rollout()
 
-    @_as_text
+    @_with_text_args
     def validate(self, path: str, **options: str) -> None:
-        """Judge a document (a file, or a directory of files)."""
+        """Validate a document (a file, or a directory of files)."""
         _run(commands.validate(path), options)
 
-    @_as_text
+    @_with_text_args
     def diff(self, path: str, **options: str) -> None:
-        """Tell how a document differs from the one in force."""
+        """Show how a document differs from the active one."""
         _run(commands.compare(_target(options), path), options)
 
-    @_as_text
+    @_with_text_args
     def apply(self, path: str, expect: str, **options: str) -> None:
-        """Put a document in force if revision EXPECT still is."""
-        query = {**_who(options), 'expect': expect}
+        """Activate a document if revision EXPECT is still the active one."""
+        query = {**_change_query(options), 'expect': expect}
         _run(commands.apply(_target(options), path, query), options)
 
-    @_as_text
+    @_with_text_args
     def show(self, revision: str = '', **options: str) -> None:
-        """Show the document in force, or a remembered revision."""
+        """Show the active document, or a stored revision."""
         _run(commands.show(_target(options), revision), options)
 
-    @_as_text
+    @_with_text_args
     def history(self, **options: str) -> None:
         """Show who applied the last revisions, and when."""
         _run(commands.history(_target(options)), options)
 
-    @_as_text
+    @_with_text_args
     def status(self, **options: str) -> None:
-        """Show every process and backend server, as far as known."""
+        """Show all known processes and backend servers."""
         _run(commands.status(_target(options)), options)
 
-    @_as_text
+    @_with_text_args
     def dump(self, address: str, **options: str) -> None:
         """Show the whole state of the process at ADDRESS."""
         target = _target(options)._replace(addresses=(address,))
         _run(commands.dump(target), options)
 
-    @_as_text
+    @_with_text_args
     def withdraw(self, model: str, version: str, **options: str) -> None:
         """Withdraw VERSION of MODEL; its roll-out ends."""
-        _edit('/v1/withdraw', {'model': model, 'version': version}, options)
+        _run_edit('/v1/withdraw', {'model': model, 'version': version}, options)
 
-    @_as_text
+    @_with_text_args
     def restore(self, model: str, version: str, **options: str) -> None:
         """Let a withdrawn VERSION of MODEL serve again."""
-        _edit('/v1/restore', {'model': model, 'version': version}, options)
+        _run_edit('/v1/restore', {'model': model, 'version': version}, options)
 
-    @_as_text
+    @_with_text_args
     def losses(self, *paths: str, **options: str) -> None:
-        """Tell from log files which requests were lost, and why.
+        """Report from log files which requests were lost, and why.
 
         Options: --by=route,reason (any of second, process, zone, route,
         server, reason).
         """
         by = options.pop('by', 'route,reason').split(',')
-        _refuse_unknown(options)
-        _end(losses_report.report(paths, by), options)
+        _reject_unknown_options(options)
+        _exit(losses_report.report(paths, by), options)
 
-    @_as_text
+    @_with_text_args
     def usage(self, **options: str) -> None:
-        """Show what was billed."""
+        """Show the billed usage."""
         _run(commands.usage(_target(options)), options)
 
-    @_as_text
+    @_with_text_args
     def ask(self, model: str, text: str, **options: str) -> None:
-        """Send one request to an entry and show the answer as it comes."""
-        question = asking.Question(
+        """Send one request to an entry and print the streamed response."""
+        question = ask_client.Question(
             _option(options, 'entry', 'BERYLLUG_ENTRY'),
             _option(options, 'key', 'BERYLLUG_CALLER_KEY'),
             model,
             text,
         )
-        _refuse_unknown(options)
+        _reject_unknown_options(options)
         sys.exit(asyncio.run(_ask(question, options)))
 
 
 def main() -> None:
-    """Take the command line."""
+    """Run the command line."""
     core.Fire(Tool, name='beryllug')
 
 
-async def _ask(question: asking.Question, options: Options) -> int:
+async def _ask(question: ask_client.Question, options: Options) -> int:
     try:
-        async for text in asking.stream(question):
+        async for text in ask_client.stream(question):
             sys.stdout.write(text)
             sys.stdout.flush()
-    except asking.AskError as exc:
+    except ask_client.AskError as exc:
         _print(exc.outcome, options)
         return exc.outcome.code
     sys.stdout.write('\n')
     return cli_data.Exit.DONE
 
 
-def _edit(
+def _run_edit(
     path: str,
     query: Options,
     options: Options,
     body: Any = None,
 ) -> None:
-    chosen = {**query, **_who(options)}
-    _run(commands.edit(_target(options), path, chosen, body), options)
+    full_query = {**query, **_change_query(options)}
+    _run(commands.edit(_target(options), path, full_query, body), options)
 
 
 def _run(
     command: Coroutine[Any, Any, cli_data.Outcome], options: Options
 ) -> None:
     try:
-        _refuse_unknown(options)
+        _reject_unknown_options(options)
     except SystemExit:
         command.close()
         raise
-    _end(asyncio.run(command), options)
+    _exit(asyncio.run(command), options)
 
 
-def _refuse_unknown(options: Options) -> None:
-    """Refuse options that a typing error made, before anything is done."""
+def _reject_unknown_options(options: Options) -> None:
+    """Reject unknown, e.g. misspelled, options before any action."""
     unknown = ', '.join(sorted(set(options) - OPTIONS))
     if unknown:
-        _end(_usage(f'unknown options: {unknown}'), options)
+        _exit(_usage_error(f'unknown options: {unknown}'), options)
 
 
-def _end(outcome: cli_data.Outcome, options: Options) -> NoReturn:
+def _exit(outcome: cli_data.Outcome, options: Options) -> NoReturn:
     _print(outcome, options)
     sys.exit(outcome.code)
 
@@ -218,7 +223,7 @@
 def _print(outcome: cli_data.Outcome, options: Options) -> None:
     done = outcome.code is cli_data.Exit.DONE
     out = sys.stdout if done else sys.stderr
-    if options.get('json') == ON:
+    if options.get('json') == FLAG_ON:
         text = json_library.dumps(outcome.report)
         sys.stdout.write(f'{text}\n')
         return
@@ -226,34 +231,36 @@
         out.write(f'{line}\n')
 
 
-def _usage(message: str) -> cli_data.Outcome:
+def _usage_error(message: str) -> cli_data.Outcome:
     return cli_data.failure(cli_data.Exit.INVALID, 'usage', message)
 
 
-def _declared(
-    model: str, incumbent: str, candidate: str, given: Options
+def _rollout_record(
+    model: str, incumbent: str, candidate: str, rollout_options: Options
 ) -> dict[str, Any]:
-    """Return a roll-out as a document declares it."""
+    """Return a roll-out in the form of the document section."""
     return {
         'model': model,
         'incumbent': incumbent,
         'candidate': candidate,
-        'stages': [int(stage) for stage in given['stages'].split(',')],
-        'exposure_budget': int(given['budget']),
-        'max_error_rate': float(given['max_error_rate']),
-        'min_rating': float(given['min_rating']),
+        'stages': [
+            int(stage) for stage in rollout_options['stages'].split(',')
+        ],
+        'exposure_budget': int(rollout_options['budget']),
+        'max_error_rate': float(rollout_options['max_error_rate']),
+        'min_rating': float(rollout_options['min_rating']),
     }
 
 
 def _target(options: Options) -> cli_data.Target:
-    listed = _option(options, 'operators', 'BERYLLUG_OPERATORS')
-    addresses = [address.strip() for address in listed.split(',')]
+    address_list = _option(options, 'operators', 'BERYLLUG_OPERATORS')
+    addresses = [address.strip() for address in address_list.split(',')]
     return cli_data.Target(
         tuple(filter(None, addresses)), _option(options, 'key', 'BERYLLUG_KEY')
     )
 
 
-def _who(options: Options) -> dict[str, str]:
+def _change_query(options: Options) -> dict[str, str]:
     author = _option(options, 'author', 'BERYLLUG_AUTHOR')
     return {
         'author': author or getpass.getuser(),
--- a/beryllug/scripts/beryllug_test.py
+++ b/beryllug/scripts/beryllug_test.py
@@ -1,4 +1,4 @@
-"""Tests of the command-line tool against a control's operators' address."""
+"""Tests of the command-line tool with the operators' interface of a control."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
 from beryllug.scripts import beryllug
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / 'examples'
-SOUND = str(EXAMPLES / 'kesarvan.json')
+VALID_PATH = str(EXAMPLES / 'kesarvan.json')
 TEXT = (EXAMPLES / 'kesarvan.json').read_text()
 KEY = 'operator-key-number-one'
 PROCESS = settings_data.Process(
@@ -33,26 +33,26 @@
 CONTROL = settings_data.Control('c0:1', (), '', '')
 
 
-class _Ran(NamedTuple):
-    """What a run of the tool left behind."""
+class _ToolResult(NamedTuple):
+    """Exit code and output of a run of the tool."""
 
     code: int
     out: str
     err: str
 
 
-# Title, arguments, exit code, text that stands in the output.
-RUNS: tuple[tuple[str, str, int, str], ...] = (
-    ('sound', f'validate {SOUND}', 0, 'no findings'),
+# Title, arguments, exit code, text contained in the output.
+CASES: tuple[tuple[str, str, int, str], ...] = (
+    ('sound', f'validate {VALID_PATH}', 0, 'no findings'),
     ('missing', 'validate nowhere.json', 2, 'unreadable'),
     ('broken', 'validate BROKEN', 2, 'accounts[0].w'),
     ('sections', 'validate SECTIONS', 0, 'no findings'),
     ('broken apply', 'apply BROKEN --expect 1', 2, 'accounts[0].w'),
-    ('same', f'diff {SOUND}', 0, 'no difference from revision 1'),
+    ('same', f'diff {VALID_PATH}', 0, 'no difference from revision 1'),
     ('other', 'diff OTHER', 0, '~ accounts[kutch-resorts].weight: 5 -> 6'),
     ('conflict', 'apply OTHER --expect 0', 3, 'revision 1 by ann is in force'),
     ('no number', 'apply OTHER --expect x', 2, 'expect must be given'),
-    ('typing error', 'apply OTHER --expect 1 --expct 2', 2, 'expct'),
+    ('spelling error', 'apply OTHER --expect 1 --expct 2', 2, 'expct'),
     ('shown', 'show', 0, '"account_id": "kutch-resorts"'),
     ('remembered', 'show --revision 1', 0, '"account_id": "kutch-resorts"'),
     ('forgotten', 'show --revision 9', 1, 'not remembered'),
@@ -63,24 +63,24 @@
     ('last version', 'withdraw desk-large v1', 2, 'accounts[0].allowed'),
     ('not a number', 'withdraw desk-small 1.10', 2, "no version '1.10'"),
     ('no roll-out', 'rollout stop desk-large', 2, 'no roll-out'),
-    ('odd share', 'rollout start m a b --stages x', 2, 'invalid literal'),
+    ('invalid share', 'rollout start m a b --stages x', 2, 'invalid literal'),
     ('wrong key', 'show --key other', 1, 'send a valid operator key'),
-    ('nobody', 'show --operators 127.0.0.1:1', 4, 'nothing changed'),
+    ('unreachable', 'show --operators 127.0.0.1:1', 4, 'nothing changed'),
     ('second', 'show --operators 127.0.0.1:1,ADDRESS', 0, 'kutch-resorts'),
     ('no argument', 'apply OTHER', 2, 'expect'),
 )
 
 
-async def _used() -> usage_data.Usage:
-    used = usage_data.AccountUse('kutch-resorts', 3, 700)
-    of_version = usage_data.VersionUse(
+async def _fake_usage() -> usage_data.Usage:
+    account_use = usage_data.AccountUse('kutch-resorts', 3, 700)
+    version_use = usage_data.VersionUse(
         'kutch-resorts', 'desk-small', 'v1', 3, 10, 20, 700
     )
-    return usage_data.Usage(0, (used,), (of_version,))
+    return usage_data.Usage(0, (account_use,), (version_use,))
 
 
 class ToolTest(IsolatedAsyncioTestCase):
-    """Exit codes and texts."""
+    """Exit codes and output of the tool."""
 
     async def asyncSetUp(self) -> None:
         self.api = object_fake_test.FakeObjects()
@@ -92,7 +92,7 @@
             settings_data.Operators('127.0.0.1:0', (KEY,)),
             registry.Registry(),
             bool,
-            operators.routes(desk, status, mock.Mock(usage=_used)),
+            operators.routes(desk, status, mock.Mock(usage=_fake_usage)),
         )
         await self.operators.start()
         self.address = f'127.0.0.1:{self.operators.port}'
@@ -111,19 +111,21 @@
         await self.operators.stop(0)
 
     async def test_runs(self) -> None:
-        """Each run ends with its code, and a refused one changes nothing."""
-        await self.apply_sound()
+        """Each run exits with its code and changes no stored object."""
+        await self.apply_valid()
         before = dict(self.api.stored)
-        for title, line, code, text in RUNS:
+        for title, line, code, text in CASES:
             with self.subTest(title):
-                ran = await self.run_tool(line)
-                self.assertEqual(ran.code, code, ran)
-                self.assertIn(text, ran.err if code else ran.out)
+                tool_result = await self.run_tool(line)
+                self.assertEqual(tool_result.code, code, tool_result)
+                self.assertIn(
+                    text, tool_result.err if code else tool_result.out
+                )
                 self.assertEqual(self.api.stored, before)
 
     async def test_changes(self) -> None:
-        """Changes end with code 0 and are in force."""
-        await self.apply_sound()
+        """Changes exit with code 0 and become active."""
+        await self.apply_valid()
         for line in (
             'apply OTHER --expect 1',
             'rollout stop desk-small',
@@ -133,81 +135,85 @@
             'withdraw desk-small v2 --expect 6',
         ):
             with self.subTest(line):
-                ran = await self.run_tool(line)
-                self.assertEqual(ran.code, 0, ran)
+                tool_result = await self.run_tool(line)
+                self.assertEqual(tool_result.code, 0, tool_result)
         shown = json.loads((await self.run_tool('show --json')).out)
         self.assertEqual(shown['revision'], 7)
         self.assertEqual(shown['document']['accounts'][0]['weight'], 6)
 
     async def test_json(self) -> None:
-        """With --json the output is one document, also for a refusal."""
-        await self.apply_sound()
-        ran = await self.run_tool('apply OTHER --expect 0 --json')
-        report = json.loads(ran.out)
-        self.assertEqual((ran.code, report['error']), (3, 'conflict'))
-        self.assertEqual(ran.err, '')
+        """With --json the output is one JSON document, even for a refusal."""
+        await self.apply_valid()
+        tool_result = await self.run_tool('apply OTHER --expect 0 --json')
+        report = json.loads(tool_result.out)
+        self.assertEqual((tool_result.code, report['error']), (3, 'conflict'))
+        self.assertEqual(tool_result.err, '')
 
     async def test_platform_down(self) -> None:
-        """Nothing changed, and that is what the tool says."""
+        """If the platform is down, the tool reports that nothing changed."""
         self.api.down = True
         with mock.patch.object(config_store, 'PAUSE_S', 0):
-            ran = await self.run_tool(f'apply {SOUND} --expect 0')
-        self.assertEqual(ran.code, 4)
-        self.assertIn('nothing changed', ran.err)
+            tool_result = await self.run_tool(f'apply {VALID_PATH} --expect 0')
+        self.assertEqual(tool_result.code, 4)
+        self.assertIn('nothing changed', tool_result.err)
 
     async def test_lost_answer(self) -> None:
-        """The connection breaks after the change took effect.
+        """The connection is lost after the change took effect.
 
-        The tool must neither repeat the change nor call it failed. It says
-        that it can't know, and under which id to ask; the same command with
-        that id then says what happened.
+        The tool must neither repeat the change nor report a failure. It reports
+        an unknown outcome and the apply id; the same command with that id then
+        reports the outcome.
         """
-        relay = http_server.HttpServer(self._lose_answer)
-        port = await relay.start('127.0.0.1', 0)
-        line = f'apply {SOUND} --expect 0 --apply_id mine'
-        ran = await self.run_tool(f'{line} --operators 127.0.0.1:{port}')
-        await relay.stop()
-        self.assertEqual(ran.code, 5, ran)
-        self.assertIn('--apply_id mine', ran.err)
-        ran = await self.run_tool(line)
-        self.assertEqual(ran.code, 0)
+        lossy_server = http_server.HttpServer(self._drop_response)
+        port = await lossy_server.start('127.0.0.1', 0)
+        line = f'apply {VALID_PATH} --expect 0 --apply_id mine'
+        tool_result = await self.run_tool(
+            f'{line} --operators 127.0.0.1:{port}'
+        )
+        await lossy_server.stop()
+        self.assertEqual(tool_result.code, 5, tool_result)
+        self.assertIn('--apply_id mine', tool_result.err)
+        tool_result = await self.run_tool(line)
+        self.assertEqual(tool_result.code, 0)
         root = config_root.decode(self.api.stored[config_root.KEY].value)
         self.assertEqual(root.revision, 1)
 
     async def test_ask(self) -> None:
-        """The answer is shown as it comes, and a broken one is not whole."""
+        """The response is printed as it arrives; an incomplete one fails."""
         for title, code, text in (
             ('whole', 0, 'Two oils\n'),
             ('broken', 5, 'may have run'),
             ('refused', 1, 'withdrawn (not_run)'),
         ):
             with self.subTest(title):
-                entry = http_server.HttpServer(self._answer)
+                entry = http_server.HttpServer(self._respond)
                 port = await entry.start('127.0.0.1', 0)
-                ran = await self.run_tool(
+                tool_result = await self.run_tool(
                     f'ask {title} hi --entry 127.0.0.1:{port} --key k'
                 )
                 await entry.stop()
-                self.assertEqual(ran.code, code, ran)
-                self.assertIn(text, ran.err if code else ran.out)
+                self.assertEqual(tool_result.code, code, tool_result)
+                self.assertIn(
+                    text, tool_result.err if code else tool_result.out
+                )
 
     def write(self, name: str, text: str) -> None:
-        """Write a file for the tool."""
+        """Write an input file of the tool."""
         (self.path / name).write_text(text)
 
-    async def apply_sound(self) -> None:
-        """Put the sound document in force as revision 1."""
-        ran = await self.run_tool(f'apply {SOUND} --expect 0')
-        self.assertEqual(ran.code, 0, ran)
+    async def apply_valid(self) -> None:
+        """Apply the valid document as revision 1."""
+        tool_result = await self.run_tool(f'apply {VALID_PATH} --expect 0')
+        self.assertEqual(tool_result.code, 0, tool_result)
 
-    async def run_tool(self, line: str) -> _Ran:
-        """Run the tool in a thread of its own, as a shell would."""
+    async def run_tool(self, line: str) -> _ToolResult:
+        """Run the tool in a separate thread, with its own event loop."""
         return await asyncio.to_thread(self._run, line)
 
-    def _run(self, line: str) -> _Ran:
-        words = line.replace('ADDRESS', self.address).split()
+    def _run(self, line: str) -> _ToolResult:
+        parts = line.replace('ADDRESS', self.address).split()
         arguments = [
-            str(self.path / word) if word.isupper() else word for word in words
+            str(self.path / word) if word.isupper() else word for word in parts
         ]
         environ = {
             'BERYLLUG_OPERATORS': self.address,
@@ -223,12 +229,12 @@
             contextlib.redirect_stderr(err),
         ):
             code = _exit_code()
-        return _Ran(code, out.getvalue(), err.getvalue())
+        return _ToolResult(code, out.getvalue(), err.getvalue())
 
-    async def _answer(
+    async def _respond(
         self, req: http_data.Request, exchange: http_server.Exchange
     ) -> None:
-        """Answer as an entry, as the model's name says."""
+        """Respond as an entry; the model name selects the behaviour."""
         model = json.loads(req.body)['model']
         if model == 'refused':
             error = {'message': 'withdrawn', 'run': 'not_run'}
@@ -243,12 +249,14 @@
         else:
             exchange.abort()
 
-    async def _lose_answer(
+    async def _drop_response(
         self, req: http_data.Request, exchange: http_server.Exchange
     ) -> None:
-        """Pass a change on and cut the connection instead of answering."""
-        done = await self.run_tool(f'apply {SOUND} --expect 0 --apply_id mine')
-        self.assertEqual(done.code, 0)
+        """Apply the change, then close the connection instead of responding."""
+        applied = await self.run_tool(
+            f'apply {VALID_PATH} --expect 0 --apply_id mine'
+        )
+        self.assertEqual(applied.code, 0)
         exchange.abort()
 
 
--- a/beryllug/scripts/beryllugd.py
+++ b/beryllug/scripts/beryllugd.py
@@ -1,8 +1,8 @@
 """The daemon: ``beryllugd SETTINGS.ini``.
 
-It reads the settings and runs the role that they name, whose modules it loads
-only then: a role must not pay for those of another. Broken settings are all
-reported at once.
+It reads the settings and runs the configured role. The modules of a role are
+imported only then, so that it has no memory or start-up cost of other roles.
+All errors of the settings are reported at once.
 """
 
 import importlib
@@ -15,43 +15,44 @@
 from beryllug.parsing import settings
 
 EXIT_USAGE = 2
-FROM_VARIABLE = '--settings-from'
-USAGE = f'usage: beryllugd SETTINGS.ini | {FROM_VARIABLE} VARIABLE'
+FROM_VARIABLE_FLAG = '--settings-from'
+USAGE = f'usage: beryllugd SETTINGS.ini | {FROM_VARIABLE_FLAG} VARIABLE'
 
 
 def main() -> None:
-    """Take the command line."""
+    """Run the daemon from the command line."""
     path = _settings_path(sys.argv[1:])
     cfg, findings = settings.load(path)
     if cfg is None:
-        _fail([finding.describe(item) for item in findings])
+        _exit_with_usage_error([finding.describe(item) for item in findings])
         return
     if cfg.router is None:
-        _load('role_daemon').run(cfg, path)
+        _import_daemon('role_daemon').run(cfg, path)
         return
-    # Before the modules are loaded, which takes two thirds of the time from a
-    # process's start to its first answer: after a loss of all processes, the
-    # callers of these tenths of a second found none that listened.
+    # The socket is opened before the modules are imported, which takes two
+    # thirds of the time from process start to first response. Otherwise, after
+    # a loss of all processes, callers were refused connections for some tenths
+    # of a second.
     listener = listeners.open_at(cfg.router.listen)
-    _load('router_daemon').run(cfg, cfg.router, path, listener)
+    _import_daemon('router_daemon').run(cfg, cfg.router, path, listener)
 
 
-def _load(daemon: str) -> Any:
-    """Return the module that runs a role."""
+def _import_daemon(daemon: str) -> Any:
+    """Import the module that runs a role."""
     return importlib.import_module(f'beryllug.scripts.{daemon}')
 
 
 def _settings_path(args: list[str]) -> str:
     match args:
-        case [flag, name] if flag == FROM_VARIABLE:
+        case [flag, name] if flag == FROM_VARIABLE_FLAG:
             return os.environ.get(name, '')
         case [path]:
             return path
-    _fail([USAGE])
+    _exit_with_usage_error([USAGE])
     return ''
 
 
-def _fail(lines: list[str]) -> None:
+def _exit_with_usage_error(lines: list[str]) -> None:
     for line in lines:
         sys.stderr.write(f'{line}\n')
     sys.exit(EXIT_USAGE)
--- a/beryllug/scripts/cli_data.py
+++ b/beryllug/scripts/cli_data.py
@@ -5,7 +5,7 @@
 
 
 class Exit(IntEnum):
-    """Exit codes; scripts rely on them, so they never change meaning."""
+    """Exit codes. Scripts rely on them, so their meaning never changes."""
 
     DONE = 0
     FAILED = 1
@@ -16,12 +16,12 @@
 
 
 class Outcome(NamedTuple):
-    """How a command ended.
+    """Result of a command.
 
     Attributes:
         code: The exit code.
-        report: All of it as plain data, for ``--json``.
-        lines: The same for a person.
+        report: The complete result as plain data, for ``--json``.
+        lines: The result as text lines.
     """
 
     code: Exit
@@ -30,7 +30,7 @@
 
 
 class Target(NamedTuple):
-    """Where the operators' interface is, and the key for it.
+    """Addresses and key of the operators' interface.
 
     Attributes:
         addresses: ``ip:port`` of control processes, in order of preference.
@@ -41,7 +41,7 @@
     key: str
 
 
-def failure(code: Exit, word: str, message: str) -> Outcome:
-    """Make the outcome of a command that did not succeed."""
-    report = {'error': word, 'message': message}
-    return Outcome(code, report, (f'{word}: {message}',))
+def failure(code: Exit, error: str, message: str) -> Outcome:
+    """Return the outcome of a command that did not succeed."""
+    report = {'error': error, 'message': message}
+    return Outcome(code, report, (f'{error}: {message}',))
--- a/beryllug/scripts/cli_render.py
+++ b/beryllug/scripts/cli_render.py
@@ -1,4 +1,4 @@
-"""Lines for a person out of what the operators' interface answers."""
+"""Renders responses of the operators' interface as text lines."""
 
 import json
 import time
@@ -8,55 +8,55 @@
 from beryllug.core import diff, finding, plain
 
 TIME_FORMAT = '%Y-%m-%d %H:%M:%S'
-GAP = '  '
+COLUMN_GAP = '  '
 
 Lines = tuple[str, ...]
 
 
 def refusal(body: dict[str, Any]) -> Lines:
-    """Say why something was refused, and all that is known of it."""
-    word = body.get('error', 'failed')
+    """Render a refusal with its reason, findings and differences."""
+    error = body.get('error', 'failed')
     message = body.get('message', '')
     return (
-        f'{word}: {message}',
+        f'{error}: {message}',
         *findings(body.get('findings', ())),
         *differences(body.get('differences', ())),
     )
 
 
 def findings(listed: Iterable[dict[str, Any]]) -> Lines:
-    """Write one line a finding."""
+    """Render one line per finding."""
     found = (plain.from_plain(finding.Finding, item) for item in listed)
     return tuple(map(finding.describe, found))
 
 
 def differences(listed: Iterable[dict[str, Any]]) -> Lines:
-    """Write one line a difference."""
+    """Render one line per difference."""
     found = (plain.from_plain(diff.Difference, item) for item in listed)
     return tuple(map(diff.describe, found))
 
 
 def document(body: dict[str, Any]) -> Lines:
-    """Write a document as JSON."""
+    """Render a document as JSON."""
     return tuple(json.dumps(body['document'], indent=2).splitlines())
 
 
 def history(body: dict[str, Any]) -> Lines:
-    """Write one line a revision, the latest first."""
+    """Render one line per revision, latest first."""
     rows = [
         (
-            str(past['revision']),
-            time.strftime(TIME_FORMAT, time.localtime(past['at'])),
-            past['author'],
-            past['apply_id'],
+            str(entry['revision']),
+            time.strftime(TIME_FORMAT, time.localtime(entry['at'])),
+            entry['author'],
+            entry['apply_id'],
         )
-        for past in body['history']
+        for entry in body['history']
     ]
     return table(('REVISION', 'AT', 'AUTHOR', 'APPLY ID'), rows)
 
 
 def status(body: dict[str, Any]) -> Lines:
-    """Write the processes, then the backend servers."""
+    """Render the processes, then the backend servers."""
     processes = [
         (
             found['name'],
@@ -74,18 +74,18 @@
             found['pool'],
             found['zone'],
             found['state'],
-            _number(found['running']),
-            _number(found['queued']),
+            _format_number(found['running']),
+            _format_number(found['queued']),
         )
         for found in body['servers']
     ]
-    head = ('PROCESS', 'ROLE', 'ZONE', 'REVISION', 'ACCEPTS', 'STATE')
-    server_head = ('SERVER', 'POOL', 'ZONE', 'STATE', 'RUNNING', 'QUEUED')
-    return (*table(head, processes), '', *table(server_head, servers))
+    header = ('PROCESS', 'ROLE', 'ZONE', 'REVISION', 'ACCEPTS', 'STATE')
+    server_header = ('SERVER', 'POOL', 'ZONE', 'STATE', 'RUNNING', 'QUEUED')
+    return (*table(header, processes), '', *table(server_header, servers))
 
 
 def usage(body: dict[str, Any]) -> Lines:
-    """Write what each account used, then by version."""
+    """Render the usage by account, then by account and version."""
     accounts = [
         (used['account_id'], str(used['requests']), str(used['cost_micro']))
         for used in body['accounts']
@@ -102,29 +102,31 @@
         )
         for used in body['versions']
     ]
-    head = ('ACCOUNT', 'REQUESTS', 'COST (MILLIONTHS)')
-    version_head = (
+    header = ('ACCOUNT', 'REQUESTS', 'COST (MILLIONTHS)')
+    version_header = (
         *('ACCOUNT', 'MODEL', 'VERSION', 'STAGES'),
         *('TOKENS IN', 'TOKENS OUT', 'COST (MILLIONTHS)'),
     )
-    return (*table(head, accounts), '', *table(version_head, versions))
+    return (*table(header, accounts), '', *table(version_header, versions))
 
 
 def plain_data(body: Any) -> Lines:
-    """Write what has no form of its own as JSON."""
+    """Render data that has no format of its own as JSON."""
     return tuple(json.dumps(body, indent=2).splitlines())
 
 
-def table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> Lines:
-    """Align rows under their head."""
-    widths = [max(map(len, column)) for column in zip(head, *rows, strict=True)]
+def table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> Lines:
+    """Render a table with aligned columns."""
+    widths = [
+        max(map(len, column)) for column in zip(header, *rows, strict=True)
+    ]
     return tuple(
-        GAP.join(
+        COLUMN_GAP.join(
             cell.ljust(width) for cell, width in zip(row, widths, strict=True)
         ).rstrip()
-        for row in (head, *rows)
+        for row in (header, *rows)
     )
 
 
-def _number(number: int | None) -> str:
+def _format_number(number: int | None) -> str:
     return '-' if number is None else str(number)
--- a/beryllug/scripts/commands.py
+++ b/beryllug/scripts/commands.py
@@ -1,4 +1,4 @@
-"""What the command-line tool can do, without the command line."""
+"""Implements the commands of the command-line tool."""
 
 import json
 import pathlib
@@ -18,42 +18,42 @@
 
 
 async def validate(path: str) -> cli_data.Outcome:
-    """Judge a document, without any other process.
+    """Validate a document locally, without any other process.
 
     Args:
         path: A file, or a directory whose files are its sections.
     """
-    judged = _read(path)
-    if isinstance(judged, cli_data.Outcome):
-        return judged
+    validated = _read_document(path)
+    if isinstance(validated, cli_data.Outcome):
+        return validated
     report: dict[str, Any] = {'findings': []}
     return cli_data.Outcome(cli_data.Exit.DONE, report, ('no findings',))
 
 
 async def compare(target: cli_data.Target, path: str) -> cli_data.Outcome:
-    """Tell how a document differs from the one in force."""
-    body = _read(path)
+    """Show how a document differs from the active one."""
+    body = _read_document(path)
     if isinstance(body, cli_data.Outcome):
         return body
-    ask = operator_link.Ask(POST, '/v1/diff', body=body)
-    return await _call(target, ask, _render_diff)
+    request = operator_link.Ask(POST, '/v1/diff', body=body)
+    return await _call(target, request, _render_diff)
 
 
 async def apply(
     target: cli_data.Target, path: str, query: Mapping[str, str]
 ) -> cli_data.Outcome:
-    """Put a document in force.
+    """Activate a document.
 
     Args:
         target: The operators' interface.
         path: A file, or a directory whose files are its sections.
         query: Expected revision, author and apply id.
     """
-    body = _read(path)
+    body = _read_document(path)
     if isinstance(body, cli_data.Outcome):
         return body
-    ask = operator_link.Ask(POST, '/v1/config', _with_id(query), body)
-    return await _call(target, ask, _render_applied)
+    request = operator_link.Ask(POST, '/v1/config', _with_apply_id(query), body)
+    return await _call(target, request, _render_applied)
 
 
 async def edit(
@@ -62,65 +62,65 @@
     query: Mapping[str, str],
     body: Any = None,
 ) -> cli_data.Outcome:
-    """Change the document in force by name.
+    """Apply a named change to the active document.
 
     Args:
         target: The operators' interface.
-        path: Which change, as ``/v1/withdraw``.
-        query: What is changed, author and apply id.
-        body: What the change needs beside that.
+        path: Path of the change, as ``/v1/withdraw``.
+        query: Parameters of the change, author and apply id.
+        body: Further data of the change, sent as JSON.
     """
     raw = b'' if body is None else json.dumps(body).encode()
-    ask = operator_link.Ask(POST, path, _with_id(query), raw)
-    return await _call(target, ask, _render_applied)
+    request = operator_link.Ask(POST, path, _with_apply_id(query), raw)
+    return await _call(target, request, _render_applied)
 
 
 async def show(target: cli_data.Target, revision: str) -> cli_data.Outcome:
-    """Show the document in force, or a remembered one."""
+    """Show the active document, or a stored revision."""
     query = {'revision': revision} if revision else {}
-    ask = operator_link.Ask(GET, '/v1/config', query)
-    return await _call(target, ask, cli_render.document)
+    request = operator_link.Ask(GET, '/v1/config', query)
+    return await _call(target, request, cli_render.document)
 
 
 async def history(target: cli_data.Target) -> cli_data.Outcome:
     """Show who applied the last revisions, and when."""
-    ask = operator_link.Ask(GET, '/v1/config/history')
-    return await _call(target, ask, cli_render.history)
+    request = operator_link.Ask(GET, '/v1/config/history')
+    return await _call(target, request, cli_render.history)
 
 
 async def status(target: cli_data.Target) -> cli_data.Outcome:
-    """Show every process and backend server, as far as known."""
-    ask = operator_link.Ask(GET, '/v1/status')
-    return await _call(target, ask, cli_render.status)
+    """Show all known processes and backend servers."""
+    request = operator_link.Ask(GET, '/v1/status')
+    return await _call(target, request, cli_render.status)
 
 
 async def usage(target: cli_data.Target) -> cli_data.Outcome:
-    """Show what was billed."""
-    ask = operator_link.Ask(GET, '/v1/usage')
-    return await _call(target, ask, cli_render.usage)
+    """Show the billed usage."""
+    request = operator_link.Ask(GET, '/v1/usage')
+    return await _call(target, request, cli_render.usage)
 
 
 async def dump(target: cli_data.Target) -> cli_data.Outcome:
     """Show the whole state of one process."""
-    ask = operator_link.Ask(GET, '/dump')
-    return await _call(target, ask, cli_render.plain_data)
+    request = operator_link.Ask(GET, '/dump')
+    return await _call(target, request, cli_render.plain_data)
 
 
 async def _call(
-    target: cli_data.Target, ask: operator_link.Ask, render: Render
+    target: cli_data.Target, request: operator_link.Ask, render: Render
 ) -> cli_data.Outcome:
-    reply = await operator_link.call(target, ask)
+    reply = await operator_link.call(target, request)
     if reply.code is cli_data.Exit.DONE:
         return cli_data.Outcome(reply.code, reply.body, render(reply.body))
     lines = cli_render.refusal(reply.body)
     return cli_data.Outcome(reply.code, reply.body, lines)
 
 
-def _read(path: str) -> bytes | cli_data.Outcome:
-    """Read and judge a document; the outcome is that of a broken one."""
+def _read_document(path: str) -> bytes | cli_data.Outcome:
+    """Read and validate a document; return an outcome if it is invalid."""
     source = pathlib.Path(path)
     try:
-        texts = _texts(source)
+        texts = _read_files(source)
     except (OSError, UnicodeDecodeError) as exc:
         return cli_data.failure(cli_data.Exit.INVALID, 'unreadable', str(exc))
     parsed, findings = judge.judge_files(texts, path)
@@ -129,28 +129,31 @@
     return json.dumps(document_plain.render(parsed)).encode()
 
 
-def _texts(source: pathlib.Path) -> dict[str, str]:
-    """Read the files of a document by their names."""
+def _read_files(source: pathlib.Path) -> dict[str, str]:
+    """Read the files of a document; return their texts by path."""
     files = sorted(source.glob(PATTERN)) if source.is_dir() else [source]
     if not files:
         raise FileNotFoundError(f'{source} has no {PATTERN}')
-    return {str(part): part.read_text(encoding='utf-8') for part in files}
+    return {
+        str(source_file): source_file.read_text(encoding='utf-8')
+        for source_file in files
+    }
 
 
 def _invalid(findings: list[finding.Finding]) -> cli_data.Outcome:
     body = {
         'error': 'invalid',
-        'message': 'refused whole; mend all findings',
+        'message': 'refused as a whole; fix all findings',
         'findings': plain.to_plain(tuple(findings)),
     }
     lines = cli_render.refusal(body)
     return cli_data.Outcome(cli_data.Exit.INVALID, body, lines)
 
 
-def _with_id(query: Mapping[str, str]) -> dict[str, str]:
-    """Give a change its id here, so that it can be repeated with it."""
-    given = {name: text for name, text in query.items() if text}
-    return {'apply_id': uuid.uuid4().hex, **given}
+def _with_apply_id(query: Mapping[str, str]) -> dict[str, str]:
+    """Add an apply id, so that the change can be repeated with the same id."""
+    non_empty = {name: text for name, text in query.items() if text}
+    return {'apply_id': uuid.uuid4().hex, **non_empty}
 
 
 def _render_applied(body: dict[str, Any]) -> tuple[str, ...]:
--- a/beryllug/scripts/compose.py
+++ b/beryllug/scripts/compose.py
@@ -1,6 +1,6 @@
 """The composition root: wires the services of a process.
 
-The one place that knows every service. Services are registered in the order
+Only this module depends on every service. Services are registered in the order
 in which they start; they stop in the reverse order.
 """
 
@@ -60,20 +60,20 @@
 )
 from beryllug.kernel import ops, registry, ticks
 
-PLATFORM_S = 2.0
-ENGINE_S = 2.0
-HOST_LIST_S = 2.0
-BOOT_BYTES = 6
+PLATFORM_TIMEOUT_S = 2.0
+ENGINE_TIMEOUT_S = 2.0
+HOST_LIST_TIMEOUT_S = 2.0
+BOOT_ID_BYTES = 6
 
 
 class Composed(NamedTuple):
-    """The services of a process, and the keys that may be replaced."""
+    """The services of a process, and its replaceable keys."""
 
     services: registry.Registry
     fleet_keys: fleet_key.KeyRing
 
     def replace_keys(self, cfg: settings_data.Settings) -> None:
-        """Take the keys of settings that were read anew."""
+        """Replace the keys by those of reloaded settings."""
         self.fleet_keys.replace(cfg.fleet.keys)
         operators_api = self.services.find('operators', ops.Operators)
         operators_api.replace_keys(cfg.operators.keys)
@@ -97,62 +97,62 @@
     keys: fleet_key.KeyRing,
 ) -> None:
     name = settings.process.name
-    # Names this start of the process too: what an earlier start had open is
-    # not running any more.
-    start = f'{name}/{_boot()}'
+    # Includes an id of this start of the process, since requests opened by an
+    # earlier start are no longer running.
+    instance_id = f'{name}/{_boot_id()}'
     client = http_client.HttpClient()
     calls = control_calls.ControlCalls(cfg.controls, keys)
-    ask = rpc_data.ViewAsk(start, settings.process.zone)
-    link = control_link.ControlLink(ask, cfg, calls)
-    rows = outbox.Outbox(calls)
+    view_request = rpc_data.ViewAsk(instance_id, settings.process.zone)
+    link = control_link.ControlLink(view_request, cfg, calls)
+    row_sink = outbox.Outbox(calls)
     routes = routing.Routing(name, settings.process.zone, link)
-    ticking = ticks.Ticks()
-    crash_reports = crashes.Crashes(name, calls, link, client, ticking)
+    ticker = ticks.Ticks()
+    crash_reports = crashes.Crashes(name, calls, link, client, ticker)
     rater = rating.HttpRater(client, cfg.rating) if cfg.rating else None
-    rated = ratings.Ratings(rater)
-    wired = parts.Parts(
+    rating_service = ratings.Ratings(rater)
+    flow_parts = parts.Parts(
         link=link,
         routing=routes,
         admission=admission.Admission(len(cfg.controls), link, routes),
         attempts=attempts.Attempts(routes, crash_reports),
-        bills=bills.Bills(start, rows),
-        outbox=rows,
+        bills=bills.Bills(instance_id, row_sink),
+        outbox=row_sink,
         answers=answers.Answers(calls),
-        sessions=sessions.Sessions(start, link, rows),
+        sessions=sessions.Sessions(instance_id, link, row_sink),
         crashes=crash_reports,
-        exposure=exposure.Exposure(start, calls, link, rated),
-        ratings=rated,
+        exposure=exposure.Exposure(instance_id, calls, link, rating_service),
+        ratings=rating_service,
         cascades=cascade_data.CascadeState(),
-        engine=engine.HttpEngine(client, ENGINE_S),
+        engine=engine.HttpEngine(client, ENGINE_TIMEOUT_S),
         plain=plain_service.HttpPlainService(client),
     )
     flows = callers.Flows(
-        chat.ChatFlow(wired),
-        plain.PlainFlow(wired),
-        fetches.FetchFlow(wired),
+        chat.ChatFlow(flow_parts),
+        plain.PlainFlow(flow_parts),
+        fetches.FetchFlow(flow_parts),
     )
-    edge = callers.Callers(cfg, link, flows)
-    # It starts first and stops last: a process that drains still answers the
-    # balancer and shows its state.
+    caller_api = callers.Callers(cfg, link, flows)
+    # Starts first and stops last, so that a draining process still responds to
+    # the load balancer and serves its state.
     operators_api = ops.Operators(
         settings.operators,
         services,
-        lambda: services.started and edge.is_ready(time.monotonic()),
+        lambda: services.started and caller_api.is_ready(time.monotonic()),
         {},
     )
     services.register('operators', operators_api)
-    services.register('ticks', ticking)
+    services.register('ticks', ticker)
     services.register('control_link', link)
-    services.register('outbox', rows)
-    services.register('answers', wired.answers)
-    services.register('ratings', rated)
-    services.register('exposure', wired.exposure)
+    services.register('outbox', row_sink)
+    services.register('answers', flow_parts.answers)
+    services.register('ratings', rating_service)
+    services.register('exposure', flow_parts.exposure)
     services.register('routing', routes)
-    services.register('admission', wired.admission)
-    services.register('bills', wired.bills)
-    services.register('sessions', wired.sessions)
+    services.register('admission', flow_parts.admission)
+    services.register('bills', flow_parts.bills)
+    services.register('sessions', flow_parts.sessions)
     services.register('crashes', crash_reports)
-    services.register('callers', edge)
+    services.register('callers', caller_api)
 
 
 def _add_control(
@@ -163,55 +163,80 @@
 ) -> None:
     process = settings.process
     client = http_client.HttpClient()
-    api = object_api.HttpObjectApi(client, cfg.platform, PLATFORM_S)
-    engines = engine.HttpEngine(client, ENGINE_S)
-    listed = host_list.HttpHostList(client, cfg.host_list, HOST_LIST_S)
+    api = object_api.HttpObjectApi(client, cfg.platform, PLATFORM_TIMEOUT_S)
+    engines = engine.HttpEngine(client, ENGINE_TIMEOUT_S)
+    host_source = host_list.HttpHostList(
+        client, cfg.host_list, HOST_LIST_TIMEOUT_S
+    )
     calls = rpc_peers.Peers(keys)
-    join = probing.Join(process.zone, cfg.peers, cfg.heartbeat_s, calls)
-    members = membership.Membership(process.name, cfg.listen, join)
-    boot = _boot()
+    peer_join = probing.Join(process.zone, cfg.peers, cfg.heartbeat_s, calls)
+    members = membership.Membership(process.name, cfg.listen, peer_join)
+    boot = _boot_id()
     owner = lease_data.Owner(process.name, boot, cfg.listen)
-    held = leases.Leases(api, owner, cfg.lease_s, members, calls)
-    rows = journal.Journal(shards.Parts(api, held, calls), cfg, boot)
-    view = config.Config(process, cfg, api, calls, members)
-    kept = control_answers.Answers(api, held, cfg.retention_s)
-    judging = rollouts.Rollouts(cfg.listen, api, held, calls, members, view)
-    suspected = suspects.Suspects(
+    shard_leases = leases.Leases(api, owner, cfg.lease_s, members, calls)
+    row_journal = journal.Journal(
+        shards.Parts(api, shard_leases, calls), cfg, boot
+    )
+    config_view = config.Config(process, cfg, api, calls, members)
+    stored_answers = control_answers.Answers(api, shard_leases, cfg.retention_s)
+    rollout_service = rollouts.Rollouts(
+        cfg.listen, api, shard_leases, calls, members, config_view
+    )
+    suspect_service = suspects.Suspects(
         process.name,
-        view,
-        suspects_spread.Spread(process.name, view.others, members, calls),
+        config_view,
+        suspects_spread.Spread(
+            process.name, config_view.others, members, calls
+        ),
         suspects_store.SuspectsStore(api),
     )
     server = rpc.RpcServer(keys)
-    for serving in (members, held, rows, view, kept, judging, suspected):
-        serving.serve(server)
+    for rpc_service in (
+        members,
+        shard_leases,
+        row_journal,
+        config_view,
+        stored_answers,
+        rollout_service,
+        suspect_service,
+    ):
+        rpc_service.serve(server)
     operators_api = ops.Operators(
         settings.operators,
         services,
-        lambda: services.started and view.revision > 0 and view.accepts(),
-        operators.for_control(view, calls, server, rows),
+        lambda: (
+            services.started
+            and config_view.revision > 0
+            and config_view.accepts()
+        ),
+        operators.for_control(config_view, calls, server, row_journal),
     )
     services.register('operators', operators_api)
     services.register('peers', calls)
     services.register('membership', members)
-    # Peers and entries must reach this process while it hands its shards
-    # over: with the address closed first, holds were refused meanwhile.
+    # Peers and entries must reach this process during the handover of its
+    # shards: when the address was closed first, holds were refused meanwhile.
     services.register('rpc', rpc_endpoint.RpcEndpoint(server, cfg.listen))
-    services.register('leases', held)
-    services.register('journal', rows)
-    services.register('config', view)
-    services.register('answers', kept)
-    services.register('rollouts', judging)
-    services.register('suspects', suspected)
-    services.register('servers', servers.BackendServers(listed, engines, view))
-    stored = None
+    services.register('leases', shard_leases)
+    services.register('journal', row_journal)
+    services.register('config', config_view)
+    services.register('answers', stored_answers)
+    services.register('rollouts', rollout_service)
+    services.register('suspects', suspect_service)
+    services.register(
+        'servers', servers.BackendServers(host_source, engines, config_view)
+    )
+    weights = None
     if cfg.weight_store:
-        stored = weight_store.HttpWeightStore(
-            client, cfg.weight_store, ENGINE_S
+        weights = weight_store.HttpWeightStore(
+            client, cfg.weight_store, ENGINE_TIMEOUT_S
         )
-    services.register('orders', orders.Orders(cfg, view, held, engines, stored))
+    services.register(
+        'orders',
+        orders.Orders(cfg, config_view, shard_leases, engines, weights),
+    )
 
 
-def _boot() -> str:
+def _boot_id() -> str:
     """Return a random id of this start of the process."""
-    return os.urandom(BOOT_BYTES).hex()
+    return os.urandom(BOOT_ID_BYTES).hex()
--- a/beryllug/scripts/compose_router.py
+++ b/beryllug/scripts/compose_router.py
@@ -1,7 +1,8 @@
 """The composition root of the role `router`.
 
-It stands beside `scripts.compose` so that a process of this role imports
-nothing of the others, whose modules would add to its memory and its start.
+It is separate from `scripts.compose` so that a process of this role does not
+import the modules of other roles, which would add to its memory use and start
+time.
 """
 
 import socket
@@ -42,16 +43,16 @@
     zone_list,
 )
 
-# Seconds for a call of the store. It answers in a few milliseconds.
-STORE_S = 1.0
-# Seconds for a connection to a backend server. A round trip between zones
-# takes 3 ms; a packet that was lost is sent again after a second, by when
-# another server has answered.
-CONNECT_S = 0.3
-MS = 1000
-# Part of the time in which a server that leaves gets no new work that may
-# pass before this process acts on it.
-DOUBT_PART = 0.75
+# Timeout of a call to the store, which responds in a few milliseconds.
+STORE_TIMEOUT_S = 1.0
+# Timeout of a connection to a backend server. A round trip between zones takes
+# 3 ms; a lost packet is retransmitted only after a second, by which time
+# another server has responded.
+CONNECT_TIMEOUT_S = 0.3
+MS_PER_S = 1000
+# Fraction of the drain time of a leaving server, in which it gets no new work,
+# that may pass before this process acts on it.
+DOUBT_FRACTION = 0.75
 
 
 def compose(
@@ -65,87 +66,101 @@
     Args:
         settings: Settings of the process.
         cfg: The section of this role.
-        lines: Takes log lines.
-        listener: Listens for callers already, or None.
+        lines: Writer of log lines.
+        listener: Socket that already listens for callers, or None.
     """
     services = registry.Registry()
-    api = store.Store(http_client.HttpClient(), cfg.store, STORE_S)
-    doubt_s = cfg.drain_ms / MS * DOUBT_PART
-    listed = server_list.ServerList(doubt_s, lines)
+    store_api = store.Store(
+        http_client.HttpClient(), cfg.store, STORE_TIMEOUT_S
+    )
+    doubt_s = cfg.drain_ms / MS_PER_S * DOUBT_FRACTION
+    backend_list = server_list.ServerList(doubt_s, lines)
     orders = order_list.OrderList(lines)
     zones = zone_list.ZoneList(lines)
-    known = directory.Directory(api, listed, orders, zones, lines)
-    returns = store_returns.StoreReturns(api.eras, lines)
-    returns.on_returned = known.renew
+    store_directory = directory.Directory(
+        store_api, backend_list, orders, zones, lines
+    )
+    return_detector = store_returns.StoreReturns(store_api.eras, lines)
+    return_detector.on_returned = store_directory.renew
     zone = settings.process.zone
     place = eligible.Place(
         settings.process.name, zone, settings_data.region_by_zone(cfg)
     )
-    limits = server_limits.ServerLimits(settings.process.name, lines)
-    open_servers = eligible.Eligible(listed, zones, place, limits)
-    known.on_table(open_servers.take_table)
-    bound = retry_window.Bound(
+    backend_limits = server_limits.ServerLimits(settings.process.name, lines)
+    eligible_servers = eligible.Eligible(
+        backend_list, zones, place, backend_limits
+    )
+    store_directory.on_table(eligible_servers.take_table)
+    retry_bound = retry_window.Bound(
         cfg.retry_ratio, cfg.retry_slack, cfg.retry_window_s
     )
-    servers = pool.Pool(open_servers, zone, bound)
+    servers = pool.Pool(eligible_servers, zone, retry_bound)
     canaries = trials.Trials(
         servers,
         canary_data.Bounds(cfg.trial_share, cfg.trial_slack, cfg.session_s),
         lines,
     )
     orders.on_order(canaries.take_order)
-    told = attempt_log.AttemptLog(lines, known)
-    to_servers = http_client.HttpClient(CONNECT_S)
-    sender = dispatch.Dispatcher(to_servers)
-    unread = unread_names.UnreadNames(lines)
-    api.on_unread = unread.take
-    stated = statements.Statements(
-        settings.process.name, listed, open_servers, lines
+    request_log = attempt_log.AttemptLog(lines, store_directory)
+    backend_client = http_client.HttpClient(CONNECT_TIMEOUT_S)
+    sender = dispatch.Dispatcher(backend_client)
+    unread_log = unread_names.UnreadNames(lines)
+    store_api.on_unread = unread_log.take
+    server_statements = statements.Statements(
+        settings.process.name, backend_list, eligible_servers, lines
     )
-    sender.listeners = (unread.heard, stated.heard)
+    sender.listeners = (unread_log.heard, server_statements.heard)
     crashes = crash_watch.CrashWatch(lines)
-    listed.on_lost = crashes.lost
-    listed.on_restarted = lambda before: to_servers.forget(before.address)
-    parts = flow_parts.FlowParts(servers, sender, canaries, told, crashes)
+    backend_list.on_lost = crashes.lost
+    backend_list.on_restarted = lambda old_server: backend_client.forget(
+        old_server.address
+    )
+    parts = flow_parts.FlowParts(
+        servers, sender, canaries, request_log, crashes
+    )
     flows = front.Flows(
         plain_flow.PlainFlow(parts), stream_flow.StreamFlow(parts), crashes
     )
-    edge = front.Front(cfg, known, flows, told, listener)
+    frontend = front.Front(cfg, store_directory, flows, request_log, listener)
     keys = fleet_key.KeyRing(settings.fleet.keys)
     calls = rpc_peers.Peers(keys)
-    shared = knowledge.Knowledge(known)
+    shared_knowledge = knowledge.Knowledge(store_directory)
     peers = peering.Peering(
-        settings.process, cfg, calls, shared, canaries, lines
+        settings.process, cfg, calls, shared_knowledge, canaries, lines
     )
     rpc_server = rpc.RpcServer(keys)
     peers.serve(rpc_server)
-    decided = sharing.Decided(servers, canaries, crashes, stated)
-    spread = sharing.Sharing(cfg, zone, peers, known, decided, keys)
+    local_decisions = sharing.Decided(
+        servers, canaries, crashes, server_statements
+    )
+    state_sharing = sharing.Sharing(
+        cfg, zone, peers, store_directory, local_decisions, keys
+    )
     operators_api = ops.Operators(
         settings.operators,
         services,
-        lambda: services.started and edge.is_ready(),
+        lambda: services.started and frontend.is_ready(),
         {},
         are_metrics_open=True,
     )
     in_order: dict[str, registry.Service] = {
         'operators': operators_api,
-        'requests': told,
-        'directory': known,
-        'store_returns': returns,
+        'requests': request_log,
+        'directory': store_directory,
+        'store_returns': return_detector,
         'calls': calls,
         'rpc': rpc_endpoint.RpcEndpoint(rpc_server, cfg.peer_listen),
         'peering': peers,
-        'sharing': spread,
-        'judge': judge.Judge(canaries, peers, spread, api, lines),
-        'eligible': open_servers,
-        'server_limits': limits,
-        'statements': stated,
-        'unread_names': unread,
+        'sharing': state_sharing,
+        'judge': judge.Judge(canaries, peers, state_sharing, store_api, lines),
+        'eligible': eligible_servers,
+        'server_limits': backend_limits,
+        'statements': server_statements,
+        'unread_names': unread_log,
         'pool': servers,
         'trials': canaries,
         'crash_watch': crashes,
-        'front': edge,
+        'front': frontend,
     }
     for service_name, service in in_order.items():
         services.register(service_name, service)
--- a/beryllug/scripts/demo.py
+++ b/beryllug/scripts/demo.py
@@ -1,9 +1,9 @@
-"""The whole system on loopback: ``make demo``.
+"""Demo of the whole system on loopback: ``make demo``.
 
-It starts stand-ins for all outside parties and two entry hosts with an entry
-and a control process each, sends requests of every kind, and shows what each
-caller got and what each client account is billed. The last line proves that
-every request that ran has one bill.
+It starts stand-ins for all external systems and two entry hosts with an entry
+and a control process each, sends requests of every kind, and shows the
+responses and the usage billed to each client account. The last line shows
+whether every request that ran was billed exactly once.
 """
 
 import asyncio
@@ -14,15 +14,15 @@
 from beryllug.core import config_data, journal_data
 from beryllug.standins import caller, fleet_settings, harness, records, sample
 
-LIMIT_S = 55.0
-OLD = config_data.VersionRef('roster', 'v1')
+TIME_LIMIT_S = 55.0
+OLD_VERSION = config_data.VersionRef('roster', 'v1')
 REQUEST_ID = 'x-beryllug-request-id'
 VERSION = 'x-beryllug-version'
 MOVED = 'x-beryllug-session-moved'
 REPLAYED = 'x-beryllug-replayed'
 HOLDS = '/v1/services/booking/holds'
 SLOTS = '/v1/services/booking/slots'
-SHOWN = 64
+MAX_SHOWN_CHARS = 64
 ROUNDS = 4
 ERRORS_FROM = 400
 
@@ -31,9 +31,9 @@
     """One request of the demo.
 
     Attributes:
-        title: What it shows.
-        status: The status it must get.
-        send: Sends it.
+        title: Name of the step.
+        status: Expected HTTP status.
+        send: Sends the request.
     """
 
     title: str
@@ -42,59 +42,67 @@
 
 
 class Demo:
-    """Two callers, two entry hosts and the requests between them."""
+    """Sends the requests of two callers to two entry hosts."""
 
     def __init__(self, fleet: harness.Fleet) -> None:
-        """Bind a running deployment."""
+        """Use a running fleet."""
         self.failed: list[str] = []
         self.ran: set[str] = set()
         self._fleet = fleet
-        self._kutch = caller.Caller(sample.LARGE_KEY)
-        self._saputara = caller.Caller(sample.SMALL_KEY)
+        self._large_caller = caller.Caller(sample.LARGE_KEY)
+        self._small_caller = caller.Caller(sample.SMALL_KEY)
 
     async def close(self) -> None:
         """Close the callers' connections."""
-        await self._kutch.close()
-        await self._saputara.close()
+        await self._large_caller.close()
+        await self._small_caller.close()
 
     async def run(self) -> None:
         """Send all requests."""
         for number in range(ROUNDS):
             for step in self._steps(number):
-                await self._take(step)
+                await self._run_step(step)
         await self._withdraw()
 
     def _steps(self, number: int) -> list[Step]:
-        """Return one round of requests through alternating hosts."""
-        here = self._host(number)
-        there = self._host(number + 1)
+        """Return one round of requests, sent to alternating hosts."""
+        first_host = self._host(number)
+        second_host = self._host(number + 1)
         key = f'hold-{number}'
         slot = {'slot': f'10:{number}0'}
-        ask, chat = self._kutch.ask, self._kutch.chat
-        small = self._saputara.chat
+        ask, chat = self._large_caller.ask, self._large_caller.chat
+        small_chat = self._small_caller.chat
         return [
-            Step('lookup', 200, lambda: ask(here, 'GET', SLOTS)),
+            Step('lookup', 200, lambda: ask(first_host, 'GET', SLOTS)),
             Step(
                 'streamed chat',
                 200,
-                lambda: chat(here, 'desk-small', 'oils?', stream=True),
+                lambda: chat(first_host, 'desk-small', 'oils?', stream=True),
+            ),
+            Step(
+                'whole chat',
+                200,
+                lambda: chat(second_host, 'desk-small', 'when?'),
             ),
-            Step('whole chat', 200, lambda: chat(there, 'desk-small', 'when?')),
             Step(
                 'slot hold',
                 201,
-                lambda: ask(here, 'POST', HOLDS, slot, idempotency_key=key),
+                lambda: ask(
+                    first_host, 'POST', HOLDS, slot, idempotency_key=key
+                ),
             ),
             Step(
                 'the same hold again',
                 201,
-                lambda: ask(there, 'POST', HOLDS, slot, idempotency_key=key),
+                lambda: ask(
+                    second_host, 'POST', HOLDS, slot, idempotency_key=key
+                ),
             ),
             Step(
                 'long report',
                 200,
                 lambda: chat(
-                    here,
+                    first_host,
                     'roster',
                     f'week {number}',
                     stream=True,
@@ -102,44 +110,56 @@
                     idempotency_key=f'report-{number}',
                 ),
             ),
-            Step('cascade', 200, lambda: chat(there, 'offers', f'{number}')),
-            Step('other account', 200, lambda: small(there, 'desk-small', 'x')),
-            Step('not allowed', 403, lambda: small(here, 'desk-large', 'x')),
+            Step(
+                'cascade', 200, lambda: chat(second_host, 'offers', f'{number}')
+            ),
+            Step(
+                'other account',
+                200,
+                lambda: small_chat(second_host, 'desk-small', 'x'),
+            ),
+            Step(
+                'not allowed',
+                403,
+                lambda: small_chat(first_host, 'desk-large', 'x'),
+            ),
         ]
 
     async def _withdraw(self) -> None:
-        """Withdraw a version under a session that is on it."""
+        """Withdraw the version that a session is pinned to."""
         session = {'x_beryllug_session': 'guest-1'}
         first = Step(
             'session starts',
             200,
-            lambda: self._kutch.chat(
+            lambda: self._large_caller.chat(
                 self._host(0), 'roster', 'mine', **session
             ),
         )
-        await self._take(first)
-        declared = sample.withdraw(self._fleet.plan.document, OLD)
+        await self._run_step(first)
+        declared = sample.withdraw(self._fleet.plan.document, OLD_VERSION)
         await self._fleet.apply(declared)
         for index in range(self._fleet.plan.hosts):
             await self._fleet.in_force(fleet_settings.entry_name(index))
-        _say(f'roster@v1 withdrawn, revision {self._fleet.revision} in force')
+        _print_line(
+            f'roster@v1 withdrawn, revision {self._fleet.revision} in force'
+        )
         after = Step(
             'session goes on',
             200,
-            lambda: self._kutch.chat(
+            lambda: self._large_caller.chat(
                 self._host(1), 'roster', 'mine', **session
             ),
         )
-        await self._take(after)
+        await self._run_step(after)
 
-    async def _take(self, step: Step) -> None:
+    async def _run_step(self, step: Step) -> None:
         reply = await step.send()
         request_id = reply.headers.get(REQUEST_ID, '')
         if reply.status < ERRORS_FROM:
             self.ran.add(request_id)
         if reply.status != step.status:
             self.failed.append(f'{step.title}: {reply}')
-        _say(f'{step.title:20} {reply.status}  {_what(reply)}')
+        _print_line(f'{step.title:20} {reply.status}  {_summarize(reply)}')
 
     def _host(self, number: int) -> str:
         hosts = self._fleet.hosts
@@ -147,9 +167,9 @@
 
 
 def main() -> None:
-    """Run the demo within its time."""
-    held = asyncio.run(asyncio.wait_for(_run(), LIMIT_S))
-    sys.exit(0 if held else 1)
+    """Run the demo with a time limit."""
+    passed = asyncio.run(asyncio.wait_for(_run(), TIME_LIMIT_S))
+    sys.exit(0 if passed else 1)
 
 
 async def _run() -> bool:
@@ -172,39 +192,41 @@
 
 async def _with_fleet(fleet: harness.Fleet) -> bool:
     await fleet.start()
-    _say('two entry hosts are ready')
+    _print_line('two entry hosts are ready')
     demo = Demo(fleet)
     await demo.run()
     await demo.close()
     bills = records.bills(fleet)
     _show_usage(bills)
     for failure in demo.failed:
-        _say(f'NOT AS EXPECTED {failure}')
-    once = all(len(rows) == 1 for rows in bills.values())
-    same = set(bills) == demo.ran
-    held = once and same and not demo.failed
-    _say(
+        _print_line(f'NOT AS EXPECTED {failure}')
+    all_billed_once = all(len(rows) == 1 for rows in bills.values())
+    all_billed = set(bills) == demo.ran
+    passed = all_billed_once and all_billed and not demo.failed
+    _print_line(
         f'requests that ran = {len(demo.ran)}, bills = {len(bills)}, '
-        f'each billed once: {"yes" if held else "NO"}'
+        f'each billed once: {"yes" if passed else "NO"}'
     )
-    return held
+    return passed
 
 
 def _show_usage(bills: dict[str, list[journal_data.Row]]) -> None:
     usage: dict[str, list[int]] = {}
     for rows in bills.values():
         for row in rows:
-            line = usage.setdefault(row.account_id, [0, 0, 0])
-            line[0] += 1
-            line[1] += sum(use.tokens_out for use in row.stages)
-            line[2] += sum(use.cost_micro for use in row.stages)
-    _say('usage by client account, from the platform:')
+            totals = usage.setdefault(row.account_id, [0, 0, 0])
+            totals[0] += 1
+            totals[1] += sum(use.tokens_out for use in row.stages)
+            totals[2] += sum(use.cost_micro for use in row.stages)
+    _print_line('usage by client account, from the platform:')
     for account_id, (count, tokens, cost) in sorted(usage.items()):
-        _say(f'  {account_id:10} requests={count} tokens={tokens} cost={cost}')
+        _print_line(
+            f'  {account_id:10} requests={count} tokens={tokens} cost={cost}'
+        )
 
 
-def _what(reply: caller.Reply) -> str:
-    """Say in a few words what a caller got."""
+def _summarize(reply: caller.Reply) -> str:
+    """Summarize the response that a caller received."""
     error = reply.error()
     if error:
         return f'{error["code"]} ({error["run"]})'
@@ -214,10 +236,10 @@
     if REPLAYED in reply.headers:
         notes.append('answer of the first try')
     body = reply.body.decode(errors='replace').replace('\n', ' ')
-    return f'{" ".join(notes)} {body[:SHOWN]}'
+    return f'{" ".join(notes)} {body[:MAX_SHOWN_CHARS]}'
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
 
 
--- a/beryllug/scripts/operator_link.py
+++ b/beryllug/scripts/operator_link.py
@@ -1,8 +1,8 @@
 """Requests of the command-line tool to the operators' interface.
 
-Several addresses may be given. The next one is tried where the one before
-surely did not get the request; a change whose answer was lost is not repeated
-but reported as uncertain.
+Several addresses may be given. The next one is tried only if the previous one
+certainly did not receive the request, or if the request changes nothing. A
+change whose response was lost is reported as uncertain instead of repeated.
 """
 
 import json
@@ -18,7 +18,7 @@
 OK = 200
 GET = 'GET'
 
-EXITS: Mapping[int, cli_data.Exit] = MappingProxyType(
+EXIT_BY_STATUS: Mapping[int, cli_data.Exit] = MappingProxyType(
     {
         200: cli_data.Exit.DONE,
         400: cli_data.Exit.INVALID,
@@ -31,12 +31,12 @@
 
 
 class Ask(NamedTuple):
-    """One request.
+    """One request to the operators' interface.
 
     Attributes:
         method: Method in upper case.
         path: Path, without the query.
-        query: Fields of the query.
+        query: Query parameters.
         body: The body.
     """
 
@@ -47,16 +47,16 @@
 
 
 class Reply(NamedTuple):
-    """An answer: the exit code that it calls for, and its body."""
+    """A response: the resulting exit code, and the body."""
 
     code: cli_data.Exit
     body: dict[str, Any]
 
 
-async def call(target: cli_data.Target, ask: Ask) -> Reply:
-    """Make a request to the first control process that can be reached."""
+async def call(target: cli_data.Target, request: Ask) -> Reply:
+    """Send a request to the first reachable control process."""
     if not (target.addresses and target.key):
-        return _failed(
+        return _failure_reply(
             cli_data.Exit.INVALID,
             'usage',
             'set BERYLLUG_OPERATORS (or --operators) to ip:port of a control '
@@ -64,26 +64,26 @@
         )
     client = http_client.HttpClient()
     try:
-        return await _first(client, target, ask)
+        return await _call_first_reachable(client, target, request)
     finally:
         await client.close()
 
 
-async def _first(
-    client: http_client.HttpClient, target: cli_data.Target, ask: Ask
+async def _call_first_reachable(
+    client: http_client.HttpClient, target: cli_data.Target, request: Ask
 ) -> Reply:
-    tried = []
+    reasons_tried = []
     for address in target.addresses:
         try:
-            return await _send(client, address, target.key, ask)
+            return await _send(client, address, target.key, request)
         except http_data.NotSentError as exc:
-            tried.append(str(exc))
+            reasons_tried.append(str(exc))
         except http_data.BrokenError as exc:
-            if ask.method != GET:
-                return _lost(ask, exc)
-            tried.append(str(exc))
-    reasons = '; '.join(tried)
-    return _failed(
+            if request.method != GET:
+                return _uncertain_reply(request, exc)
+            reasons_tried.append(str(exc))
+    reasons = '; '.join(reasons_tried)
+    return _failure_reply(
         cli_data.Exit.UNAVAILABLE,
         'unavailable',
         f'no control process answers, nothing changed: {reasons}',
@@ -91,25 +91,25 @@
 
 
 async def _send(
-    client: http_client.HttpClient, address: str, key: str, ask: Ask
+    client: http_client.HttpClient, address: str, key: str, request: Ask
 ) -> Reply:
-    query = urlencode(ask.query)
-    path = f'{ask.path}?{query}' if query else ask.path
+    query = urlencode(request.query)
+    path = f'{request.path}?{query}' if query else request.path
     headers = {'authorization': f'Bearer {key}'}
-    outgoing = http_data.Outgoing(ask.method, path, headers, ask.body)
+    outgoing = http_data.Outgoing(request.method, path, headers, request.body)
     incoming, body = await client.call(address, outgoing, TIMEOUT_S)
-    code = EXITS.get(incoming.status, cli_data.Exit.FAILED)
+    code = EXIT_BY_STATUS.get(incoming.status, cli_data.Exit.FAILED)
     try:
         return Reply(code, json.loads(body))
     except ValueError:
         text = f'{address} answered {incoming.status} without JSON'
-        return _failed(cli_data.Exit.FAILED, 'failed', text)
+        return _failure_reply(cli_data.Exit.FAILED, 'failed', text)
 
 
-def _lost(ask: Ask, exc: Exception) -> Reply:
-    """Report that a change may or may not have taken effect."""
-    apply_id = ask.query.get('apply_id', '')
-    failed = _failed(
+def _uncertain_reply(request: Ask, exc: Exception) -> Reply:
+    """Return a reply for a change that may have taken effect."""
+    apply_id = request.query.get('apply_id', '')
+    failed = _failure_reply(
         cli_data.Exit.UNCERTAIN,
         'uncertain',
         f'the answer was lost ({exc}); repeat with --apply_id {apply_id}',
@@ -117,5 +117,5 @@
     return Reply(failed.code, {**failed.body, 'apply_id': apply_id})
 
 
-def _failed(code: cli_data.Exit, word: str, message: str) -> Reply:
-    return Reply(code, {'error': word, 'message': message})
+def _failure_reply(code: cli_data.Exit, error: str, message: str) -> Reply:
+    return Reply(code, {'error': error, 'message': message})
--- a/beryllug/scripts/reference.py
+++ b/beryllug/scripts/reference.py
@@ -1,4 +1,4 @@
-"""Writes the pages that are made from the code: settings and schema."""
+"""Generates the reference pages from the code: settings and schema."""
 
 import json
 import pathlib
@@ -9,7 +9,7 @@
 
 
 def pages() -> dict[pathlib.Path, str]:
-    """Return the text of each page by its path."""
+    """Return the text of each generated page by its path."""
     schema = json.dumps(document.schema(), indent=2)
     return {
         DOCS / 'SETTINGS.md': settings_page.render(),
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Write all pages."""
+    """Write all generated pages."""
     for path, text in pages().items():
         path.write_text(text, encoding='utf-8')
 
--- a/beryllug/scripts/role_daemon.py
+++ b/beryllug/scripts/role_daemon.py
@@ -1,4 +1,4 @@
-"""Runs a process of the roles `entry` and `control` from start to stop."""
+"""Runs a process of role `entry` or `control`."""
 
 import asyncio
 import signal
@@ -12,11 +12,11 @@
 from beryllug.scripts import compose
 
 EXIT_FAILED = 1
-GRACE_S = 130.0
+DEFAULT_GRACE_S = 130.0
 
 
 def run(cfg: settings_data.Settings, path: str) -> None:
-    """Run a process to its stop; SIGHUP reads the keys of the file anew."""
+    """Run a process until it is stopped; SIGHUP reloads the keys."""
     logging.use_absl_handler()
     logging.set_verbosity(cfg.process.log_level)
     asyncio.run(_run(cfg, path))
@@ -44,7 +44,7 @@
 
 
 def _replace_keys(composed: compose.Composed, path: str) -> None:
-    """Take rotated keys; broken settings change nothing."""
+    """Reload rotated keys; invalid settings change nothing."""
     cfg, findings = settings.load(path)
     for item in findings:
         logging.error('event=settings_refused %s', finding.describe(item))
@@ -56,5 +56,7 @@
 async def _stop(
     services: registry.Registry, cfg: settings_data.Settings
 ) -> None:
-    own = cfg.entry or cfg.control
-    await services.stop(own.drain_s if own else GRACE_S)
+    role_section = cfg.entry or cfg.control
+    await services.stop(
+        role_section.drain_s if role_section else DEFAULT_GRACE_S
+    )
--- a/beryllug/scripts/router_daemon.py
+++ b/beryllug/scripts/router_daemon.py
@@ -1,4 +1,4 @@
-"""Runs a process of the role `router` from its start to its stop."""
+"""Runs a process of role `router`."""
 
 import asyncio
 import logging
@@ -20,13 +20,13 @@
     path: str,
     listener: socket.socket | None = None,
 ) -> None:
-    """Run a process to its stop.
+    """Run a process until it is stopped.
 
     Args:
         cfg: Its settings.
-        router: The section of the role.
-        path: Where the settings are, to be checked anew on SIGHUP.
-        listener: Listens for callers already, or None.
+        router: The `router` section of the settings.
+        path: Path of the settings file, which is validated again on SIGHUP.
+        listener: Socket that already listens for callers, or None.
     """
     asyncio.run(_run(cfg, router, path, listener))
 
@@ -37,9 +37,9 @@
     path: str,
     listener: socket.socket | None,
 ) -> None:
-    """Start the services, wait for a signal to stop, and stop them."""
+    """Start the services, wait for a stop signal, and stop them."""
     lines = log_lines.LineWriter()
-    _log_to(lines)
+    _redirect_logging(lines)
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -58,7 +58,7 @@
     lines.write('stopped', process=cfg.process.name)
 
 
-def _log_to(lines: log_lines.LineWriter) -> None:
+def _redirect_logging(lines: log_lines.LineWriter) -> None:
     root = logging.getLogger()
     for handler in list(root.handlers):
         root.removeHandler(handler)
@@ -67,7 +67,7 @@
 
 
 def _reload(path: str, lines: log_lines.LineWriter) -> None:
-    """Check the settings anew; broken ones change nothing."""
+    """Validate the settings file again; no setting is replaced."""
     cfg, findings = settings.load(path)
     for item in findings:
         lines.write('settings_refused', finding=finding.describe(item))
--- a/beryllug/scripts/router_demo.py
+++ b/beryllug/scripts/router_demo.py
@@ -1,7 +1,7 @@
-"""Routers on loopback, before stand-ins of the platform: ``make demo-router``.
+"""Demo of routers on loopback with a simulated platform: ``make demo-router``.
 
-It starts the stand-ins, two router processes, and sends one request of each
-kind to each of them. The exit code is 0 only if each was answered in full.
+It starts the platform stand-ins and two router processes, and sends one request
+of each kind to each router. The exit code is 0 only if all succeed.
 """
 
 import asyncio
@@ -11,12 +11,12 @@
 from beryllug.standins import platform_site, processes
 
 ROUTERS = 2
-SHOWN = 72
+MAX_SHOWN_CHARS = 72
 OK = 200
 
 
 class Step(NamedTuple):
-    """One request: what it shows, its method and path."""
+    """One request of the demo: title, method and path."""
 
     title: str
     method: str
@@ -41,16 +41,16 @@
     running = processes.Processes()
     try:
         await _start(site, running)
-        answered = [
-            await _show(site, router, step)
+        succeeded = [
+            await _run_step(site, router, step)
             for router in site.routers
             for step in STEPS
         ]
     finally:
         await running.stop()
         await site.close()
-    sys.stdout.write(f'{sum(answered)} of {len(answered)} answered\n')
-    return 0 if all(answered) else 1
+    sys.stdout.write(f'{sum(succeeded)} of {len(succeeded)} answered\n')
+    return 0 if all(succeeded) else 1
 
 
 async def _start(
@@ -64,13 +64,13 @@
         await site.spawn_router(running)
 
 
-async def _show(
+async def _run_step(
     site: platform_site.Site, router: platform_site.Router, step: Step
 ) -> bool:
     reply = await site.ask(router, step.path, step.method)
     text = reply.body.decode(errors='replace').replace('\n', ' ')
     sys.stdout.write(f'{router.name}: {step.title}\n')
-    sys.stdout.write(f'  {reply.status} {text[:SHOWN]}\n')
+    sys.stdout.write(f'  {reply.status} {text[:MAX_SHOWN_CHARS]}\n')
     return reply.status == OK
 
 
