--- a/beryllug/parsing/chat.py
+++ b/beryllug/parsing/chat.py
@@ -82,10 +82,10 @@
 def _validate_body(body: _Body) -> list[finding.Finding]:
     findings = []
     if not body.get('model'):
-        reason = 'must name a model or a cascade'
+        reason = 'name a model or a cascade'
         findings.append(finding.Finding(SOURCE, '$.model', reason))
     if not body.get('messages'):
-        reason = 'must have at least one message'
+        reason = 'needs at least one message'
         findings.append(finding.Finding(SOURCE, '$.messages', reason))
     if body.get('max_tokens', 0) < 0:
         reason = 'must not be negative'
--- a/beryllug/parsing/document.py
+++ b/beryllug/parsing/document.py
@@ -41,9 +41,7 @@
     try:
         json.loads(text, object_pairs_hook=_reject_duplicate_fields)
     except (ValueError, RecursionError) as exc:
-        return None, [
-            _document_finding(source, f'is not a JSON document: {exc}')
-        ]
+        return None, [_document_finding(source, f'is no JSON document: {exc}')]
     try:
         model = document_model.Document.model_validate_json(text)
     except pydantic.ValidationError as exc:
@@ -67,7 +65,9 @@
         names = [name for name, _ in pairs]
         duplicates = sorted({name for name in names if names.count(name) > 1})
         listed = ', '.join(duplicates)
-        raise _DuplicateFieldError(f'an object has duplicate fields: {listed}')
+        raise _DuplicateFieldError(
+            f'a field stands twice in an object: {listed}'
+        )
     return fields
 
 
@@ -88,7 +88,7 @@
     if omitted > 0:
         return [
             *findings[:MAX_FINDINGS],
-            _document_finding(source, f'has {omitted} further errors'),
+            _document_finding(source, f'has {omitted} more'),
         ]
     return findings
 
--- a/beryllug/scripts/commands.py
+++ b/beryllug/scripts/commands.py
@@ -143,7 +143,7 @@
 def _invalid(findings: list[finding.Finding]) -> cli_data.Outcome:
     body = {
         'error': 'invalid',
-        'message': 'refused as a whole; fix all findings',
+        'message': 'refused whole; mend all findings',
         'findings': plain.to_plain(tuple(findings)),
     }
     lines = cli_render.refusal(body)
