--- a/beryllug/standins/__init__.py
+++ b/beryllug/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the outside parties.
+"""In-process stand-ins for the external services.
 
-They speak the published protocols and have fault switches for tests.
+They implement the published protocols and inject faults for tests.
 """
--- a/beryllug/standins/caller.py
+++ b/beryllug/standins/caller.py
@@ -1,4 +1,4 @@
-"""A caller of the system, for the proofs and the demo."""
+"""Client of the system for the proofs and the demo."""
 
 import json
 from typing import Any, NamedTuple
@@ -9,13 +9,13 @@
 
 
 class Reply(NamedTuple):
-    """What a caller got.
+    """The response that a caller received.
 
     Attributes:
-        status: HTTP status; 0 where the connection was refused or broke.
+        status: HTTP status; 0 if the connection was refused or failed.
         headers: Header values by lower-case name.
-        body: The whole body.
-        broken: Whether the connection broke after a byte was written.
+        body: The complete body.
+        broken: Whether the connection failed after a byte was written.
     """
 
     status: int
@@ -24,7 +24,7 @@
     broken: bool = False
 
     def error(self) -> dict[str, Any]:
-        """Return the error that a refusal states; empty without one."""
+        """Return the error object of the body; empty if there is none."""
         try:
             document = json.loads(self.body)
         except ValueError:
@@ -34,10 +34,10 @@
 
 
 class Caller:
-    """Sends requests of one client account."""
+    """Sends requests for one client account."""
 
     def __init__(self, key: str) -> None:
-        """Take the account's bearer key."""
+        """Create a client with the account's bearer key."""
         self._key = key
         self._client = http_client.HttpClient()
 
@@ -49,13 +49,13 @@
         body: Any = None,
         **fields: str,
     ) -> Reply:
-        """Send one request and read its whole answer.
+        """Send one request and read the complete response.
 
         Args:
-            address: Where the entry process listens.
+            address: Address of the entry process.
             method: HTTP method.
             target: Path and query.
-            body: What to send as JSON, None for no body.
+            body: Value to send as JSON, None for no body.
             fields: Header values; ``_`` in a name stands for ``-``.
         """
         named = {name.replace('_', '-'): text for name, text in fields.items()}
@@ -76,7 +76,7 @@
     async def chat(
         self, address: str, model: str, prompt: str, **fields: Any
     ) -> Reply:
-        """Send a chat; `stream` and `max_tokens` go into the body."""
+        """Send a chat request; `stream` and `max_tokens` go into the body."""
         body: dict[str, Any] = {
             'model': model,
             'messages': [{'role': 'user', 'content': prompt}],
--- a/beryllug/standins/engine_answers.py
+++ b/beryllug/standins/engine_answers.py
@@ -1,8 +1,8 @@
-"""Deterministic answers of the engine stand-in.
+"""Deterministic responses of the model engine stand-in.
 
-An answer carries the request's id, a hash of its prompt and, last, a hash of
-all that came before. So a test sees from the text alone whether a caller
-got its own whole answer, however it was cut, resumed or mixed up.
+A response contains the request id, a hash of the prompt and finally a hash of
+all preceding text. A test can therefore check from the text alone that a
+caller got its own complete response, even after interruptions and resumption.
 """
 
 import hashlib
@@ -23,18 +23,18 @@
 HUNDRED = 100
 
 
-class Ask(NamedTuple):
-    """A chat request as the engine understood it.
+class ChatRequest(NamedTuple):
+    """A parsed chat request.
 
     Attributes:
-        request_id: Its id.
+        request_id: Id of the request.
         account_id: Client account, or empty.
         model: Model to run.
         version: Version to run.
         prompt: Text of all messages.
-        tokens: Tokens to answer with.
-        stream: Whether to answer as events.
-        priority: Lower goes first.
+        tokens: Number of tokens to generate.
+        stream: Whether to respond with a stream of events.
+        priority: Lower values run first.
     """
 
     request_id: str
@@ -47,24 +47,24 @@
     priority: int
 
 
-def parse(req: http_data.Request, default_tokens: int) -> Ask:
+def parse(req: http_data.Request, default_tokens: int) -> ChatRequest:
     """Parse a chat request.
 
     Raises:
-        ValueError: It is not one.
+        ValueError: The request is malformed or asks for too many tokens.
     """
     document = msgspec.json.decode(req.body)
     messages = document.get('messages') or []
     prompt = '\n'.join(_text(message) for message in messages)
-    named = req.headers.get('x-model') or str(document.get('model', ''))
+    model = req.headers.get('x-model') or str(document.get('model', ''))
     asked = document.get('max_completion_tokens') or document.get('max_tokens')
     tokens = int(asked or default_tokens)
     if tokens > MAX_TOKENS:
-        raise ValueError(f'more than {MAX_TOKENS} tokens')
-    return Ask(
+        raise ValueError(f'request asks for more than {MAX_TOKENS} tokens')
+    return ChatRequest(
         request_id=req.headers.get('x-request-id', digest(prompt)),
         account_id=req.headers.get('x-account', ''),
-        model=named,
+        model=model,
         version=req.headers.get('x-model-version', ''),
         prompt=prompt,
         tokens=tokens,
@@ -73,83 +73,83 @@
     )
 
 
-def words(ask: Ask, quality: float) -> list[str]:
-    """Return the tokens of an answer."""
-    seed = hashlib.sha256(ask.prompt.encode()).digest()
+def response_tokens(chat: ChatRequest, quality: float) -> list[str]:
+    """Return the tokens of a response."""
+    seed = hashlib.sha256(chat.prompt.encode()).digest()
     text = [
-        f'[{ask.request_id}]',
-        f'{ask.model}@{ask.version}',
-        f'prompt={digest(ask.prompt)}',
+        f'[{chat.request_id}]',
+        f'{chat.model}@{chat.version}',
+        f'prompt={digest(chat.prompt)}',
         f'quality={quality:.3f}',
     ]
-    for index in range(ask.tokens - len(text) - 1):
+    for index in range(chat.tokens - len(text) - 1):
         text.append(WORDS[seed[index % len(seed)] % len(WORDS)])
     text.append(f'end={digest(" ".join(text))}')
     return text
 
 
 def is_whole(text: str, request_id: str, prompt: str) -> bool:
-    """Tell whether a text is the whole answer to this very request."""
-    before, _, last = text.rpartition(' ')
-    own = before.startswith(f'[{request_id}] ')
-    asked = f'prompt={digest(prompt)}' in before
-    return own and asked and last == f'end={digest(before)}'
+    """Return whether a text is the complete response to this request."""
+    content, _, end_tag = text.rpartition(' ')
+    has_id = content.startswith(f'[{request_id}] ')
+    asked = f'prompt={digest(prompt)}' in content
+    return has_id and asked and end_tag == f'end={digest(content)}'
 
 
 def difficulty(prompt: str) -> float:
-    """Return how hard a prompt is, 0 to 1: what it says, or its hash."""
-    said = DIFFICULTY.search(prompt)
-    if said:
-        return min(float(said.group(1)), 1.0)
+    """Return a prompt's difficulty, 0 to 1, as stated or from its hash."""
+    stated = DIFFICULTY.search(prompt)
+    if stated:
+        return min(float(stated.group(1)), 1.0)
     prompt_digest = hashlib.sha256(prompt.encode()).digest()
     return int.from_bytes(prompt_digest[:2]) % HUNDRED / HUNDRED
 
 
 def quality_in(text: str) -> float | None:
-    """Return the quality that an answer's text carries."""
+    """Return the quality stated in a response, or None."""
     found = QUALITY.search(text)
     return float(found.group(1)) if found else None
 
 
 def blocks(model: str, prompt: str) -> list[str]:
-    """Return the chained hashes of a prompt's whole blocks.
+    """Return the chained hashes of a prompt's complete blocks.
 
-    Two prompts share as many first hashes as they share whole blocks.
+    Prompts with a common prefix of n blocks share their first n hashes.
     """
-    chain = model
+    chained = model
     found = []
     for start in range(0, len(prompt) - BLOCK_CHARS + 1, BLOCK_CHARS):
         part = prompt[start : start + BLOCK_CHARS]
-        chain = digest(f'{chain}:{part}')
-        found.append(chain)
+        chained = digest(f'{chained}:{part}')
+        found.append(chained)
     return found
 
 
 def count_tokens(text: str) -> int:
-    """Count the tokens of a text: its words."""
+    """Count the tokens of a text; each word is one token."""
     return len(text.split())
 
 
-def event(ask: Ask, content: str) -> bytes:
-    """Return one event of a stream."""
+def event(chat: ChatRequest, content: str) -> bytes:
+    """Encode one event of a stream."""
     delta: dict[str, Any] = {'index': 0, 'delta': {'content': content}}
     delta['finish_reason'] = None
-    return _event(ask, [delta], {})
+    return _event(chat, [delta], {})
 
 
-def last_events(ask: Ask, tokens_out: int) -> bytes:
-    """Return the events that end a stream, usage and all."""
+def final_events(chat: ChatRequest, tokens_out: int) -> bytes:
+    """Encode the final events of a stream, including usage."""
     stop = {'index': 0, 'delta': {}, 'finish_reason': 'stop'}
-    usage = {'usage': _usage(ask, tokens_out)}
-    return _event(ask, [stop], {}) + _event(ask, [], usage) + DONE
+    usage = {'usage': _usage(chat, tokens_out)}
+    return _event(chat, [stop], {}) + _event(chat, [], usage) + DONE
 
 
-def whole(ask: Ask, content: str, tokens_out: int) -> bytes:
-    """Return a whole answer."""
+def completion(chat: ChatRequest, content: str, tokens_out: int) -> bytes:
+    """Encode a complete response."""
     message = {'role': 'assistant', 'content': content}
     choice = {'index': 0, 'message': message, 'finish_reason': 'stop'}
-    document = _envelope(ask, 'chat.completion', [choice])
-    return http_data.to_json({**document, 'usage': _usage(ask, tokens_out)})
+    document = _envelope(chat, 'chat.completion', [choice])
+    return http_data.to_json({**document, 'usage': _usage(chat, tokens_out)})
 
 
 def digest(text: str) -> str:
@@ -164,23 +164,27 @@
     return ' '.join(str(part.get('text', '')) for part in content)
 
 
-def _event(ask: Ask, choices: list[Any], extra: dict[str, Any]) -> bytes:
-    document = _envelope(ask, 'chat.completion.chunk', choices)
+def _event(
+    chat: ChatRequest, choices: list[Any], extra: dict[str, Any]
+) -> bytes:
+    document = _envelope(chat, 'chat.completion.chunk', choices)
     return b'data: %b\n\n' % http_data.to_json({**document, **extra})
 
 
-def _envelope(ask: Ask, kind: str, choices: list[Any]) -> dict[str, Any]:
+def _envelope(
+    chat: ChatRequest, kind: str, choices: list[Any]
+) -> dict[str, Any]:
     return {
-        'id': ask.request_id,
+        'id': chat.request_id,
         'object': kind,
         'created': 0,
-        'model': ask.model,
+        'model': chat.model,
         'choices': choices,
     }
 
 
-def _usage(ask: Ask, tokens_out: int) -> dict[str, int]:
-    tokens_in = count_tokens(ask.prompt)
+def _usage(chat: ChatRequest, tokens_out: int) -> dict[str, int]:
+    tokens_in = count_tokens(chat.prompt)
     return {
         'prompt_tokens': tokens_in,
         'completion_tokens': tokens_out,
--- a/beryllug/standins/engine_models.py
+++ b/beryllug/standins/engine_models.py
@@ -1,4 +1,4 @@
-"""What the engine stand-in has loaded, and the orders that change it."""
+"""Loaded versions of the engine stand-in and the orders that change them."""
 
 import asyncio
 from typing import Any, NamedTuple, TypedDict
@@ -8,7 +8,7 @@
 
 
 class OrderRecord(NamedTuple):
-    """An order that was received and whether it was carried out."""
+    """A received order and whether it was executed."""
 
     order_id: str
     kind: str
@@ -19,7 +19,7 @@
 
 
 class OrderDocument(TypedDict):
-    """An order as it comes over the wire."""
+    """The JSON form of an order."""
 
     order_id: str
     kind: engine_data.OrderKind
@@ -31,19 +31,19 @@
 
 
 class Models:
-    """The loaded versions, adapters and the role of one engine."""
+    """Loaded versions, adapters and role of one engine."""
 
     def __init__(self, loaded: tuple[str, ...], load_s: float) -> None:
-        """Begin with ``model@version`` names; none means that any runs."""
+        """Load ``model@version`` names; an empty tuple accepts any version."""
         self.orders: list[OrderRecord] = []
         self.fencing = 0
         self.role = 'mixed'
-        self.runs_any = not loaded
+        self.accepts_any_version = not loaded
         self.adapters: set[tuple[str, str]] = set()
         self._load_s = load_s
-        self._first = tuple(_parse_ref(name) for name in loaded)
-        self._loaded = set(self._first)
-        self._loads: set[asyncio.Task[None]] = set()
+        self._initially_loaded = tuple(_parse_ref(name) for name in loaded)
+        self._loaded = set(self._initially_loaded)
+        self._load_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def loaded(self) -> tuple[config_data.VersionRef, ...]:
@@ -51,42 +51,44 @@
         return tuple(sorted(self._loaded))
 
     def has(self, model: str, version: str) -> bool:
-        """Tell whether a version can run."""
+        """Return whether a version can run."""
         ref = config_data.VersionRef(model, version)
-        return self.runs_any or ref in self._loaded
+        return self.accepts_any_version or ref in self._loaded
 
-    def obey(self, order: OrderDocument, *, checks_fencing: bool) -> bool:
-        """Carry an order out, unless its fencing token is old."""
+    def apply_order(
+        self, order: OrderDocument, *, checks_fencing: bool
+    ) -> bool:
+        """Execute an order unless its fencing token is outdated."""
         accepted = order['fencing'] >= self.fencing or not checks_fencing
         self.orders.append(_record(order, accepted))
         self.fencing = max(self.fencing, order['fencing'])
         if accepted:
-            self._carry_out(order)
+            self._execute(order)
         return accepted
 
-    def restart(self) -> None:
-        """Fall back to what is loaded after a start."""
-        for task in self._loads:
+    def reset(self) -> None:
+        """Reset to the versions and role of a fresh start."""
+        for task in self._load_tasks:
             task.cancel()
-        self._loaded = set(self._first)
+        self._loaded = set(self._initially_loaded)
         self.adapters.clear()
         self.role = 'mixed'
 
-    def shown(self) -> dict[str, Any]:
-        """Return the state as plain data."""
+    def snapshot(self) -> dict[str, Any]:
+        """Return the state as JSON-compatible data."""
         return {
             'loaded': [ref._asdict() for ref in self.loaded],
             'role': self.role,
             'fencing': self.fencing,
         }
 
-    def _carry_out(self, order: OrderDocument) -> None:
+    def _execute(self, order: OrderDocument) -> None:
         ref = config_data.VersionRef(order['model'], order['version'])
         match order['kind']:
             case engine_data.OrderKind.LOAD:
                 task = asyncio.create_task(self._load(ref, order['adapter']))
-                self._loads.add(task)
-                task.add_done_callback(self._loads.discard)
+                self._load_tasks.add(task)
+                task.add_done_callback(self._load_tasks.discard)
             case engine_data.OrderKind.UNLOAD:
                 self._loaded.discard(ref)
             case engine_data.OrderKind.ROLE:
--- a/beryllug/standins/engine_runs.py
+++ b/beryllug/standins/engine_runs.py
@@ -1,4 +1,4 @@
-"""Runs of the engine stand-in: their answers and their record."""
+"""Runs of the engine stand-in, with their responses and records."""
 
 import time
 from collections.abc import AsyncIterator
@@ -9,7 +9,7 @@
 
 
 class RunState(StrEnum):
-    """How far a run has come."""
+    """State of a run."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
@@ -23,22 +23,22 @@
 
 
 class RunRecord(NamedTuple):
-    """What the engine did for one request; times in wall-clock seconds.
+    """Record of one run; times in wall-clock seconds.
 
     Attributes:
         request_id: Id of the request.
-        account_id: Client account that was sent with it, or empty.
+        account_id: Client account in the request, or empty.
         model: Model it ran on.
         version: Version it ran on.
         prompt_hash: Short hash of the prompt.
-        priority: Its priority.
-        state: How it ended or how far it is.
-        received_at: When it came.
-        started_at: When it took its place in the batch; 0 if it never did.
+        priority: Priority of the request.
+        state: Current or final state.
+        received_at: When the request was received.
+        started_at: When it acquired a batch slot; 0 if it never did.
         finished_at: When it ended; 0 if it has not.
-        tokens_out: Tokens that were made.
-        bytes_sent: Bytes of the answer that were handed to connections.
-        resumes: How often its answer was taken up again.
+        tokens_out: Generated tokens.
+        bytes_sent: Response bytes passed to connections.
+        resumes: How often the response was resumed.
     """
 
     request_id: str
@@ -57,85 +57,85 @@
 
 
 class Run:
-    """One run: its growing answer, which any number of readers follow."""
+    """One run and its growing response, for any number of readers."""
 
-    def __init__(self, ask: engine_answers.Ask) -> None:
-        """Begin as queued."""
-        self.ask = ask
+    def __init__(self, chat: engine_answers.ChatRequest) -> None:
+        """Create a queued run."""
+        self.chat = chat
         self.record = RunRecord(
-            request_id=ask.request_id,
-            account_id=ask.account_id,
-            model=ask.model,
-            version=ask.version,
-            prompt_hash=engine_answers.digest(ask.prompt),
-            priority=ask.priority,
+            request_id=chat.request_id,
+            account_id=chat.account_id,
+            model=chat.model,
+            version=chat.version,
+            prompt_hash=engine_answers.digest(chat.prompt),
+            priority=chat.priority,
             state=RunState.QUEUED,
             received_at=time.time(),
         )
         self._body = bytearray()
-        self._wake = wake.Wake()
+        self._changed = wake.Notifier()
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the run has not ended."""
+        """Return whether the run has not ended."""
         return self.record.state in OPEN
 
     @property
     def size(self) -> int:
-        """Count the bytes of the answer so far."""
+        """Number of response bytes so far."""
         return len(self._body)
 
     def begin(self) -> None:
-        """Note that it took its place in the batch."""
+        """Record that the run acquired a batch slot."""
         self.record = self.record._replace(
             state=RunState.RUNNING, started_at=time.time()
         )
-        self._wake.signal()
+        self._changed.signal()
 
-    def feed(self, piece: bytes, tokens: int) -> None:
-        """Let the answer grow."""
-        self._body += piece
+    def append(self, chunk: bytes, tokens: int) -> None:
+        """Append to the response."""
+        self._body += chunk
         self.record = self.record._replace(
             tokens_out=self.record.tokens_out + tokens
         )
-        self._wake.signal()
+        self._changed.signal()
 
     def end(self, state: RunState) -> None:
-        """Note how it ended; the first end counts."""
+        """Record the final state; only the first call takes effect."""
         if self.is_open:
             self.record = self.record._replace(
                 state=state, finished_at=time.time()
             )
-        self._wake.signal()
+        self._changed.signal()
 
-    def forget(self) -> None:
-        """Forget the answer but for those who read it now."""
+    def discard_body(self) -> None:
+        """Discard the response; readers in progress keep theirs."""
         self._body = bytearray()
 
-    def note_resume(self) -> None:
-        """Count a reader that took the answer up again."""
+    def count_resume(self) -> None:
+        """Count one resumption of the response."""
         self.record = self.record._replace(resumes=self.record.resumes + 1)
 
-    async def wait_head(self) -> None:
-        """Wait until there is a byte of the answer or the run has ended."""
+    async def wait_first_byte(self) -> None:
+        """Wait for the first response byte or the end of the run."""
         while self.is_open and not self._body:
-            await self._wake.next().wait()
+            await self._changed.next().wait()
 
-    async def pieces(self, offset: int) -> AsyncIterator[bytes]:
-        """Yield the answer from a byte on, as it grows, to the run's end."""
+    async def chunks(self, offset: int) -> AsyncIterator[bytes]:
+        """Yield the response from a byte offset until the run ends."""
         body = self._body
         while True:
-            grown = self._wake.next()
-            piece = bytes(body[offset:])
-            if piece:
-                offset += len(piece)
-                self._count(piece)
-                yield piece
+            changed = self._changed.next()
+            chunk = bytes(body[offset:])
+            if chunk:
+                offset += len(chunk)
+                self._count_sent(chunk)
+                yield chunk
             elif self.is_open:
-                await grown.wait()
+                await changed.wait()
             else:
                 return
 
-    def _count(self, piece: bytes) -> None:
-        sent = self.record.bytes_sent + len(piece)
+    def _count_sent(self, chunk: bytes) -> None:
+        sent = self.record.bytes_sent + len(chunk)
         self.record = self.record._replace(bytes_sent=sent)
--- a/beryllug/standins/engine_test.py
+++ b/beryllug/standins/engine_test.py
@@ -55,13 +55,13 @@
         return exc
 
 
-async def _until_broken(incoming: http_client.Incoming) -> bytes:
-    got = [await incoming.next_chunk()]
+async def _read_until_broken(incoming: http_client.Incoming) -> bytes:
+    received = [await incoming.next_chunk()]
     try:
-        while got[-1]:
-            got.append(await incoming.next_chunk())
+        while received[-1]:
+            received.append(await incoming.next_chunk())
     except http_data.BrokenError:
-        return b''.join(got)
+        return b''.join(received)
     finally:
         incoming.close()
     raise AssertionError('the answer came whole')
@@ -260,7 +260,7 @@
         await self._restart(engine_worker.EngineCfg(token_s=60.0))
         self.standin.put_faults(poison='XYZZY')
         ask = _ask('ok', stream=True)
-        innocent = asyncio.create_task(
+        bystander = asyncio.create_task(
             _failure(self.api.chat(self.address, ask))
         )
         await self._until_load(running=1)
@@ -268,7 +268,7 @@
             self.api.chat(self.address, _ask('bad', 'XYZZY'))
         )
         self.assertIsInstance(crash, http_data.BrokenError)
-        self.assertIsInstance(await innocent, http_data.BrokenError)
+        self.assertIsInstance(await bystander, http_data.BrokenError)
         await self.standin.settle()
         exc = await _failure(self.api.chat(self.address, _ask('later')))
         self.assertIsInstance(exc, http_data.NotSentError)
@@ -319,11 +319,13 @@
                 self.standin.put_faults(times=1, reset_at_byte=position)
                 ask = _ask(name, stream=True)
                 incoming = await self.api.chat(self.address, ask)
-                got = await _until_broken(incoming)
-                self.assertEqual(len(got), position)
-                resumed = await self.api.resume(self.address, name, len(got))
+                received = await _read_until_broken(incoming)
+                self.assertEqual(len(received), position)
+                resumed = await self.api.resume(
+                    self.address, name, len(received)
+                )
                 assert resumed is not None
-                text = _text(got + await self._read(resumed))
+                text = _text(received + await self._read(resumed))
                 whole = engine_answers.is_whole(text, name, PROMPT)
                 self.assertTrue(whole)
 
--- a/beryllug/standins/engine_worker.py
+++ b/beryllug/standins/engine_worker.py
@@ -1,4 +1,4 @@
-"""The work of the engine stand-in: runs in a batch, without the sockets."""
+"""Request execution of the engine stand-in, independent of sockets."""
 
 import asyncio
 import collections
@@ -21,20 +21,20 @@
     """Options; times in seconds.
 
     Attributes:
-        concurrency: Places in the batch.
-        queue: Requests that may wait for a place.
-        token_s: Time for one token.
-        prefill_s: Time for one uncached token of the prompt.
-        first_s: Time before the first token, besides the prompt's.
-        tokens: Tokens of an answer whose request gives no bound.
-        tokens_per_event: Tokens that one event carries.
-        loaded: ``model@version`` names that can run; none means any.
-        load_s: Time that loading a version takes.
-        quality: Mean quality of answers by version, from 0 to 1.
-        quality_spread: How far a hard prompt lowers the quality.
-        cache_blocks: Blocks that the prefix cache holds.
-        keep_s: How long an ended answer can be resumed.
-        checks_fencing: Whether an order with an old token is refused.
+        concurrency: Slots in the batch.
+        queue: Maximum number of requests waiting for a slot.
+        token_s: Time to generate one token.
+        prefill_s: Time to process one uncached prompt token.
+        first_s: Fixed time before the first token, excluding prefill.
+        tokens: Response length in tokens if the request sets no limit.
+        tokens_per_event: Tokens in one stream event.
+        loaded: ``model@version`` names that can run; empty accepts any.
+        load_s: Time to load a version.
+        quality: Mean response quality by version, from 0 to 1.
+        quality_spread: Reduction in quality for the hardest prompt.
+        cache_blocks: Capacity of the prefix cache in blocks.
+        keep_s: How long an ended response can be resumed.
+        checks_fencing: Whether to reject orders with an outdated token.
     """
 
     concurrency: int = 8
@@ -54,70 +54,72 @@
 
 
 class Worker:
-    """The runs, the batch, the cache and the models of one engine."""
+    """Runs, batch, prefix cache and models of one engine."""
 
-    def __init__(self, cfg: EngineCfg, switches: faults.Switches) -> None:
-        """Make an idle engine."""
+    def __init__(self, cfg: EngineCfg, injector: faults.FaultInjector) -> None:
+        """Create an idle engine."""
         self.on_poison: Callable[[], None] = _no_crash
         self.models = engine_models.Models(cfg.loaded, cfg.load_s)
         self.cache = engine_cache.PrefixCache(cfg.cache_blocks)
         self._cfg = cfg
-        self._switches = switches
+        self._injector = injector
         self._batch = engine_batch.Batch(cfg.concurrency, cfg.queue)
         self._runs: collections.OrderedDict[str, engine_runs.Run] = (
             collections.OrderedDict()
         )
-        self._all: list[engine_runs.Run] = []
+        self._all_runs: list[engine_runs.Run] = []
         self._tasks: dict[engine_runs.Run, asyncio.Task[None]] = {}
-        self._loads: lagged.Lagged[dict[str, Any]] = lagged.Lagged(
-            {'running': 0, 'queued': 0, **self.models.shown()}
+        self._load_history: lagged.DelayedValue[dict[str, Any]] = (
+            lagged.DelayedValue(
+                {'running': 0, 'queued': 0, **self.models.snapshot()}
+            )
         )
 
     @property
     def records(self) -> list[engine_runs.RunRecord]:
-        """Every run so far, in the order in which they came."""
-        return [run.record for run in self._all]
+        """All runs so far, in order of arrival."""
+        return [run.record for run in self._all_runs]
 
     def find(self, request_id: str) -> engine_runs.Run | None:
-        """Return the latest run of a request while its answer is kept."""
+        """Return the latest run of a request while its response is stored."""
         return self._runs.get(request_id)
 
     def is_full(self) -> bool:
-        """Tell whether neither the batch nor the queue has room."""
+        """Return whether both the batch and the queue are full."""
         return self._batch.is_full()
 
     def load(self) -> dict[str, Any]:
-        """Return the load report, as late as the switches say."""
-        lag_s = self._switches.present.lag_s
-        self._note_load()
-        shown = self._loads.at(time.monotonic(), lag_s)
-        return {**shown, 'measured_at': time.time() - lag_s}
+        """Return the load report, delayed by the injected lag."""
+        lag_s = self._injector.current.lag_s
+        self._record_load()
+        snapshot = self._load_history.at(time.monotonic(), lag_s)
+        return {**snapshot, 'measured_at': time.time() - lag_s}
 
     def crash(self) -> None:
-        """Lose all runs, kept answers, loaded versions and the cache."""
+        """Lose all runs, stored responses, loaded versions and the cache."""
         for run in self._runs.values():
             run.end(engine_runs.RunState.CRASHED)
         for task in self._tasks.values():
             task.cancel()
         self._runs.clear()
         self.cache.clear()
-        self.models.restart()
+        self.models.reset()
         self._batch = engine_batch.Batch(self._cfg.concurrency, self._cfg.queue)
-        self._note_load()
+        self._record_load()
 
     def cancel(self, run: engine_runs.Run) -> None:
-        """End a run; its place in the batch or the queue becomes free."""
+        """Cancel a run and free its batch slot or queue entry."""
         run.end(engine_runs.RunState.CANCELLED)
         task = self._tasks.get(run)
         if task is not None:
             task.cancel()
 
-    def begin(self, ask: engine_answers.Ask) -> engine_runs.Run:
-        """Begin a run; it waits for its place in the batch."""
-        self._drop_old()
-        run = engine_runs.Run(ask)
-        self._all.append(run)
-        self._runs[ask.request_id] = run
+    def begin(self, chat: engine_answers.ChatRequest) -> engine_runs.Run:
+        """Start a run, which waits for a batch slot."""
+        self._evict_expired()
+        run = engine_runs.Run(chat)
+        self._all_runs.append(run)
+        self._runs[chat.request_id] = run
         task = asyncio.create_task(self._run(run))
         self._tasks[run] = task
         task.add_done_callback(lambda _: self._tasks.pop(run, None))
@@ -125,85 +127,93 @@
 
     async def _run(self, run: engine_runs.Run) -> None:
         batch = self._batch
-        entering = batch.enter(run.ask.priority)
+        acquiring = batch.acquire(run.chat.priority)
         try:
-            await entering
+            await acquiring
         finally:
-            self._note_load()
+            self._record_load()
         try:
-            await self._work(run)
+            await self._execute(run)
         finally:
-            batch.leave()
-            self._note_load()
+            batch.release()
+            self._record_load()
 
-    async def _work(self, run: engine_runs.Run) -> None:
-        ask = run.ask
+    async def _execute(self, run: engine_runs.Run) -> None:
+        chat = run.chat
         run.begin()
-        present = self._switches.present
-        if present.poison and present.poison in ask.prompt:
+        current = self._injector.current
+        if current.poison and current.poison in chat.prompt:
             self.on_poison()
             return
-        await self._pass_time(self._first_s(ask))
-        if self._switches.chance(present.version_errors.get(ask.version, 0)):
+        await self._simulate_delay(self._time_to_first_token_s(chat))
+        if self._injector.should_inject(
+            current.version_errors.get(chat.version, 0)
+        ):
             run.end(engine_runs.RunState.FAILED)
             return
-        tokens = engine_answers.words(ask, self._quality(ask))
-        if ask.stream:
-            await self._feed_events(run, tokens)
+        tokens = engine_answers.response_tokens(chat, self._quality(chat))
+        if chat.stream:
+            await self._stream_events(run, tokens)
         else:
-            await self._pass_time(self._cfg.token_s * len(tokens))
+            await self._simulate_delay(self._cfg.token_s * len(tokens))
             text = ' '.join(tokens)
-            run.feed(engine_answers.whole(ask, text, len(tokens)), len(tokens))
+            run.append(
+                engine_answers.completion(chat, text, len(tokens)), len(tokens)
+            )
         run.end(engine_runs.RunState.FINISHED)
 
-    async def _feed_events(
+    async def _stream_events(
         self, run: engine_runs.Run, tokens: list[str]
     ) -> None:
-        step = self._cfg.tokens_per_event
-        for start in range(0, len(tokens), step):
-            part = tokens[start : start + step]
-            await self._pass_time(self._cfg.token_s * len(part))
-            space = ' ' if start else ''
-            text = space + ' '.join(part)
-            run.feed(engine_answers.event(run.ask, text), len(part))
-        run.feed(engine_answers.last_events(run.ask, len(tokens)), 0)
-
-    async def _pass_time(self, duration_s: float) -> None:
+        chunk_size = self._cfg.tokens_per_event
+        for start in range(0, len(tokens), chunk_size):
+            chunk = tokens[start : start + chunk_size]
+            await self._simulate_delay(self._cfg.token_s * len(chunk))
+            separator = ' ' if start else ''
+            text = separator + ' '.join(chunk)
+            run.append(engine_answers.event(run.chat, text), len(chunk))
+        run.append(engine_answers.final_events(run.chat, len(tokens)), 0)
+
+    async def _simulate_delay(self, duration_s: float) -> None:
         if duration_s:
-            await asyncio.sleep(duration_s * self._switches.present.slow_factor)
+            await asyncio.sleep(duration_s * self._injector.current.slow_factor)
 
-    def _first_s(self, ask: engine_answers.Ask) -> float:
-        blocks = engine_answers.blocks(ask.model, ask.prompt)
-        hits = self.cache.use(blocks)
-        cached = ask.prompt[: hits * engine_answers.BLOCK_CHARS]
-        uncached = engine_answers.count_tokens(ask.prompt)
+    def _time_to_first_token_s(self, chat: engine_answers.ChatRequest) -> float:
+        blocks = engine_answers.blocks(chat.model, chat.prompt)
+        hits = self.cache.get_or_store(blocks)
+        cached = chat.prompt[: hits * engine_answers.BLOCK_CHARS]
+        uncached = engine_answers.count_tokens(chat.prompt)
         uncached -= engine_answers.count_tokens(cached)
         return self._cfg.first_s + uncached * self._cfg.prefill_s
 
-    def _quality(self, ask: engine_answers.Ask) -> float:
-        base = self._cfg.quality.get(ask.version, 1.0)
-        changed = self._switches.present.version_quality.get(ask.version, 0)
-        hard = engine_answers.difficulty(ask.prompt)
-        quality = base + changed - hard * self._cfg.quality_spread
+    def _quality(self, chat: engine_answers.ChatRequest) -> float:
+        base = self._cfg.quality.get(chat.version, 1.0)
+        quality_offset = self._injector.current.version_quality.get(
+            chat.version, 0
+        )
+        difficulty_level = engine_answers.difficulty(chat.prompt)
+        quality = (
+            base + quality_offset - difficulty_level * self._cfg.quality_spread
+        )
         return min(max(quality, 0.0), 1.0)
 
-    def _note_load(self) -> None:
-        present = {
+    def _record_load(self) -> None:
+        current = {
             'running': self._batch.running,
             'queued': self._batch.queued,
-            **self.models.shown(),
+            **self.models.snapshot(),
         }
-        self._loads.put(time.monotonic(), present)
+        self._load_history.put(time.monotonic(), current)
 
-    def _drop_old(self) -> None:
+    def _evict_expired(self) -> None:
         oldest = time.time() - self._cfg.keep_s
         while self._runs:
             run = next(iter(self._runs.values()))
             if run.is_open or run.record.finished_at > oldest:
                 return
             self._runs.popitem(last=False)
-            run.forget()
+            run.discard_body()
 
 
 def _no_crash() -> None:
-    """Stand in for the crash until the sockets are bound."""
+    """Ignore the crash request until the server is attached."""
--- a/beryllug/standins/faults.py
+++ b/beryllug/standins/faults.py
@@ -1,8 +1,8 @@
-"""Fault switches that every stand-in has.
+"""Fault injection common to all stand-ins.
 
-A stand-in works without fault until a test flips a switch, in its own
-process or through ``PUT /faults``. `only` and `times` narrow the faults on
-the wire to some requests, so that a test can break one exact step.
+A stand-in works correctly until a test enables a fault, either in the same
+process or through ``PUT /faults``. `only` and `times` restrict request-level
+faults to selected requests, so that a test can fail one specific step.
 """
 
 import asyncio
@@ -18,33 +18,36 @@
 
 
 class Faults(NamedTuple):
-    """All switches; the defaults are a party without fault.
+    """Fault settings; the defaults inject no fault.
 
     Attributes:
-        only: The faults on the wire hit requests whose ``METHOD target``
-            starts so; empty hits all.
-        times: How many requests they hit; -1 is no bound.
-        refuse: Nothing listens: connections are refused.
-        delay_s: Wait before the request takes effect.
-        unavailable: Answer 503 without effect, saying that it was not run.
-        reset_before_run: Cut the connection without effect.
-        answer_delay_s: Wait after the effect, before the answer.
-        drop_answer: Cut the connection after the effect, without an answer.
-        reset_at_byte: Cut the connection after so many bytes of the
-            answer's body; -1 never.
-        hard_reset: Cut with a TCP reset, else with an early end.
-        error_rate: Share of requests answered 500 without effect.
-        stale: Reads show the state of the moment this was switched on.
-        lag_s: Reports show the state of so long ago.
-        gap_rate: Share of events that are left out of a feed.
-        ignore_fencing: Orders with an old fencing token are carried out.
-        poison: A prompt that holds this text crashes the engine.
-        restart_s: Seconds after which a crashed engine is back; -1 never.
-        slow_factor: Multiplies the time an engine takes.
-        version_errors: Share of runs that fail, by version.
-        version_quality: Added to the quality of answers, by version.
+        only: Prefix of ``METHOD target`` that selects the requests for
+            request-level faults; empty selects all.
+        times: Maximum number of requests affected; -1 for no limit.
+        refuse: Stop listening, so that connections are refused.
+        delay_s: Delay before the request takes effect.
+        unavailable: Respond with 503 and ``not_run``, without effect.
+        reset_before_run: Close the connection before the request takes
+            effect.
+        answer_delay_s: Delay between the effect and the response.
+        drop_answer: Close the connection after the effect, without a
+            response.
+        reset_at_byte: Close the connection after this many bytes of the
+            response body; -1 for never.
+        hard_reset: Close with a TCP reset instead of a premature end of
+            stream.
+        error_rate: Fraction of requests that get a 500 without effect.
+        stale: Reads return the state at the time this was enabled.
+        lag_s: Reports return the state this many seconds ago.
+        gap_rate: Fraction of events omitted from a feed.
+        ignore_fencing: Execute orders with an outdated fencing token.
+        poison: A prompt that contains this text crashes the engine.
+        restart_s: Seconds until a crashed engine restarts; -1 for never.
+        slow_factor: Multiplier for the processing time of an engine.
+        version_errors: Fraction of runs that fail, by version.
+        version_quality: Added to the response quality, by version.
         bias: Added to every rating.
-        seed: Seed of all drawn shares.
+        seed: Seed for all random decisions.
     """
 
     only: str = ''
@@ -74,55 +77,57 @@
 NONE = Faults()
 
 
-class Switches:
-    """The present faults of one stand-in and what they still may hit."""
+class FaultInjector:
+    """The current faults of one stand-in and their hit count."""
 
     def __init__(self) -> None:
-        """Start without fault."""
-        self.present = NONE
+        """Start with no faults enabled."""
+        self.current = NONE
         self.random = random.Random(NONE.seed)
-        self.hits = 0
+        self.injected_count = 0
         self._listeners: list[Callable[[], None]] = []
 
-    def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a function whenever the switches change."""
+    def add_listener(self, listener: Callable[[], None]) -> None:
+        """Register a function to call whenever the faults change."""
         self._listeners.append(listener)
 
-    def put(self, present: Faults) -> None:
-        """Replace all switches and begin the count of hits anew."""
-        self.present = present
-        self.random = random.Random(present.seed)
-        self.hits = 0
+    def put(self, current: Faults) -> None:
+        """Replace all faults, reseed and reset the hit count."""
+        self.current = current
+        self.random = random.Random(current.seed)
+        self.injected_count = 0
         for listener in self._listeners:
             listener()
 
-    def draw(self, req: http_data.Request) -> Faults:
-        """Return the faults that hit this request on the wire."""
-        present = self.present
+    def faults_for(self, req: http_data.Request) -> Faults:
+        """Return the request-level faults for this request."""
+        current = self.current
         line = f'{req.method} {req.target}'
-        if not line.startswith(present.only):
+        if not line.startswith(current.only):
             return NONE
-        if 0 <= present.times <= self.hits:
+        if 0 <= current.times <= self.injected_count:
             return NONE
-        self.hits += 1
-        return present
+        self.injected_count += 1
+        return current
 
-    def chance(self, share: float) -> bool:
-        """Draw whether something of the given share happens."""
-        return share > 0 and self.random.random() < share
+    def should_inject(self, rate: float) -> bool:
+        """Decide at random, with the given probability."""
+        return rate > 0 and self.random.random() < rate
 
 
-class Answer:
-    """The answering side of a request, with the faults that hit it."""
+class Response:
+    """The response to a request, with the faults injected into it."""
 
-    def __init__(self, exchange: http_server.Exchange, hit: Faults) -> None:
-        """Bind the answer to its exchange."""
+    def __init__(
+        self, exchange: http_server.Exchange, injected: Faults
+    ) -> None:
+        """Bind the response to its exchange."""
         self.bytes_sent = 0
         self._exchange = exchange
-        self._hit = hit
+        self._injected = injected
 
     def is_gone(self) -> bool:
-        """Tell whether the client has gone."""
+        """Return whether the client has disconnected."""
         return self._exchange.is_gone()
 
     async def respond(
@@ -131,9 +136,9 @@
         body: bytes = b'',
         headers: Mapping[str, str] | None = None,
     ) -> None:
-        """Send a whole answer."""
-        if self._hit.reset_at_byte < 0:
-            await self._hit_head()
+        """Send a complete response."""
+        if self._injected.reset_at_byte < 0:
+            await self._inject_before_headers()
             self.bytes_sent += len(body)
             await self._exchange.respond(status, body, headers)
             return
@@ -147,29 +152,29 @@
         document: Any,
         headers: Mapping[str, str] | None = None,
     ) -> None:
-        """Send a whole JSON answer."""
-        typed = {'content-type': http_server.JSON_TYPE, **(headers or {})}
-        await self.respond(status, http_data.to_json(document), typed)
+        """Send a complete JSON response."""
+        all_headers = {'content-type': http_server.JSON_TYPE, **(headers or {})}
+        await self.respond(status, http_data.to_json(document), all_headers)
 
     async def start(self, status: int, headers: Mapping[str, str]) -> None:
-        """Send the head of an answer that follows in chunks."""
-        await self._hit_head()
+        """Send the status and headers of a chunked response."""
+        await self._inject_before_headers()
         await self._exchange.start(status, headers)
 
     async def send(self, chunk: bytes) -> None:
-        """Send one chunk."""
-        limit = self._hit.reset_at_byte
-        reached = self.bytes_sent + len(chunk) >= limit
-        last = limit >= 0 and reached
-        if last:
+        """Send one chunk of the body."""
+        limit = self._injected.reset_at_byte
+        is_reached = self.bytes_sent + len(chunk) >= limit
+        is_last = limit >= 0 and is_reached
+        if is_last:
             chunk = chunk[: limit - self.bytes_sent]
         self.bytes_sent += len(chunk)
         await self._exchange.send(chunk)
-        if last:
-            self.cut()
+        if is_last:
+            self.abort()
 
     async def finish(self) -> None:
-        """End a chunked answer."""
+        """Finish a chunked response."""
         await self._exchange.finish()
 
     async def refuse(
@@ -178,60 +183,60 @@
         code: str,
         headers: Mapping[str, str] | None = None,
     ) -> None:
-        """Refuse a request that surely had no effect, and say so."""
+        """Reject a request and mark it as certainly not executed."""
         document = error(code, 'refused', NOT_RUN)
-        framed = {RUN: NOT_RUN, **(headers or {})}
-        await self.respond_json(status, document, framed)
+        all_headers = {RUN: NOT_RUN, **(headers or {})}
+        await self.respond_json(status, document, all_headers)
 
-    def cut(self) -> None:
-        """Cut the connection in the middle of an answer.
+    def abort(self) -> None:
+        """Close the connection in the middle of a response.
 
         Raises:
-            ConnectionResetError: Always, which ends the handler.
+            ConnectionResetError: Always, to terminate the handler.
         """
-        self._exchange.abort(hard=self._hit.hard_reset)
-        raise ConnectionResetError('cut by the stand-in')
+        self._exchange.abort(hard=self._injected.hard_reset)
+        raise ConnectionResetError('connection closed by an injected fault')
 
-    async def _hit_head(self) -> None:
-        if self._hit.answer_delay_s:
-            await asyncio.sleep(self._hit.answer_delay_s)
-        if self._hit.drop_answer:
-            self.cut()
+    async def _inject_before_headers(self) -> None:
+        if self._injected.answer_delay_s:
+            await asyncio.sleep(self._injected.answer_delay_s)
+        if self._injected.drop_answer:
+            self.abort()
 
 
-async def before_run(
-    exchange: http_server.Exchange, hit: Faults, switches: Switches
+async def inject_before_execution(
+    exchange: http_server.Exchange, injected: Faults, injector: FaultInjector
 ) -> bool:
-    """Apply the faults that come before the effect.
+    """Inject the faults that occur before a request takes effect.
 
     Returns:
-        True if the request may go on to take effect.
+        Whether to execute the request.
     """
-    if hit.delay_s:
-        await asyncio.sleep(hit.delay_s)
-    if hit.reset_before_run:
-        exchange.abort(hard=hit.hard_reset)
+    if injected.delay_s:
+        await asyncio.sleep(injected.delay_s)
+    if injected.reset_before_run:
+        exchange.abort(hard=injected.hard_reset)
         return False
-    if hit.unavailable:
+    if injected.unavailable:
         await exchange.respond_json(
             HTTPStatus.SERVICE_UNAVAILABLE,
             error('unavailable', 'switched off', NOT_RUN),
             {RUN: NOT_RUN},
         )
         return False
-    if switches.chance(hit.error_rate):
-        failed = error('internal', 'drawn by a fault switch')
-        await exchange.respond_json(HTTPStatus.INTERNAL_SERVER_ERROR, failed)
+    if injector.should_inject(injected.error_rate):
+        document = error('internal', 'drawn by a fault switch')
+        await exchange.respond_json(HTTPStatus.INTERNAL_SERVER_ERROR, document)
         return False
     return True
 
 
 def error(code: str, message: str, run: str = 'unknown') -> dict[str, Any]:
-    """Build the body of an answer that refuses or fails.
+    """Build the body of an error response.
 
     Args:
-        code: Stable name of the error.
-        message: What happened, for a person.
-        run: ``not_run`` where the request surely had no effect.
+        code: Stable error code.
+        message: Human-readable description.
+        run: ``not_run`` if the request certainly had no effect.
     """
     return {'error': {'code': code, 'message': message, 'run': run}}
--- a/beryllug/standins/fleet_settings.py
+++ b/beryllug/standins/fleet_settings.py
@@ -13,8 +13,8 @@
 CONTROL = 'control'
 PORTS_BEGIN = 10000
 PORTS_END = 32000
-PORTS_APART = 211
-BYTE = 250
+PORT_STRIDE = 211
+OCTET_RANGE = 250
 
 
 class HostPorts(NamedTuple):
@@ -86,25 +86,25 @@
     A port of that range may be taken by any connection between this look
     and the start of the process that is to listen on it.
     """
-    ports = [next(_candidates) for _ in range(FIELDS)]
+    ports = [next(_free_port_numbers) for _ in range(PORTS_PER_HOST)]
     return HostPorts(*(f'{host}:{port}' for port in ports))
 
 
-def own_host() -> str:
+def unique_loopback_host() -> str:
     """Return a loopback address that no other deployment has.
 
     With one address for all, a deployment took the port of another's process
     that had just been killed, and answered its callers.
     """
-    low = os.getpid() % BYTE
-    high = os.getpid() // BYTE % BYTE
-    return f'127.{high + 1}.{low}.{next(_numbers) % BYTE + 1}'
+    low = os.getpid() % OCTET_RANGE
+    high = os.getpid() // OCTET_RANGE % OCTET_RANGE
+    return f'127.{high + 1}.{low}.{next(_host_numbers) % OCTET_RANGE + 1}'
 
 
-def _free() -> Iterator[int]:
+def _iter_free_ports() -> Iterator[int]:
     """Yield ports that are free, beginning at a place of this process."""
     span = PORTS_END - PORTS_BEGIN
-    start = os.getpid() * PORTS_APART
+    start = os.getpid() * PORT_STRIDE
     for step in itertools.count():
         port = PORTS_BEGIN + (start + step) % span
         if _is_free(port):
@@ -126,8 +126,8 @@
 
 
 def _entry(index: int, sites: Sites) -> list[str]:
-    around = sites.hosts[index:] + sites.hosts[:index]
-    controls = ', '.join(ports.control for ports in around)
+    ordered = sites.hosts[index:] + sites.hosts[:index]
+    controls = ', '.join(ports.control for ports in ordered)
     return [
         f'listen = {sites.hosts[index].callers}',
         f'controls = {controls}',
@@ -149,6 +149,6 @@
     ]
 
 
-FIELDS = len(HostPorts._fields)
-_candidates = _free()
-_numbers = itertools.count()
+PORTS_PER_HOST = len(HostPorts._fields)
+_free_port_numbers = _iter_free_ports()
+_host_numbers = itertools.count()
--- a/beryllug/standins/harness.py
+++ b/beryllug/standins/harness.py
@@ -94,7 +94,7 @@
     def __init__(self, plan: Plan) -> None:
         """Make a deployment; `start` starts it."""
         self.plan = plan
-        self._host = fleet_settings.own_host()
+        self._host = fleet_settings.unique_loopback_host()
         self.platform = platform.stand_in(plan.platform_cfg)
         self.host_list = host_list.stand_in()
         self.rating = rating.stand_in()
@@ -126,32 +126,32 @@
 
     async def start_parties(self) -> None:
         """Start the outside parties and list the backend servers."""
-        for shared in (
+        for service in (
             self.platform,
             self.host_list,
             self.rating,
             self.weights,
         ):
-            await shared.start(self._host)
+            await service.start(self._host)
         for server in self.plan.servers:
-            made = _stand_in(server)
-            await made.start(self._host)
-            self.servers[server.server_id] = made
+            stand_in = _stand_in(server)
+            await stand_in.start(self._host)
+            self.servers[server.server_id] = stand_in
         self.list_hosts()
 
     async def stop(self) -> None:
         """Stop everything; processes that do not end are killed."""
         await self.processes.stop()
         await self.client.close()
-        for made in (*self.servers.values(), self.rating, self.weights):
-            await made.stop()
+        for stand_in in (*self.servers.values(), self.rating, self.weights):
+            await stand_in.stop()
         await self.host_list.stop()
         await self.platform.stop()
 
     def list_hosts(self, leaving: tuple[str, ...] = ()) -> None:
         """Let the host list show the backend servers."""
         behaviour = self.host_list.party
-        assert isinstance(behaviour, host_list.HostListParty)
+        assert isinstance(behaviour, host_list.HostListBehaviour)
         behaviour.put(
             tuple(
                 view_data.BackendServer(
@@ -183,12 +183,12 @@
     async def in_force(self, name: str) -> None:
         """Wait until an entry process holds the last revision."""
 
-        async def holds() -> bool:  # noqa: WPS430
+        async def is_current() -> bool:  # noqa: WPS430
             state = await self.dump(name)
             revision: int = state['control_link']['revision']
             return revision >= self.revision
 
-        await wait_for(holds, READY_S)
+        await wait_for(is_current, READY_S)
 
     async def dump(self, name: str) -> dict[str, Any]:
         """Return the state dump of a process.
@@ -204,7 +204,7 @@
 
     async def spawn(self, name: str) -> None:
         """Start a process of ours, with the settings of its name."""
-        text = fleet_settings.render(name, self._sites())
+        text = fleet_settings.render(name, self._addresses())
         await self.processes.spawn(name, text)
 
     async def wait_ready(self, name: str) -> None:
@@ -251,7 +251,7 @@
             return 0, b''
         return incoming.status, body
 
-    def _sites(self) -> fleet_settings.Sites:
+    def _addresses(self) -> fleet_settings.Sites:
         return fleet_settings.Sites(
             hosts=tuple(self.hosts),
             zones=self.plan.zones,
--- a/beryllug/standins/host_list.py
+++ b/beryllug/standins/host_list.py
@@ -23,15 +23,17 @@
     hosts: tuple[str, ...] = ()
 
 
-class HostListParty:
+class HostListBehaviour:
     """The host list's behaviour."""
 
-    def __init__(self, cfg: HostListCfg, switches: faults.Switches) -> None:
+    def __init__(
+        self, cfg: HostListCfg, injector: faults.FaultInjector
+    ) -> None:
         """Begin with the given hosts."""
-        first = tuple(_parse(line) for line in cfg.hosts)
+        initial = tuple(_parse(line) for line in cfg.hosts)
         self.reads = 0
-        self._hosts: lagged.Lagged[Hosts] = lagged.Lagged(first)
-        self._switches = switches
+        self._hosts: lagged.DelayedValue[Hosts] = lagged.DelayedValue(initial)
+        self._injector = injector
 
     def put(self, hosts: Hosts) -> None:
         """Replace the hosts from now on."""
@@ -44,49 +46,51 @@
                 host._replace(state=state)
                 if host.server_id == server_id
                 else host
-                for host in self._hosts.present
+                for host in self._hosts.current
             )
         )
 
     async def handle(
-        self, req: http_data.Request, answer: faults.Answer
+        self, req: http_data.Request, response: faults.Response
     ) -> None:
         """Answer one request."""
         match req.method, req.target:
             case 'GET', '/v1/hosts':
                 self.reads += 1
-                lag_s = self._switches.present.lag_s
+                lag_s = self._injector.current.lag_s
                 shown = self._hosts.at(time.monotonic(), lag_s)
-                await answer.respond_json(HTTPStatus.OK, _lines(shown))
+                await response.respond_json(HTTPStatus.OK, _lines(shown))
             case 'PUT', '/v1/hosts':
-                await self._take(req.body, answer)
+                await self._replace_hosts(req.body, response)
             case _:
-                missing = faults.error('not_found', req.target, 'not_run')
-                await answer.respond_json(HTTPStatus.NOT_FOUND, missing)
+                error = faults.error('not_found', req.target, 'not_run')
+                await response.respond_json(HTTPStatus.NOT_FOUND, error)
 
     def record(self) -> Any:
         """Return the hosts as they are, without lag."""
-        return {'reads': self.reads, 'hosts': _lines(self._hosts.present)}
+        return {'reads': self.reads, 'hosts': _lines(self._hosts.current)}
 
     def crash(self) -> None:
         """Lose nothing."""
 
-    async def _take(self, body: bytes, answer: faults.Answer) -> None:
+    async def _replace_hosts(
+        self, body: bytes, response: faults.Response
+    ) -> None:
         try:
             hosts = host_list.decode(body)
         except msgspec.DecodeError as exc:
-            wrong = faults.error('bad_hosts', str(exc), 'not_run')
-            await answer.respond_json(HTTPStatus.BAD_REQUEST, wrong)
+            error = faults.error('bad_hosts', str(exc), 'not_run')
+            await response.respond_json(HTTPStatus.BAD_REQUEST, error)
             return
         self.put(hosts)
-        await answer.respond_json(HTTPStatus.OK, _lines(hosts))
+        await response.respond_json(HTTPStatus.OK, _lines(hosts))
 
 
 def stand_in(cfg: HostListCfg | None = None) -> party.StandIn:
     """Make a host list stand-in; `start` opens its sockets."""
-    switches = faults.Switches()
-    behaviour = HostListParty(cfg or HostListCfg(), switches)
-    return party.StandIn(behaviour, switches)
+    injector = faults.FaultInjector()
+    behaviour = HostListBehaviour(cfg or HostListCfg(), injector)
+    return party.StandIn(behaviour, injector)
 
 
 def _lines(hosts: Hosts) -> list[dict[str, str]]:
--- a/beryllug/standins/invariants.py
+++ b/beryllug/standins/invariants.py
@@ -56,9 +56,9 @@
         *_billed_once(bills),
         *_answers_are_billed(sent, bills),
         *_answers_are_own(sent),
-        *_allowed_only(fleet, document),
-        *_at_most_once(fleet, sent),
-        *_not_run_is_true(fleet, sent),
+        *_runs_are_allowed(fleet, document),
+        *_ran_at_most_once(fleet, sent),
+        *_not_run_claims_hold(fleet, sent),
     ]
     answered = sum(_is_answer(item) for item in sent)
     broken = sum(item.reply.status == 0 for item in sent)
@@ -115,7 +115,7 @@
             yield f'{request_id} got an answer that is not its own or not whole'
 
 
-def _allowed_only(
+def _runs_are_allowed(
     fleet: harness.Fleet, document: config_data.Document
 ) -> Iterable[str]:
     allowed = {
@@ -131,7 +131,7 @@
             yield f'{run.request_id} ran on {run.model}@{run.version}'
 
 
-def _at_most_once(
+def _ran_at_most_once(
     fleet: harness.Fleet, sent: Sequence[traffic.Sent]
 ) -> Iterable[str]:
     holds = Counter(
@@ -157,7 +157,7 @@
             yield f'the report of prompt {prompt_hash} ran {count} times'
 
 
-def _not_run_is_true(
+def _not_run_claims_hold(
     fleet: harness.Fleet, sent: Sequence[traffic.Sent]
 ) -> Iterable[str]:
     ran = {run.request_id for run in records.plain_runs_of(fleet)}
--- a/beryllug/standins/object_api.py
+++ b/beryllug/standins/object_api.py
@@ -15,7 +15,7 @@
 from beryllug.standins import faults, object_store, party, rate, wake
 
 ROOT = '/v1/objects'
-CARRIED = 65536
+MAX_INLINE_BYTES = 65536
 MAX_WAIT_S = 300.0
 
 
@@ -26,43 +26,45 @@
     writes_per_s: float = 400.0
 
 
-class ObjectApiParty:
+class ObjectApiBehaviour:
     """The object API's behaviour."""
 
-    def __init__(self, cfg: ObjectApiCfg, switches: faults.Switches) -> None:
+    def __init__(
+        self, cfg: ObjectApiCfg, injector: faults.FaultInjector
+    ) -> None:
         """Make an empty store."""
         now = time.monotonic()
         self.store = object_store.ObjectStore()
         self.calls: dict[str, int] = {}
-        self._switches = switches
+        self._injector = injector
         self._replica = self.store
         self._reads = rate.Bucket(cfg.reads_per_s, now)
         self._writes = rate.Bucket(cfg.writes_per_s, now)
-        self._changed = wake.Wake()
-        switches.on_change(self._follow_switches)
+        self._changed = wake.Notifier()
+        injector.add_listener(self._apply_faults)
 
     async def handle(
-        self, req: http_data.Request, answer: faults.Answer
+        self, req: http_data.Request, response: faults.Response
     ) -> None:
         """Answer one request."""
         split = url_parse.urlsplit(req.target)
         query = dict(url_parse.parse_qsl(split.query))
         key = url_parse.unquote(split.path.removeprefix(f'{ROOT}/'))
         kind = _kind(req.method, split.path)
-        if await self._limited(kind, answer):
+        if await self._is_rate_limited(kind, response):
             return
         match kind:
             case 'read':
-                await self._read(key, answer)
+                await self._read(key, response)
             case 'list':
-                await self._list(query.get('prefix', ''), answer)
+                await self._list(query.get('prefix', ''), response)
             case 'write' | 'delete':
-                await self._change(key, req, answer)
+                await self._change(key, req, response)
             case 'watch':
-                await self._watch(query, answer)
+                await self._watch(query, response)
             case _:
                 refused = faults.error('not_found', req.target, 'not_run')
-                await answer.respond_json(HTTPStatus.NOT_FOUND, refused)
+                await response.respond_json(HTTPStatus.NOT_FOUND, refused)
 
     def record(self) -> Any:
         """Return calls by kind and all objects with their versions."""
@@ -83,58 +85,60 @@
     def crash(self) -> None:
         """Lose nothing: the store is durable."""
 
-    def _follow_switches(self) -> None:
-        stale = self._switches.present.stale
+    def _apply_faults(self) -> None:
+        stale = self._injector.current.stale
         self._replica = self.store.copy() if stale else self.store
         self._changed.signal()
 
-    async def _limited(self, kind: str, answer: faults.Answer) -> bool:
+    async def _is_rate_limited(
+        self, kind: str, response: faults.Response
+    ) -> bool:
         self.calls[kind] = self.calls.get(kind, 0) + 1
         writes = kind in {'write', 'delete'}
         bucket = self._writes if writes else self._reads
         wait_s = bucket.take(time.monotonic())
         if wait_s:
-            await answer.respond_json(
+            await response.respond_json(
                 HTTPStatus.TOO_MANY_REQUESTS,
                 faults.error('rate_limited', 'too many calls', 'not_run'),
                 {'retry-after': f'{wait_s:.3f}'},
             )
         return wait_s > 0
 
-    async def _read(self, key: str, answer: faults.Answer) -> None:
+    async def _read(self, key: str, response: faults.Response) -> None:
         stored = self._replica.read(key)
         if stored is None:
-            missing = faults.error('not_found', key, 'not_run')
-            await answer.respond_json(HTTPStatus.NOT_FOUND, missing)
+            error = faults.error('not_found', key, 'not_run')
+            await response.respond_json(HTTPStatus.NOT_FOUND, error)
             return
         headers = {'x-object-version': str(stored.version)}
-        await answer.respond(HTTPStatus.OK, stored.value, headers)
+        await response.respond(HTTPStatus.OK, stored.value, headers)
 
-    async def _list(self, prefix: str, answer: faults.Answer) -> None:
+    async def _list(self, prefix: str, response: faults.Response) -> None:
         listing = self._replica.list_keys(prefix)
         lines = [line._asdict() for line in listing.entries]
         document = {'revision': listing.revision, 'entries': lines}
-        await answer.respond_json(HTTPStatus.OK, document)
+        await response.respond_json(HTTPStatus.OK, document)
 
     async def _change(
-        self, key: str, req: http_data.Request, answer: faults.Answer
+        self, key: str, req: http_data.Request, response: faults.Response
     ) -> None:
         try:
             version = self._apply(key, req)
         except object_data.ConflictError as exc:
-            await _answer_conflict(exc.current_version, answer)
+            await _respond_conflict(exc.current_version, response)
         except object_data.TooLargeError:
-            large = faults.error('too_large', key, 'not_run')
-            await answer.respond_json(
-                HTTPStatus.REQUEST_ENTITY_TOO_LARGE, large
+            error = faults.error('too_large', key, 'not_run')
+            await response.respond_json(
+                HTTPStatus.REQUEST_ENTITY_TOO_LARGE, error
             )
         except ValueError:
-            wrong = faults.error('bad_condition', key, 'not_run')
-            await answer.respond_json(HTTPStatus.BAD_REQUEST, wrong)
+            error = faults.error('bad_condition', key, 'not_run')
+            await response.respond_json(HTTPStatus.BAD_REQUEST, error)
         else:
             self._changed.signal()
             headers = {'x-object-version': str(version)}
-            await answer.respond_json(
+            await response.respond_json(
                 HTTPStatus.OK, {'version': version}, headers
             )
 
@@ -146,24 +150,24 @@
         return self.store.write(key, req.body, expected)
 
     async def _watch(
-        self, query: dict[str, str], answer: faults.Answer
+        self, query: dict[str, str], response: faults.Response
     ) -> None:
         try:
             after = int(query.get('after', '0'))
             wait_s = min(float(query.get('wait', '0')), MAX_WAIT_S)
         except ValueError:
-            wrong = faults.error('bad_watch', str(query), 'not_run')
-            await answer.respond_json(HTTPStatus.BAD_REQUEST, wrong)
+            error = faults.error('bad_watch', str(query), 'not_run')
+            await response.respond_json(HTTPStatus.BAD_REQUEST, error)
             return
         try:
             batch = await self._await_changes(
                 query.get('prefix', ''), after, wait_s
             )
         except object_data.CompactedError as exc:
-            gone = faults.error('compacted', str(exc), 'not_run')
-            await answer.respond_json(HTTPStatus.GONE, gone)
+            error = faults.error('compacted', str(exc), 'not_run')
+            await response.respond_json(HTTPStatus.GONE, error)
             return
-        await answer.respond_json(
+        await response.respond_json(
             HTTPStatus.OK,
             {
                 'revision': batch.revision,
@@ -189,9 +193,9 @@
 
 def stand_in(cfg: ObjectApiCfg | None = None) -> party.StandIn:
     """Make an object API stand-in; `start` opens its sockets."""
-    switches = faults.Switches()
-    behaviour = ObjectApiParty(cfg or ObjectApiCfg(), switches)
-    return party.StandIn(behaviour, switches)
+    injector = faults.FaultInjector()
+    behaviour = ObjectApiBehaviour(cfg or ObjectApiCfg(), injector)
+    return party.StandIn(behaviour, injector)
 
 
 def _kind(method: str, path: str) -> str:
@@ -208,13 +212,15 @@
 
 def _change_line(change: object_data.Change) -> dict[str, Any]:
     body = change.value
-    carried = body is not None and len(body) < CARRIED
-    encoded = base64.b64encode(body or b'').decode() if carried else None
+    is_inlined = body is not None and len(body) < MAX_INLINE_BYTES
+    encoded = base64.b64encode(body or b'').decode() if is_inlined else None
     return {**change._asdict(), 'value': encoded}
 
 
-async def _answer_conflict(current: int, answer: faults.Answer) -> None:
+async def _respond_conflict(current: int, response: faults.Response) -> None:
     document = faults.error('conflict', 'another version', 'not_run')
     document['version'] = current
     headers = {'x-object-version': str(current)}
-    await answer.respond_json(HTTPStatus.PRECONDITION_FAILED, document, headers)
+    await response.respond_json(
+        HTTPStatus.PRECONDITION_FAILED, document, headers
+    )
--- a/beryllug/standins/object_store.py
+++ b/beryllug/standins/object_store.py
@@ -22,11 +22,11 @@
 
     def copy(self) -> 'ObjectStore':
         """Return the store as it is now, as a stale replica would show it."""
-        twin = ObjectStore()
-        twin.revision = self.revision
-        twin._by_key = dict(self._by_key)
-        twin._history = self._history.copy()
-        return twin
+        replica = ObjectStore()
+        replica.revision = self.revision
+        replica._by_key = dict(self._by_key)
+        replica._history = self._history.copy()
+        return replica
 
     def read(self, key: str) -> object_data.Object | None:
         """Return an object or None."""
@@ -50,7 +50,7 @@
         """
         if len(value) > object_data.MAX_VALUE:
             raise object_data.TooLargeError(key)
-        self._check(key, expected)
+        self._check_version(key, expected)
         self.revision += 1
         stored = object_data.Object(key, self.revision, value)
         self._by_key[key] = stored
@@ -65,7 +65,7 @@
         Raises:
             ConflictError: It has another version or there is none.
         """
-        self._check(key, expected)
+        self._check_version(key, expected)
         if key not in self._by_key:
             raise object_data.ConflictError(0)
         self.revision += 1
@@ -86,7 +86,7 @@
             raise object_data.CompactedError(str(oldest))
         found = [
             change
-            for change in self._since(after)
+            for change in self._changes_since(after)
             if change.key.startswith(prefix)
         ]
         found.reverse()
@@ -96,13 +96,13 @@
         """Yield every object."""
         return iter(self._by_key.values())
 
-    def _since(self, after: int) -> Iterator[object_data.Change]:
+    def _changes_since(self, after: int) -> Iterator[object_data.Change]:
         for change in reversed(self._history):
             if change.version <= after:
                 return
             yield change
 
-    def _check(self, key: str, expected: int | None) -> None:
+    def _check_version(self, key: str, expected: int | None) -> None:
         stored = self._by_key.get(key)
         current = stored.version if stored else 0
         if expected is not None and expected != current:
--- a/beryllug/standins/options.py
+++ b/beryllug/standins/options.py
@@ -1,4 +1,4 @@
-"""Records built from plain options: JSON members or command-line flags."""
+"""Builds typed option records from JSON members or command-line flags."""
 
 from collections.abc import Mapping
 from typing import Any, TypeVar, get_type_hints
@@ -9,28 +9,29 @@
 
 
 class OptionError(ValueError):
-    """An option is unknown or has a wrong type."""
+    """An option is unknown or has the wrong type."""
 
 
-def build(kind: type[Record], given: Mapping[str, Any]) -> Record:
-    """Build a record of options; those not given keep their defaults.
+def build(record_type: type[Record], given: Mapping[str, Any]) -> Record:
+    """Build an options record; omitted options keep their defaults.
 
     Raises:
-        OptionError: An option is unknown or has a wrong type.
+        OptionError: An option is unknown or has the wrong type.
     """
-    hints = get_type_hints(kind)
+    hints = get_type_hints(record_type)
     unknown = sorted(set(given) - set(hints))
     if unknown:
         names = ', '.join(unknown)
         raise OptionError(f'unknown options: {names}')
     typed = {
-        name: _convert(name, raw, hints[name]) for name, raw in given.items()
+        name: _convert(name, value, hints[name])
+        for name, value in given.items()
     }
-    return kind(**typed)
+    return record_type(**typed)
 
 
-def _convert(name: str, raw: Any, hint: Any) -> Any:
+def _convert(name: str, value: Any, hint: Any) -> Any:
     try:
-        return msgspec.convert(raw, hint, strict=False)
+        return msgspec.convert(value, hint, strict=False)
     except msgspec.ValidationError as exc:
         raise OptionError(f'{name}: {exc}') from exc
--- a/beryllug/standins/parties_test.py
+++ b/beryllug/standins/parties_test.py
@@ -85,7 +85,7 @@
     async def test_lag(self) -> None:
         """A leaving host still shows as live while the list lags."""
         behaviour = self.standin.party
-        assert isinstance(behaviour, host_list_standin.HostListParty)
+        assert isinstance(behaviour, host_list_standin.HostListBehaviour)
         leaving = view_data.ServerState.LEAVING
         for lag_s, expected in ((0.0, leaving), (60.0, None)):
             with self.subTest(lag_s=lag_s):
@@ -177,9 +177,9 @@
         finally:
             incoming.close()
 
-    def _behaviour(self) -> plain_standin.PlainServiceParty:
+    def _behaviour(self) -> plain_standin.PlainServiceBehaviour:
         behaviour = self.standin.party
-        assert isinstance(behaviour, plain_standin.PlainServiceParty)
+        assert isinstance(behaviour, plain_standin.PlainServiceBehaviour)
         return behaviour
 
 
--- a/beryllug/standins/party.py
+++ b/beryllug/standins/party.py
@@ -1,8 +1,8 @@
-"""What all stand-ins share: sockets, fault switches and their record.
+"""HTTP server shared by all stand-ins, with fault injection and a record.
 
-A stand-in serves its party's API on one address. A second, control address
-serves ``/faults`` and ``/record`` even while the first refuses connections,
-as after a crash; the first serves them too.
+A stand-in serves the API of its external service on one address. A second
+control address serves ``/faults`` and ``/record`` even while the first refuses
+connections, for example after a crash. The first address serves them too.
 """
 
 import asyncio
@@ -20,26 +20,28 @@
 LIMITS = http_data.Limits(body_bytes=BODY_BYTES, idle_s=IDLE_S)
 
 
-class Party(Protocol):
-    """One outside party: its behaviour without the sockets."""
+class Behaviour(Protocol):
+    """Behaviour of one external service, independent of sockets."""
 
     async def handle(
-        self, req: http_data.Request, answer: faults.Answer
+        self, req: http_data.Request, response: faults.Response
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
 
     def record(self) -> Any:
-        """Return what the party did, as plain data."""
+        """Return the service's activity as JSON-compatible data."""
 
     def crash(self) -> None:
-        """Lose what a crash of the process loses."""
+        """Discard the state that a process crash would lose."""
 
 
 class StandIn:
-    """Serves one party until it is stopped."""
+    """Serves one external service until it is stopped."""
 
-    def __init__(self, party: Party, switches: faults.Switches) -> None:
-        """Bind the party and its switches; `start` opens the sockets."""
+    def __init__(
+        self, party: Behaviour, switches: faults.FaultInjector
+    ) -> None:
+        """Store the behaviour and its faults; `start` opens the sockets."""
         self.party = party
         self.switches = switches
         self.address = ''
@@ -48,11 +50,11 @@
         self._server: http_server.HttpServer | None = None
         self._control = http_server.HttpServer(self._handle_control, LIMITS)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._gate = asyncio.Lock()
-        switches.on_change(self._follow_switches)
+        self._socket_lock = asyncio.Lock()
+        switches.add_listener(self._apply_faults)
 
     async def start(self, host: str = HOST, port: int = 0) -> str:
-        """Listen and return the address as ``ip:port``."""
+        """Start listening and return the address as ``ip:port``."""
         control_port = await self._control.start(host, 0)
         self.control_address = f'{host}:{control_port}'
         self.address = f'{host}:{port}'
@@ -60,28 +62,29 @@
         return self.address
 
     async def stop(self) -> None:
-        """Close all sockets and end all tasks."""
+        """Close all sockets and cancel all tasks."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._close()
         await self._control.stop()
 
-    def put_faults(self, **given: Any) -> None:
-        """Replace the fault switches; those not given are off."""
-        self.switches.put(options.build(faults.Faults, given))
+    def put_faults(self, **fault_settings: Any) -> None:
+        """Replace the injected faults; omitted ones are disabled."""
+        self.switches.put(options.build(faults.Faults, fault_settings))
 
     def crash(self) -> None:
-        """Drop every connection, refuse new ones, lose volatile state.
+        """Close every connection, refuse new ones and lose volatile state.
 
-        It is back after `restart_s`, or as soon as the switches are put.
+        The service restarts after `restart_s`, or when the faults are
+        replaced.
         """
         self.crashes += 1
         self.party.crash()
         self._spawn(self._crash_and_restart())
 
     async def settle(self) -> None:
-        """Wait until a change of the switches has reached the sockets."""
+        """Wait until changed faults have been applied to the sockets."""
         while self._tasks:
             await asyncio.gather(*self._tasks, return_exceptions=True)
 
@@ -90,25 +93,25 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _follow_switches(self) -> None:
+    def _apply_faults(self) -> None:
         if self.address:
-            self._spawn(self._open_or_close())
+            self._spawn(self._update_listener())
 
-    async def _open_or_close(self) -> None:
-        if self.switches.present.refuse:
+    async def _update_listener(self) -> None:
+        if self.switches.current.refuse:
             await self._close()
         else:
             await self._open()
 
     async def _crash_and_restart(self) -> None:
         await self._close()
-        restart_s = self.switches.present.restart_s
+        restart_s = self.switches.current.restart_s
         if restart_s >= 0:
             await asyncio.sleep(restart_s)
-            await self._open_or_close()
+            await self._update_listener()
 
     async def _open(self) -> None:
-        async with self._gate:
+        async with self._socket_lock:
             if self._server is not None:
                 return
             host, _, port = self.address.rpartition(':')
@@ -118,7 +121,7 @@
             self._server = server
 
     async def _close(self) -> None:
-        async with self._gate:
+        async with self._socket_lock:
             server = self._server
             self._server = None
             if server is not None:
@@ -130,24 +133,26 @@
         if req.target in {'/faults', '/record'}:
             await self._handle_control(req, exchange)
             return
-        hit = self.switches.draw(req)
-        if await faults.before_run(exchange, hit, self.switches):
-            await self.party.handle(req, faults.Answer(exchange, hit))
+        injected = self.switches.faults_for(req)
+        if await faults.inject_before_execution(
+            exchange, injected, self.switches
+        ):
+            await self.party.handle(req, faults.Response(exchange, injected))
 
     async def _handle_control(
         self, req: http_data.Request, exchange: http_server.Exchange
     ) -> None:
         match req.method, req.target:
             case 'GET', '/faults':
-                shown = self.switches.present._asdict()
-                await exchange.respond_json(HTTPStatus.OK, shown)
+                current_faults = self.switches.current._asdict()
+                await exchange.respond_json(HTTPStatus.OK, current_faults)
             case 'PUT', '/faults':
                 await self._put_faults(req, exchange)
             case 'GET', '/record':
                 await exchange.respond_json(HTTPStatus.OK, self.party.record())
             case _:
-                missing = faults.error('not_found', req.target, 'not_run')
-                await exchange.respond_json(HTTPStatus.NOT_FOUND, missing)
+                error = faults.error('not_found', req.target, 'not_run')
+                await exchange.respond_json(HTTPStatus.NOT_FOUND, error)
 
     async def _put_faults(
         self, req: http_data.Request, exchange: http_server.Exchange
@@ -155,9 +160,9 @@
         try:
             self.put_faults(**msgspec.json.decode(req.body))
         except (msgspec.DecodeError, options.OptionError) as exc:
-            wrong = faults.error('bad_faults', str(exc), 'not_run')
-            await exchange.respond_json(HTTPStatus.BAD_REQUEST, wrong)
+            error = faults.error('bad_faults', str(exc), 'not_run')
+            await exchange.respond_json(HTTPStatus.BAD_REQUEST, error)
             return
         await exchange.respond_json(
-            HTTPStatus.OK, self.switches.present._asdict()
+            HTTPStatus.OK, self.switches.current._asdict()
         )
--- a/beryllug/standins/plain_service.py
+++ b/beryllug/standins/plain_service.py
@@ -40,47 +40,49 @@
     at: float
 
 
-class _Hold(TypedDict):
+class _HoldRequest(TypedDict):
     slot: str
 
 
-class PlainServiceParty:
+class PlainServiceBehaviour:
     """A plain service's behaviour."""
 
-    def __init__(self, cfg: PlainServiceCfg, switches: faults.Switches) -> None:
+    def __init__(
+        self, cfg: PlainServiceCfg, injector: faults.FaultInjector
+    ) -> None:
         """Begin with no slot held."""
         self.on_poison: Callable[[], None] = _no_crash
         self.runs: list[PlainRun] = []
         self.holds: dict[str, list[str]] = {}
         self._cfg = cfg
-        self._switches = switches
-        self._places = asyncio.Semaphore(cfg.concurrency)
+        self._injector = injector
+        self._slots = asyncio.Semaphore(cfg.concurrency)
 
     @property
     def doubled(self) -> int:
         """Count the holds on slots that were already held."""
-        return sum(len(names) - 1 for names in self.holds.values())
+        return sum(len(keys) - 1 for keys in self.holds.values())
 
     async def handle(
-        self, req: http_data.Request, answer: faults.Answer
+        self, req: http_data.Request, response: faults.Response
     ) -> None:
         """Answer one request."""
-        async with self._places:
-            present = self._switches.present
-            if present.poison and present.poison.encode() in req.body:
+        async with self._slots:
+            current = self._injector.current
+            if current.poison and current.poison.encode() in req.body:
                 self.on_poison()
-                answer.cut()
+                response.abort()
             if self._cfg.work_s:
-                await asyncio.sleep(self._cfg.work_s * present.slow_factor)
-            run = _run(req)
+                await asyncio.sleep(self._cfg.work_s * current.slow_factor)
+            run = _describe_run(req)
             self.runs.append(run)
         match req.method, req.target.partition('?')[0]:
             case 'POST', path if path.endswith('/holds'):
-                await self._hold(req, run, answer)
+                await self._hold(req, run, response)
             case 'GET', path if path.endswith('/slots'):
-                await answer.respond_json(HTTPStatus.OK, {'held': self.holds})
+                await response.respond_json(HTTPStatus.OK, {'held': self.holds})
             case _:
-                await answer.respond_json(HTTPStatus.OK, run._asdict())
+                await response.respond_json(HTTPStatus.OK, run._asdict())
 
     def record(self) -> Any:
         """Return every run, the holds and how many are doubled."""
@@ -94,33 +96,33 @@
         """Lose nothing: its record is the test's."""
 
     async def _hold(
-        self, req: http_data.Request, run: PlainRun, answer: faults.Answer
+        self, req: http_data.Request, run: PlainRun, response: faults.Response
     ) -> None:
         try:
-            slot = msgspec.json.decode(req.body, type=_Hold)['slot']
+            slot = msgspec.json.decode(req.body, type=_HoldRequest)['slot']
         except msgspec.DecodeError:
-            await answer.refuse(HTTPStatus.BAD_REQUEST, 'bad_hold')
+            await response.refuse(HTTPStatus.BAD_REQUEST, 'bad_hold')
             return
-        names = self.holds.setdefault(slot, [])
-        names.append(run.idempotency_key)
-        document = {'slot': slot, 'holds': len(names), **run._asdict()}
-        await answer.respond_json(HTTPStatus.CREATED, document)
+        keys = self.holds.setdefault(slot, [])
+        keys.append(run.idempotency_key)
+        document = {'slot': slot, 'holds': len(keys), **run._asdict()}
+        await response.respond_json(HTTPStatus.CREATED, document)
 
 
 def stand_in(cfg: PlainServiceCfg | None = None) -> party.StandIn:
     """Make a plain service stand-in; `start` opens its sockets."""
-    switches = faults.Switches()
-    behaviour = PlainServiceParty(cfg or PlainServiceCfg(), switches)
-    made = party.StandIn(behaviour, switches)
-    behaviour.on_poison = made.crash
-    return made
+    injector = faults.FaultInjector()
+    behaviour = PlainServiceBehaviour(cfg or PlainServiceCfg(), injector)
+    server = party.StandIn(behaviour, injector)
+    behaviour.on_poison = server.crash
+    return server
 
 
 def _no_crash() -> None:
     """Stand in for the crash until the sockets are bound."""
 
 
-def _run(req: http_data.Request) -> PlainRun:
+def _describe_run(req: http_data.Request) -> PlainRun:
     return PlainRun(
         req.method,
         req.target,
--- a/beryllug/standins/platform_runner.py
+++ b/beryllug/standins/platform_runner.py
@@ -20,8 +20,8 @@
 
 MS = 1000
 PERCENT = 100
-SURE = 100
-SMALL_SURE = 54
+FULL_CONFIDENCE = 100
+SMALL_CONFIDENT_PERCENT = 54
 
 
 class PlatformRunnerCfg(NamedTuple):
@@ -110,7 +110,7 @@
     """
 
     def __init__(
-        self, cfg: PlatformRunnerCfg, switches: faults.Switches
+        self, cfg: PlatformRunnerCfg, injector: faults.FaultInjector
     ) -> None:
         """Begin idle, with nothing read."""
         self.cfg = cfg
@@ -123,10 +123,10 @@
         self.refused_model = ''
         self.states = Statement()
         self.arrivals: list[Arrival] = []
-        self._switches = switches
+        self._injector = injector
         self._running = 0
-        self._read: set[tuple[str, str]] = set()
-        self._reading = asyncio.Lock()
+        self._cached_prefixes: set[tuple[str, str]] = set()
+        self._prefill_lock = asyncio.Lock()
 
     def record(self) -> Any:
         """Return the ids of the requests that ran."""
@@ -134,33 +134,33 @@
 
     def crash(self) -> None:
         """Forget the prompts that were read."""
-        self._read.clear()
+        self._cached_prefixes.clear()
 
     async def handle(
-        self, req: http_data.Request, answer: faults.Answer
+        self, req: http_data.Request, response: faults.Response
     ) -> None:
         """Answer one request."""
-        asked = requests.read(req)
+        parsed = requests.read(req)
         expected = req.headers.get(names.EXPECT_INSTANCE, self.cfg.instance)
         if expected != self.cfg.instance:
-            await self._refuse(HTTPStatus.MISDIRECTED_REQUEST, answer)
+            await self._refuse(HTTPStatus.MISDIRECTED_REQUEST, response)
             return
         self.arrivals.append(
-            Arrival(asked.attempt_id, time.monotonic(), self.states)
+            Arrival(parsed.attempt_id, time.monotonic(), self.states)
         )
-        if self._is_refused(asked):
-            await self._refuse(HTTPStatus.SERVICE_UNAVAILABLE, answer)
+        if self._is_refused(parsed):
+            await self._refuse(HTTPStatus.SERVICE_UNAVAILABLE, response)
             return
         self._running += 1
         try:
-            await self._run(req, asked, answer)
+            await self._run(req, parsed, response)
         finally:
             self._running -= 1
 
-    def _is_refused(self, asked: requests.Asked) -> bool:
+    def _is_refused(self, parsed: requests.Asked) -> bool:
         is_full = self._running >= self.cfg.slots + self.cfg.queue
-        is_refused_model = bool(asked.model) and (
-            asked.model == self.refused_model
+        is_refused_model = bool(parsed.model) and (
+            parsed.model == self.refused_model
         )
         return (
             is_full or is_refused_model or self.states.retry_after_s is not None
@@ -169,97 +169,101 @@
     async def _run(
         self,
         req: http_data.Request,
-        asked: requests.Asked,
-        answer: faults.Answer,
+        parsed: requests.Asked,
+        response: faults.Response,
     ) -> None:
-        if asked.shared or asked.own_tokens:
-            await self._read_prompt(asked)
+        if parsed.shared or parsed.own_tokens:
+            await self._prefill(parsed)
         self.runs.append(
             Run(
-                asked.attempt_id,
+                parsed.attempt_id,
                 req.headers.get(names.TENANT, ''),
-                asked.model,
-                asked.last_event,
+                parsed.model,
+                parsed.last_event,
                 req.headers,
                 time.monotonic(),
             )
         )
-        if self._switches.chance(self.cfg.error_rate):
-            await answer.respond(
-                HTTPStatus.INTERNAL_SERVER_ERROR, b'', self._headers(asked)
+        if self._injector.should_inject(self.cfg.error_rate):
+            await response.respond(
+                HTTPStatus.INTERNAL_SERVER_ERROR, b'', self._headers(parsed)
             )
-        elif asked.model:
-            await self._stream(asked, answer)
+        elif parsed.model:
+            await self._stream(parsed, response)
         else:
             await asyncio.sleep(self.cfg.work_s)
             body = f'{req.method} {req.target}'.encode() + req.body
-            await answer.respond(HTTPStatus.OK, body, self._headers(asked))
-        self.ended.append(asked.attempt_id)
-
-    async def _read_prompt(self, asked: requests.Asked) -> None:
-        kept = (asked.model, asked.shared)
-        tokens = asked.own_tokens
-        if kept not in self._read:
-            tokens += asked.shared_tokens
-        async with self._reading:
-            pace = self.cfg.paces.get(asked.model, 1)
-            slow = self._switches.present.slow_factor
-            await asyncio.sleep(tokens * self.cfg.token_s * pace * slow)
-        self._read.add(kept)
+            await response.respond(HTTPStatus.OK, body, self._headers(parsed))
+        self.ended.append(parsed.attempt_id)
+
+    async def _prefill(self, parsed: requests.Asked) -> None:
+        prefix = (parsed.model, parsed.shared)
+        tokens = parsed.own_tokens
+        if prefix not in self._cached_prefixes:
+            tokens += parsed.shared_tokens
+        async with self._prefill_lock:
+            pace = self.cfg.paces.get(parsed.model, 1)
+            slow_factor = self._injector.current.slow_factor
+            await asyncio.sleep(tokens * self.cfg.token_s * pace * slow_factor)
+        self._cached_prefixes.add(prefix)
 
     async def _stream(
-        self, asked: requests.Asked, answer: faults.Answer
+        self, parsed: requests.Asked, response: faults.Response
     ) -> None:
-        headers = self._headers(asked)
+        headers = self._headers(parsed)
         headers[names.CONTENT_TYPE] = names.EVENT_STREAM
-        headers[names.CONFIDENCE] = str(_sure(asked))
-        first = int(asked.last_event or 0) + 1
-        await answer.start(HTTPStatus.OK, headers)
+        headers[names.CONFIDENCE] = str(_confidence(parsed))
+        first = int(parsed.last_event or 0) + 1
+        await response.start(HTTPStatus.OK, headers)
         for number in range(first, self.cfg.events + 1):
             if number == self.cut_after:
-                await answer.send(b'id: %d\ndata: ha' % number)
-                answer.cut()
+                await response.send(b'id: %d\ndata: ha' % number)
+                response.abort()
             if number == self.stall_after:
                 await asyncio.Event().wait()
-            data = f'{asked.model} {number}'
+            data = f'{parsed.model} {number}'
             event = f'id: {number}\ndata: {data}\n\n'
-            await answer.send(event.encode())
+            await response.send(event.encode())
             await asyncio.sleep(self.cfg.event_s)
-        await answer.finish()
+        await response.finish()
 
-    async def _refuse(self, status: int, answer: faults.Answer) -> None:
+    async def _refuse(self, status: int, response: faults.Response) -> None:
         self.refused += 1
         headers = {names.NOT_RUN: '1', names.INSTANCE: self.cfg.instance}
         is_unavailable = status == HTTPStatus.SERVICE_UNAVAILABLE
         if is_unavailable and self.states.retry_after_s is not None:
             headers[names.RETRY_AFTER] = str(self.states.retry_after_s)
-        await answer.respond(status, b'', headers | self._stated())
+        await response.respond(status, b'', headers | self._status_headers())
 
-    def _headers(self, asked: requests.Asked) -> dict[str, str]:
-        headers = {names.ATTEMPT: asked.attempt_id}
+    def _headers(self, parsed: requests.Asked) -> dict[str, str]:
+        headers = {names.ATTEMPT: parsed.attempt_id}
         if self.is_sealed:
-            headers[names.SEAL] = f'{self.cfg.instance}.{asked.attempt_id}'
-        return headers | self._stated()
+            headers[names.SEAL] = f'{self.cfg.instance}.{parsed.attempt_id}'
+        return headers | self._status_headers()
 
-    def _stated(self) -> dict[str, str]:
+    def _status_headers(self) -> dict[str, str]:
         """Return what all answers say of the server itself."""
-        stated = {}
+        headers = {}
         if self.states.limit_per_s is not None:
-            stated[names.LIMIT] = str(self.states.limit_per_s)
+            headers[names.LIMIT] = str(self.states.limit_per_s)
         if self.states.is_leaving:
-            stated[names.LEAVING] = '1'
-        return stated
+            headers[names.LEAVING] = '1'
+        return headers
 
 
 def stand_in(cfg: PlatformRunnerCfg) -> party.StandIn:
     """Make the stand-in."""
-    switches = faults.Switches()
-    return party.StandIn(PlatformRunner(cfg, switches), switches)
+    injector = faults.FaultInjector()
+    return party.StandIn(PlatformRunner(cfg, injector), injector)
 
 
-def _sure(asked: requests.Asked) -> int:
+def _confidence(parsed: requests.Asked) -> int:
     """Return how sure a model is: a small one of about half its answers."""
-    if not asked.model.startswith('small'):
-        return SURE
-    drawn = zlib.crc32(asked.attempt_id.encode()) % PERCENT
-    return SURE if drawn < SMALL_SURE else drawn - SMALL_SURE
+    if not parsed.model.startswith('small'):
+        return FULL_CONFIDENCE
+    hashed = zlib.crc32(parsed.attempt_id.encode()) % PERCENT
+    return (
+        FULL_CONFIDENCE
+        if hashed < SMALL_CONFIDENT_PERCENT
+        else hashed - SMALL_CONFIDENT_PERCENT
+    )
--- a/beryllug/standins/platform_site.py
+++ b/beryllug/standins/platform_site.py
@@ -56,17 +56,17 @@
 
 def caller_headers(path: str, attempt_id: str) -> dict[str, str]:
     """Return the headers of a usual request."""
-    sent = {
+    headers_sent = {
         'host': HOST,
         names.ATTEMPT: attempt_id,
         names.DEADLINE: '5000',
         names.AUTHORIZATION: f'Bearer {KEY}',
     }
     if path.startswith(('/draft', '/report')):
-        sent[names.MODEL] = '*' if path.startswith('/draft') else 'solo'
-        sent[names.TOKENS] = '400,100'
-        sent[names.PROMPT] = 'a1:300,b2:100'
-    return sent
+        headers_sent[names.MODEL] = '*' if path.startswith('/draft') else 'solo'
+        headers_sent[names.TOKENS] = '400,100'
+        headers_sent[names.PROMPT] = 'a1:300,b2:100'
+    return headers_sent
 
 
 def table(version: int = 1, **changes: Any) -> dict[str, Any]:
@@ -106,13 +106,18 @@
         self.lines: list[dict[str, Any]] = []
         self.shown_addresses: dict[str, str] = {}
         self.asked_of: dict[str, str] = {}
-        self._inis: dict[str, str] = {}
+        self._settings_texts: dict[str, str] = {}
         self._zones: dict[str, str] = {}
         self._client = http_client.HttpClient()
         self._numbers = itertools.count(1)
-        self._hosts = (fleet_settings.own_host(), fleet_settings.own_host())
+        self._hosts = (
+            fleet_settings.unique_loopback_host(),
+            fleet_settings.unique_loopback_host(),
+        )
         self._stack = contextlib.AsyncExitStack()
-        self.store_stand_in = party.StandIn(self.store_party, faults.Switches())
+        self.store_stand_in = party.StandIn(
+            self.store_party, faults.FaultInjector()
+        )
 
     async def open(self) -> None:
         """Start the store, with a route table in it."""
@@ -187,12 +192,14 @@
 
     async def add_router(self, **settings: Any) -> Router:
         """Start a router; returns when it is ready."""
-        whole = self._settings(**settings)
-        cfg = whole.router
+        process_settings = self._settings(**settings)
+        cfg = process_settings.router
         assert cfg is not None
-        services = compose_router.compose(whole, cfg, _Lines(self.lines))
+        services = compose_router.compose(
+            process_settings, cfg, _LogRecorder(self.lines)
+        )
         await services.start()
-        router = Router(whole.process.name, cfg, services)
+        router = Router(process_settings.process.name, cfg, services)
         self.routers.append(router)
         return router
 
@@ -200,12 +207,17 @@
         self, running: processes.Processes, **settings: Any
     ) -> Router:
         """Start a router as a process; returns when it is ready."""
-        whole = self._settings(**settings)
-        cfg = whole.router
+        process_settings = self._settings(**settings)
+        cfg = process_settings.router
         assert cfg is not None
-        self._inis[whole.process.name] = _ini(whole)
-        await running.spawn(whole.process.name, self._inis[whole.process.name])
-        router = Router(whole.process.name, cfg, registry.Registry())
+        self._settings_texts[process_settings.process.name] = _render_settings(
+            process_settings
+        )
+        await running.spawn(
+            process_settings.process.name,
+            self._settings_texts[process_settings.process.name],
+        )
+        router = Router(process_settings.process.name, cfg, registry.Registry())
         self.routers.append(router)
         await self.until_ready(router)
         return router
@@ -214,7 +226,7 @@
         self, running: processes.Processes, router: Router
     ) -> None:
         """Start a process that has ended again, at its addresses."""
-        await running.spawn(router.name, self._inis[router.name])
+        await running.spawn(router.name, self._settings_texts[router.name])
 
     async def until_ready(self, router: Router) -> None:
         """Wait until a router says that it is ready."""
@@ -224,9 +236,9 @@
 
     async def is_ready(self, router: Router) -> bool:
         """Ask a router whether it is ready, as the balancer does."""
-        asked = http_data.Outgoing('GET', names.READY_PATH, {})
+        outgoing = http_data.Outgoing('GET', names.READY_PATH, {})
         try:
-            incoming, _ = await self._client.call(router.cfg.ready, asked, 1)
+            incoming, _ = await self._client.call(router.cfg.ready, outgoing, 1)
         except (http_data.NotSentError, http_data.BrokenError):
             return False
         return incoming.status == HTTPStatus.OK
@@ -250,17 +262,17 @@
         """
         attempt_id = f'try-{next(self._numbers):06}'
         self.asked_of[attempt_id] = router.name
-        sent = caller_headers(path, attempt_id)
+        headers_sent = caller_headers(path, attempt_id)
         changed = {
             name.replace('_', '-'): text for name, text in headers.items()
         }
         outgoing = http_data.Outgoing(
-            method, path, sent | changed, body, fresh=True
+            method, path, headers_sent | changed, body, fresh=True
         )
-        incoming, answer = await self._client.call(
+        incoming, content = await self._client.call(
             router.cfg.listen, outgoing, TIMEOUT_S
         )
-        return Reply(incoming.status, incoming.headers, answer)
+        return Reply(incoming.status, incoming.headers, content)
 
     def logged(self, event: str) -> list[dict[str, Any]]:
         """Return the log lines of an event."""
@@ -289,15 +301,15 @@
         return settings_data.Settings(process, operators, fleet, router=cfg)
 
 
-class _Lines(log_lines.LineWriter):
+class _LogRecorder(log_lines.LineWriter):
     """Keeps log lines for a test to read."""
 
-    def __init__(self, kept: list[dict[str, Any]]) -> None:
+    def __init__(self, records: list[dict[str, Any]]) -> None:
         super().__init__(os.open(os.devnull, os.O_WRONLY))
-        self._kept = kept
+        self._records = records
 
     def write(self, event: str, **fields: Any) -> None:
-        self._kept.append({'event': event, **fields})
+        self._records.append({'event': event, **fields})
 
 
 def _route(prefix: str, kind: str, service: str) -> dict[str, Any]:
@@ -314,10 +326,10 @@
     }
 
 
-def _ini(whole: settings_data.Settings) -> str:
+def _render_settings(process_settings: settings_data.Settings) -> str:
     """Return settings as the text of their file."""
     lines = []
-    for section, record in whole._asdict().items():
+    for section, record in process_settings._asdict().items():
         if record is None:
             continue
         lines.append(f'[{section}]')
--- a/beryllug/standins/platform_store.py
+++ b/beryllug/standins/platform_store.py
@@ -65,7 +65,7 @@
         """Begin empty, at revision 1."""
         self.revision = 1
         self.era = 1
-        self.shown_era = '1'
+        self.reported_era = '1'
         self.calls: dict[str, int] = {}
         self._cfg = cfg
         self._stored: dict[tuple[str, str], dict[str, Any]] = {}
@@ -77,13 +77,13 @@
 
     def put(self, kind: str, name: str, spec: Any, status: Any = None) -> int:
         """Write an object as its owner does; returns its revision."""
-        known = self._stored.get((kind, name), {})
+        existing = self._stored.get((kind, name), {})
         self.revision += 1
         shown = {
             'metadata': {
                 'name': name,
                 'revision': self.revision,
-                'created': known.get('created', self.revision),
+                'created': existing.get('created', self.revision),
                 'finalizers': [],
                 'deleting': False,
             },
@@ -91,14 +91,18 @@
             'status': status,
         }
         self._stored[(kind, name)] = shown
-        self._note(_Event(kind, name, self.revision, shown, is_gone=False))
+        self._append_event(
+            _Event(kind, name, self.revision, shown, is_gone=False)
+        )
         return self.revision
 
     def drop(self, kind: str, name: str) -> None:
         """Remove an object."""
         shown = self._stored.pop((kind, name))
         self.revision += 1
-        self._note(_Event(kind, name, self.revision, shown, is_gone=True))
+        self._append_event(
+            _Event(kind, name, self.revision, shown, is_gone=True)
+        )
 
     def status(self, kind: str, name: str) -> Any:
         """Return the status of an object; None without one."""
@@ -113,21 +117,21 @@
             list(self.history),
         )
 
-    def return_from(self, taken: Copy) -> None:
+    def return_from(self, snapshot: Copy) -> None:
         """Return from an older copy; what was written since is gone."""
         self.era += 1
-        self.shown_era = str(self.era)
-        self.revision = taken.revision
-        self._stored = dict(taken.stored)
-        self.history = list(taken.history)
-        self._oldest = taken.oldest
-        self._wake()
+        self.reported_era = str(self.era)
+        self.revision = snapshot.revision
+        self._stored = dict(snapshot.stored)
+        self.history = list(snapshot.history)
+        self._oldest = snapshot.oldest
+        self._notify_watchers()
 
     def compact(self) -> None:
         """Drop the history, and cut the watches that wait."""
         self.history.clear()
         self._oldest = self.revision
-        self._wake()
+        self._notify_watchers()
 
     def record(self) -> Any:
         """Return the calls by what they asked."""
@@ -137,43 +141,46 @@
         """Lose nothing: what was acknowledged is kept."""
 
     async def handle(
-        self, req: http_data.Request, answer: faults.Answer
+        self, req: http_data.Request, response: faults.Response
     ) -> None:
         """Answer one call."""
         path, _, query = req.target.partition('?')
         parts = path.removeprefix(f'{names.OBJECTS_PATH}/').split('/')
-        asked = dict(url_parse.parse_qsl(query))
-        what = _what(req.method, parts, asked)
-        self.calls[what] = self.calls.get(what, 0) + 1
+        params = dict(url_parse.parse_qsl(query))
+        operation = _operation(req.method, parts, params)
+        self.calls[operation] = self.calls.get(operation, 0) + 1
         calls = self._reads if req.method == 'GET' else self._writes
-        is_counted = what != 'stale'
+        is_counted = operation != 'stale'
         if is_counted and calls.take(asyncio.get_running_loop().time()):
-            await answer.respond(
-                HTTPStatus.TOO_MANY_REQUESTS, headers=_headers(self.shown_era)
+            await response.respond(
+                HTTPStatus.TOO_MANY_REQUESTS,
+                headers=_headers(self.reported_era),
             )
             return
         found: Any = {}
         status: int = HTTPStatus.OK
-        match what:
+        match operation:
             case 'list' | 'stale':
-                status, found = self._list(parts[0], asked)
+                status, found = self._list(parts[0], params)
             case 'watch':
-                status, found = await self._watch(parts[0], asked)
+                status, found = await self._watch(parts[0], params)
             case 'get':
                 status, found = self._get(parts)
             case 'delete':
                 self.drop(parts[0], url_parse.unquote(parts[1]))
             case _:
                 body = msgspec.json.decode(req.body)
-                status, found = self._write(what, parts, body)
-        await answer.respond_json(status, found, _headers(self.shown_era))
+                status, found = self._write(operation, parts, body)
+        await response.respond_json(status, found, _headers(self.reported_era))
 
     def _list(
-        self, kind: str, asked: dict[str, str]
+        self, kind: str, params: dict[str, str]
     ) -> tuple[int, dict[str, Any]]:
-        after = asked.get('after', '')
+        after = params.get('after', '')
         found = sorted(
-            name for each, name in self._stored if each == kind and name > after
+            name
+            for stored_kind, name in self._stored
+            if stored_kind == kind and name > after
         )
         page = found[: self._cfg.page]
         return HTTPStatus.OK, {
@@ -183,11 +190,11 @@
         }
 
     async def _watch(
-        self, kind: str, asked: dict[str, str]
+        self, kind: str, params: dict[str, str]
     ) -> tuple[int, dict[str, Any]]:
-        since = int(asked['watch'])
+        since = int(params['watch'])
         loop = asyncio.get_running_loop()
-        until = loop.time() + int(asked.get('wait_ms', '0')) / MS
+        deadline = loop.time() + int(params.get('wait_ms', '0')) / MS
         while True:
             if not self._oldest <= since <= self.revision:
                 return HTTPStatus.GONE, {}
@@ -196,9 +203,9 @@
                 for event in self.history
                 if event.kind == kind and event.revision > since
             ]
-            if events or loop.time() >= until:
+            if events or loop.time() >= deadline:
                 return HTTPStatus.OK, {'events': events, 'at': self.revision}
-            await _wait(self._changed, until - loop.time())
+            await _wait(self._changed, deadline - loop.time())
 
     def _get(self, parts: list[str]) -> tuple[int, dict[str, Any]]:
         shown = self._stored.get((parts[0], url_parse.unquote(parts[1])))
@@ -207,31 +214,34 @@
         return HTTPStatus.OK, shown
 
     def _write(
-        self, what: str, parts: list[str], body: dict[str, Any]
+        self, operation: str, parts: list[str], body: dict[str, Any]
     ) -> tuple[int, dict[str, Any]]:
         metadata = body['metadata']
         name = metadata['name']
-        known = self._stored.get((parts[0], name))
-        if what == 'create' and known is not None:
-            return HTTPStatus.CONFLICT, known
-        if what != 'create' and known is None:
+        existing = self._stored.get((parts[0], name))
+        if operation == 'create' and existing is not None:
+            return HTTPStatus.CONFLICT, existing
+        if operation != 'create' and existing is None:
             return HTTPStatus.NOT_FOUND, {}
         expected = metadata.get('revision')
-        if known and expected not in {None, known['metadata']['revision']}:
-            return HTTPStatus.CONFLICT, known
+        if existing and expected not in {
+            None,
+            existing['metadata']['revision'],
+        }:
+            return HTTPStatus.CONFLICT, existing
         spec = body.get('spec')
-        status = known['status'] if known else None
-        if what == 'status' and known is not None:
-            spec = known['spec']
+        status = existing['status'] if existing else None
+        if operation == 'status' and existing is not None:
+            spec = existing['spec']
             status = body.get('status')
         self.put(parts[0], name, spec, status)
         return HTTPStatus.OK, self._stored[(parts[0], name)]
 
-    def _note(self, event: _Event) -> None:
+    def _append_event(self, event: _Event) -> None:
         self.history.append(event)
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -243,20 +253,20 @@
         return
 
 
-def _headers(shown_era: str) -> dict[str, str]:
-    return {names.ERA: shown_era} if shown_era else {}
+def _headers(reported_era: str) -> dict[str, str]:
+    return {names.ERA: reported_era} if reported_era else {}
 
 
 def stand_in(cfg: PlatformStoreCfg) -> party.StandIn:
     """Make the stand-in."""
-    return party.StandIn(PlatformStore(cfg), faults.Switches())
+    return party.StandIn(PlatformStore(cfg), faults.FaultInjector())
 
 
-def _what(method: str, parts: list[str], asked: dict[str, str]) -> str:
+def _operation(method: str, parts: list[str], params: dict[str, str]) -> str:
     if method == 'GET':
-        if 'watch' in asked:
+        if 'watch' in params:
             return 'watch'
-        if 'allow_stale' in asked:
+        if 'allow_stale' in params:
             return 'stale'
         return 'get' if len(parts) > 1 else 'list'
     if method == 'PUT' and parts[-1] == 'status':
--- a/beryllug/standins/platform_store_test.py
+++ b/beryllug/standins/platform_store_test.py
@@ -149,16 +149,16 @@
         )
         unreadable: list[str] = []
         self.api.eras.on_unreadable = unreadable.append
-        for told, is_refused, era, count in table:
-            with self.subTest(told):
-                self.party.shown_era = told
+        for reported, is_refused, era, count in table:
+            with self.subTest(reported):
+                self.party.reported_era = reported
                 try:
                     await self._call(is_refused=is_refused)
                 except object_data.ConflictError:
                     self.assertTrue(is_refused)
                 self.assertEqual(self.api.eras.era, era)
                 self.assertEqual(len(unreadable), count)
-        self.party.shown_era = '1'
+        self.party.reported_era = '1'
         with self.assertRaises(object_data.UncertainError):
             await self._call(is_refused=False)
 
--- a/beryllug/standins/processes.py
+++ b/beryllug/standins/processes.py
@@ -22,14 +22,14 @@
         """Start a daemon with the text of its settings."""
         path = self._settings_path(name)
         path.write_text(settings, encoding='utf-8')
-        with self._log_path(name).open('ab') as sink:
+        with self._log_path(name).open('ab') as log_file:
             self._running[name] = await asyncio.create_subprocess_exec(
                 sys.executable,
                 '-m',
                 'beryllug.scripts.beryllugd',
                 str(path),
-                stdout=sink,
-                stderr=sink,
+                stdout=log_file,
+                stderr=log_file,
             )
 
     def names(self) -> tuple[str, ...]:
--- a/beryllug/standins/rating.py
+++ b/beryllug/standins/rating.py
@@ -1,7 +1,7 @@
 """Stand-in of the rating service.
 
-It finds the quality in an answer's text, where the engine stand-in put it,
-and rates a little beside it, the same way each time for the same answer.
+It reads the quality that the engine stand-in put into the response text and
+adds noise, which is deterministic for a given text.
 """
 
 import asyncio
@@ -22,70 +22,70 @@
     """Options.
 
     Attributes:
-        work_s: Seconds that a rating takes.
-        noise: How far a rating may lie beside the quality.
+        work_s: Seconds per rating.
+        noise: Maximum deviation of a rating from the quality.
     """
 
     work_s: float = 0.0
     noise: float = 0.0
 
 
-class _Ask(TypedDict):
+class _RatingRequest(TypedDict):
     request_id: str
     model: str
     version: str
     answer: str
 
 
-class RatingParty:
-    """The rating service's behaviour."""
+class RatingBehaviour:
+    """Behaviour of the rating service."""
 
-    def __init__(self, cfg: RatingCfg, switches: faults.Switches) -> None:
-        """Begin with no rating given."""
+    def __init__(self, cfg: RatingCfg, injector: faults.FaultInjector) -> None:
+        """Create a service without ratings."""
         self.ratings: dict[str, list[float]] = {}
         self._cfg = cfg
-        self._switches = switches
+        self._injector = injector
 
     async def handle(
-        self, req: http_data.Request, answer: faults.Answer
+        self, req: http_data.Request, response: faults.Response
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if (req.method, req.target) != ('POST', '/v1/ratings'):
-            await answer.refuse(HTTPStatus.NOT_FOUND, 'not_found')
+            await response.refuse(HTTPStatus.NOT_FOUND, 'not_found')
             return
         try:
-            ask = msgspec.json.decode(req.body, type=_Ask)
+            parsed = msgspec.json.decode(req.body, type=_RatingRequest)
         except msgspec.DecodeError:
-            await answer.refuse(HTTPStatus.BAD_REQUEST, 'bad_rating')
+            await response.refuse(HTTPStatus.BAD_REQUEST, 'bad_rating')
             return
-        present = self._switches.present
-        await asyncio.sleep(self._cfg.work_s * present.slow_factor)
-        rating = _clamp(self._rate(ask['answer']) + present.bias)
-        given = self.ratings.setdefault(ask['request_id'], [])
-        given.append(rating)
-        await answer.respond_json(HTTPStatus.OK, {'rating': rating})
+        current = self._injector.current
+        await asyncio.sleep(self._cfg.work_s * current.slow_factor)
+        rating = _clamp(self._rate(parsed['answer']) + current.bias)
+        ratings = self.ratings.setdefault(parsed['request_id'], [])
+        ratings.append(rating)
+        await response.respond_json(HTTPStatus.OK, {'rating': rating})
 
     def record(self) -> Any:
         """Return all ratings by request id."""
         return {'ratings': self.ratings}
 
     def crash(self) -> None:
-        """Lose nothing."""
+        """Lose no state in a crash."""
 
     def _rate(self, text: str) -> float:
         quality = engine_answers.quality_in(text)
         if quality is None:
             return UNKNOWN_QUALITY
         drawn = hashlib.sha256(text.encode()).digest()[:2]
-        beside = int.from_bytes(drawn) / HASH_RANGE * 2 - 1
-        return quality + beside * self._cfg.noise
+        offset = int.from_bytes(drawn) / HASH_RANGE * 2 - 1
+        return quality + offset * self._cfg.noise
 
 
 def stand_in(cfg: RatingCfg | None = None) -> party.StandIn:
-    """Make a rating service stand-in; `start` opens its sockets."""
-    switches = faults.Switches()
-    behaviour = RatingParty(cfg or RatingCfg(), switches)
-    return party.StandIn(behaviour, switches)
+    """Create a rating service stand-in; `start` opens its sockets."""
+    injector = faults.FaultInjector()
+    behaviour = RatingBehaviour(cfg or RatingCfg(), injector)
+    return party.StandIn(behaviour, injector)
 
 
 def _clamp(rating: float) -> float:
--- a/beryllug/standins/records.py
+++ b/beryllug/standins/records.py
@@ -1,4 +1,4 @@
-"""The records of the other side: what the parties of a deployment hold."""
+"""Records kept by the external services of a deployment."""
 
 from collections.abc import Container, Iterator
 
@@ -17,16 +17,16 @@
 
 
 def rows(fleet: harness.Fleet) -> Iterator[journal_data.Row]:
-    """Return every row of the journal that the platform holds."""
+    """Yield every journal row that the platform stores."""
     behaviour = fleet.platform.party
-    assert isinstance(behaviour, object_api.ObjectApiParty)
+    assert isinstance(behaviour, object_api.ObjectApiBehaviour)
     for stored in behaviour.store.stored():
         if stored.key.startswith(SEGMENTS):
             yield from segments.decode(stored.value).rows
 
 
 def bills(fleet: harness.Fleet) -> dict[str, list[journal_data.Row]]:
-    """Return the outcome rows by request id; a fault shows as two in one."""
+    """Return outcome rows by request id; more than one is a fault."""
     found: dict[str, list[journal_data.Row]] = {}
     for row in rows(fleet):
         if row.kind is journal_data.RowKind.OUTCOME:
@@ -37,30 +37,30 @@
 def engine_runs_of(
     fleet: harness.Fleet, servers: Container[str] | None = None
 ) -> list[engine_runs.RunRecord]:
-    """Return what all model engines ran, or those that are named."""
+    """Return the runs of all model engines, or of the given ones."""
     found: list[engine_runs.RunRecord] = []
-    for made in _named(fleet, servers):
-        if isinstance(made.party, engine.EngineParty):
-            found.extend(made.party.worker.records)
+    for stand_in in _select(fleet, servers):
+        if isinstance(stand_in.party, engine.EngineParty):
+            found.extend(stand_in.party.worker.records)
     return found
 
 
 def plain_runs_of(
     fleet: harness.Fleet, servers: Container[str] | None = None
 ) -> list[plain_service.PlainRun]:
-    """Return what all plain services ran, or those that are named."""
+    """Return the runs of all plain services, or of the given ones."""
     found: list[plain_service.PlainRun] = []
-    for made in _named(fleet, servers):
-        if isinstance(made.party, plain_service.PlainServiceParty):
-            found.extend(made.party.runs)
+    for stand_in in _select(fleet, servers):
+        if isinstance(stand_in.party, plain_service.PlainServiceBehaviour):
+            found.extend(stand_in.party.runs)
     return found
 
 
-def _named(
+def _select(
     fleet: harness.Fleet, servers: Container[str] | None
 ) -> list[party.StandIn]:
     return [
-        made
-        for server_id, made in fleet.servers.items()
+        stand_in
+        for server_id, stand_in in fleet.servers.items()
         if servers is None or server_id in servers
     ]
--- a/beryllug/standins/serve.py
+++ b/beryllug/standins/serve.py
@@ -27,7 +27,7 @@
 
 
 class Kind(NamedTuple):
-    """How a kind of stand-in is made, and the record of its options."""
+    """Factory of a kind of stand-in and the type of its options."""
 
     make: Callable[[Any], party.StandIn]
     cfg: type[Any]
@@ -50,41 +50,43 @@
 
 
 def serve(
-    kind: str, port: int = 0, host: str = party.HOST, **given: Any
+    kind: str, port: int = 0, host: str = party.HOST, **cfg_options: Any
 ) -> None:
     """Run one stand-in until SIGTERM.
 
     Args:
         kind: One of the keys of `KINDS`.
-        port: Port to listen on; 0 takes a free one.
+        port: Port to listen on; 0 selects a free one.
         host: IP address to listen on.
-        given: Options of the stand-in's own record.
+        cfg_options: Options specific to the kind of stand-in.
     """
     if kind not in KINDS:
         known = ', '.join(KINDS)
-        sys.exit(f'unknown kind {kind}; known are {known}')
+        sys.exit(f'unknown stand-in kind {kind}; expected one of {known}')
     try:
-        cfg = options.build(KINDS[kind].cfg, given)
+        cfg = options.build(KINDS[kind].cfg, cfg_options)
     except options.OptionError as exc:
         sys.exit(str(exc))
-    asyncio.run(_serve(KINDS[kind].make(cfg), host, port))
+    asyncio.run(_serve_until_signal(KINDS[kind].make(cfg), host, port))
 
 
 def main() -> None:
-    """Take the command line."""
+    """Run the command line."""
     fire.Fire(serve)
 
 
-async def _serve(made: party.StandIn, host: str, port: int) -> None:
+async def _serve_until_signal(
+    stand_in: party.StandIn, host: str, port: int
+) -> None:
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
-    await made.start(host, port)
-    sys.stdout.write(f'ready {made.address} {made.control_address}\n')
+    await stand_in.start(host, port)
+    sys.stdout.write(f'ready {stand_in.address} {stand_in.control_address}\n')
     sys.stdout.flush()
     await ended.wait()
-    await made.stop()
+    await stand_in.stop()
 
 
 if __name__ == '__main__':
--- a/beryllug/standins/serve_test.py
+++ b/beryllug/standins/serve_test.py
@@ -28,17 +28,17 @@
 
     async def test_bad_options(self) -> None:
         """A wrong kind or option ends the process with a code other than 0."""
-        for given in (
+        for arguments in (
             ('nothing',),
             ('engine', '--tokens=x'),
             ('engine', '--x'),
         ):
-            with self.subTest(str(given)):
-                process = await _begin(*given)
+            with self.subTest(str(arguments)):
+                process = await _start_process(*arguments)
                 self.assertNotEqual(await process.wait(), 0)
 
-    async def _run(self, kind: str, given: tuple[str, ...]) -> None:
-        process = await _begin(kind, *given)
+    async def _run(self, kind: str, arguments: tuple[str, ...]) -> None:
+        process = await _start_process(kind, *arguments)
         assert process.stdout is not None
         word, address, control = (await process.stdout.readline()).split()
         self.assertEqual(word, b'ready')
@@ -57,12 +57,12 @@
         await client.close()
 
 
-async def _begin(*given: str) -> asyncio.subprocess.Process:
+async def _start_process(*arguments: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable,
         '-m',
         'beryllug.standins.serve',
-        *given,
+        *arguments,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.DEVNULL,
     )
--- a/beryllug/standins/server_rules.py
+++ b/beryllug/standins/server_rules.py
@@ -1,7 +1,7 @@
-"""What servers may expect of a router that they have told something.
+"""Checks that a router honours what backend servers announced to it.
 
-The arrivals of one server at one router's hands are held against what the
-server has said to that router before.
+Compares the requests that one router sent to one server with what the server
+had previously announced to that router.
 """
 
 from collections.abc import Iterable, Sequence
@@ -9,19 +9,19 @@
 
 from beryllug.standins import platform_runner
 
-# Seconds after a refusal in which requests may still be under way, and the
-# requests that a router may send to a server before it may come back.
-UNDER_WAY_S = 0.5
-MOST_IN_BACKOFF = 2
+# Seconds after a refusal during which requests may still be in flight, and
+# the requests that a router may send to a server before its retry time.
+IN_FLIGHT_S = 0.5
+MAX_REQUESTS_IN_BACKOFF = 2
 
 
-class Breach(NamedTuple):
+class Violation(NamedTuple):
     """A request that should not have reached its server.
 
     Attributes:
-        attempt_id: Its id.
-        said_at: Monotonic second at which the server had said so.
-        at: Monotonic second at which it came.
+        attempt_id: Id of the attempt.
+        said_at: Monotonic time of the server's announcement, in seconds.
+        at: Monotonic time at which the request arrived, in seconds.
     """
 
     attempt_id: str
@@ -31,42 +31,44 @@
 
 def after_leaving(
     arrivals: Iterable[platform_runner.Arrival], drain_s: float
-) -> list[Breach]:
-    """Return requests that came too long after the server said it leaves.
+) -> list[Violation]:
+    """Return requests that arrived too long after the server began to leave.
 
     Args:
-        arrivals: What one router sent, in its order.
-        drain_s: Seconds in which requests may still come.
+        arrivals: Requests from one router, in order of arrival.
+        drain_s: Seconds during which requests may still arrive.
     """
     said_at = float('inf')
-    breaches = []
-    for each in arrivals:
-        if each.at > said_at + drain_s:
-            breaches.append(Breach(each.attempt_id, said_at, each.at))
-        if each.answered.is_leaving:
-            said_at = min(said_at, each.at)
-    return breaches
+    violations = []
+    for arrival in arrivals:
+        if arrival.at > said_at + drain_s:
+            violations.append(
+                Violation(arrival.attempt_id, said_at, arrival.at)
+            )
+        if arrival.answered.is_leaving:
+            said_at = min(said_at, arrival.at)
+    return violations
 
 
 def during_backoff(
     arrivals: Sequence[platform_runner.Arrival],
-) -> list[Breach]:
-    """Return requests beyond those that may come before the time to come back.
+) -> list[Violation]:
+    """Return excess requests that arrived before the server's retry time.
 
     Args:
-        arrivals: What one router sent, in its order.
+        arrivals: Requests from one router, in order of arrival.
     """
-    breaches: dict[str, Breach] = {}
-    for said in arrivals:
-        retry_after_s = said.answered.retry_after_s
+    violations: dict[str, Violation] = {}
+    for notice in arrivals:
+        retry_after_s = notice.answered.retry_after_s
         if retry_after_s is None:
             continue
-        came = [
-            each
-            for each in arrivals
-            if said.at + UNDER_WAY_S < each.at < said.at + retry_after_s
+        received = [
+            arrival
+            for arrival in arrivals
+            if notice.at + IN_FLIGHT_S < arrival.at < notice.at + retry_after_s
         ]
-        for each in came[MOST_IN_BACKOFF:]:
-            breach = Breach(each.attempt_id, said.at, each.at)
-            breaches.setdefault(each.attempt_id, breach)
-    return list(breaches.values())
+        for arrival in received[MAX_REQUESTS_IN_BACKOFF:]:
+            violation = Violation(arrival.attempt_id, notice.at, arrival.at)
+            violations.setdefault(arrival.attempt_id, violation)
+    return list(violations.values())
--- a/beryllug/standins/traffic.py
+++ b/beryllug/standins/traffic.py
@@ -62,7 +62,7 @@
         self._callers = callers
         self._tasks: list[asyncio.Task[None]] = []
         self._stopping = False
-        self._down: set[int] = set()
+        self._avoided: set[int] = set()
 
     def start(self) -> None:
         """Start the callers."""
@@ -88,11 +88,11 @@
 
     def avoid(self, host: int) -> None:
         """Send no more to a host, as the balancer would."""
-        self._down.add(host)
+        self._avoided.add(host)
 
     def use(self, host: int) -> None:
         """Send to a host again."""
-        self._down.discard(host)
+        self._avoided.discard(host)
 
     async def balance(self) -> None:
         """Send only to hosts whose readiness check passes, as a balancer.
@@ -110,20 +110,20 @@
     async def _run(self, index: int) -> None:
         rng = random.Random(self._seed * 1000 + index)
         key = sample.LARGE_KEY if index % 3 else sample.SMALL_KEY
-        who = caller.Caller(key)
+        client = caller.Caller(key)
         number = 0
         try:
             while not self._stopping:
                 number += 1
                 kind = rng.choice(self._kinds)
-                await self._send(who, key, kind, f'{index}-{number}', rng)
+                await self._send(client, key, kind, f'{index}-{number}', rng)
                 await asyncio.sleep(PAUSE_S)
         finally:
-            await who.close()
+            await client.close()
 
     async def _send(
         self,
-        who: caller.Caller,
+        client: caller.Caller,
         bearer: str,
         kind: str,
         name: str,
@@ -141,9 +141,9 @@
             idempotency_key = f'key-{self._seed}-{name}'
         for _ in range(TRIES):
             sent_at = time.time()
-            host = self._pick(rng)
-            make = _maker(kind, bearer)
-            reply = await make(who, host, prompt, idempotency_key)
+            host = self._pick_host(rng)
+            send = _sender_of(kind, bearer)
+            reply = await send(client, host, prompt, idempotency_key)
             self.sent.append(
                 Sent(
                     kind,
@@ -159,19 +159,19 @@
                 return
             await asyncio.sleep(RETRY_S)
 
-    def _pick(self, rng: random.Random) -> str:
-        ups = [
+    def _pick_host(self, rng: random.Random) -> str:
+        available = [
             ports.callers
             for index, ports in enumerate(self._fleet.hosts)
-            if index not in self._down
+            if index not in self._avoided
         ]
-        return rng.choice(ups)
+        return rng.choice(available)
 
 
-Make = Callable[[caller.Caller, str, str, str], Any]
+SendRequest = Callable[[caller.Caller, str, str, str], Any]
 
 
-def _maker(kind: str, bearer: str) -> Make:
+def _sender_of(kind: str, bearer: str) -> SendRequest:
     """Return what sends a request of a kind."""
     match kind:
         case 'hold':
@@ -189,33 +189,33 @@
 
 
 async def _chat(
-    who: caller.Caller, host: str, prompt: str, key: str
+    client: caller.Caller, host: str, prompt: str, key: str
 ) -> caller.Reply:
-    return await who.chat(host, 'desk-small', prompt)
+    return await client.chat(host, 'desk-small', prompt)
 
 
 async def _stream(
-    who: caller.Caller, host: str, prompt: str, key: str
+    client: caller.Caller, host: str, prompt: str, key: str
 ) -> caller.Reply:
-    return await who.chat(host, 'desk-small', prompt, stream=True)
+    return await client.chat(host, 'desk-small', prompt, stream=True)
 
 
 async def _cascade(
-    who: caller.Caller, host: str, prompt: str, key: str
+    client: caller.Caller, host: str, prompt: str, key: str
 ) -> caller.Reply:
-    return await who.chat(host, 'offers', prompt)
+    return await client.chat(host, 'offers', prompt)
 
 
 async def _lookup(
-    who: caller.Caller, host: str, prompt: str, key: str
+    client: caller.Caller, host: str, prompt: str, key: str
 ) -> caller.Reply:
-    return await who.ask(host, 'GET', '/v1/services/booking/slots')
+    return await client.ask(host, 'GET', '/v1/services/booking/slots')
 
 
 async def _hold(
-    who: caller.Caller, host: str, prompt: str, key: str
+    client: caller.Caller, host: str, prompt: str, key: str
 ) -> caller.Reply:
-    return await who.ask(
+    return await client.ask(
         host,
         'POST',
         '/v1/services/booking/holds',
@@ -225,9 +225,9 @@
 
 
 async def _report(
-    who: caller.Caller, host: str, prompt: str, key: str
+    client: caller.Caller, host: str, prompt: str, key: str
 ) -> caller.Reply:
-    return await who.chat(
+    return await client.chat(
         host,
         'roster',
         prompt,
@@ -238,9 +238,9 @@
 
 
 async def _small_report(
-    who: caller.Caller, host: str, prompt: str, key: str
+    client: caller.Caller, host: str, prompt: str, key: str
 ) -> caller.Reply:
-    return await who.chat(host, 'desk-small', prompt, idempotency_key=key)
+    return await client.chat(host, 'desk-small', prompt, idempotency_key=key)
 
 
 def _is_final(reply: caller.Reply) -> bool:
--- a/beryllug/standins/wake.py
+++ b/beryllug/standins/wake.py
@@ -1,20 +1,20 @@
-"""A signal that wakes every task that waits for the next one."""
+"""A notification that wakes every task waiting for the next one."""
 
 import asyncio
 
 
-class Wake:
-    """Wakes all who wait at the moment of the signal."""
+class Notifier:
+    """Wakes all tasks that are waiting when the signal is sent."""
 
     def __init__(self) -> None:
-        """Start with nobody waiting."""
+        """Create a notifier without waiting tasks."""
         self._event = asyncio.Event()
 
     def signal(self) -> None:
-        """Wake all who wait now."""
+        """Wake all tasks that are waiting now."""
         self._event.set()
         self._event = asyncio.Event()
 
     def next(self) -> asyncio.Event:
-        """Return what the next signal sets; take it before checking state."""
+        """Return the next signal's event; get it before checking state."""
         return self._event
--- a/beryllug/standins/weight_store.py
+++ b/beryllug/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the weight store: rate-limited facts on stored versions."""
+"""Stand-in of the weight store: rate-limited metadata of versions."""
 
 import time
 from http import HTTPStatus
@@ -16,9 +16,9 @@
     """Options.
 
     Attributes:
-        stored: ``model@version`` names that it has; none means any.
-        size_bytes: Size of each.
-        reads_per_s: Reads it lets through.
+        stored: Available ``model@version`` names; empty accepts any.
+        size_bytes: Size of each version.
+        reads_per_s: Limit on reads per second.
     """
 
     stored: tuple[str, ...] = ()
@@ -26,23 +26,23 @@
     reads_per_s: float = 20.0
 
 
-class WeightStoreParty:
-    """The weight store's behaviour."""
+class WeightStoreBehaviour:
+    """Behaviour of the weight store."""
 
     def __init__(self, cfg: WeightStoreCfg) -> None:
-        """Begin with a full rate budget."""
+        """Create a store with a full token bucket."""
         self.reads: dict[str, int] = {}
         self._cfg = cfg
         self._bucket = rate.Bucket(cfg.reads_per_s, time.monotonic())
 
     async def handle(
-        self, req: http_data.Request, answer: faults.Answer
+        self, req: http_data.Request, response: faults.Response
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         wait_s = self._bucket.take(time.monotonic())
         if wait_s:
             headers = {'retry-after': f'{wait_s:.3f}'}
-            await answer.refuse(
+            await response.refuse(
                 HTTPStatus.TOO_MANY_REQUESTS, 'rate_limited', headers
             )
             return
@@ -51,25 +51,25 @@
         self.reads[name] = self.reads.get(name, 0) + 1
         known = not self._cfg.stored or name in self._cfg.stored
         if not known or not req.target.startswith(ROOT):
-            missing = faults.error('not_found', name)
-            await answer.respond_json(HTTPStatus.NOT_FOUND, missing)
+            error = faults.error('not_found', name)
+            await response.respond_json(HTTPStatus.NOT_FOUND, error)
             return
         document = {
             'size_bytes': self._cfg.size_bytes,
             'digest': engine_answers.digest(name),
         }
-        await answer.respond_json(HTTPStatus.OK, document)
+        await response.respond_json(HTTPStatus.OK, document)
 
     def record(self) -> Any:
-        """Return the reads by name and how many were refused."""
+        """Return the reads by name and the number of rejected reads."""
         return {'reads': self.reads, 'refused': self._bucket.refused}
 
     def crash(self) -> None:
-        """Lose nothing."""
+        """Lose no state in a crash."""
 
 
 def stand_in(cfg: WeightStoreCfg | None = None) -> party.StandIn:
-    """Make a weight store stand-in; `start` opens its sockets."""
-    switches = faults.Switches()
-    behaviour = WeightStoreParty(cfg or WeightStoreCfg())
-    return party.StandIn(behaviour, switches)
+    """Create a weight store stand-in; `start` opens its sockets."""
+    injector = faults.FaultInjector()
+    behaviour = WeightStoreBehaviour(cfg or WeightStoreCfg())
+    return party.StandIn(behaviour, injector)
