--- a/beryllug/standins/engine_test.py
+++ b/beryllug/standins/engine_test.py
@@ -1,4 +1,4 @@
-"""Contract of the model engines, run against the stand-in."""
+"""Contract tests of the model engine, run against the stand-in."""
 
 import asyncio
 import json
@@ -64,21 +64,21 @@
         return b''.join(received)
     finally:
         incoming.close()
-    raise AssertionError('the answer came whole')
+    raise AssertionError('the response was complete, expected a broken one')
 
 
 class EngineContract:
-    """What any implementation must do; mixed into a test case.
+    """Contract of any implementation, as a mixin for test cases.
 
-    The engine at `address` has one place in its batch, has only v1 loaded,
-    checks fencing tokens and takes a while for each token.
+    The engine at `address` has one batch slot, has only v1 loaded, checks
+    fencing tokens and needs some time for each token.
     """
 
     api: engine.Engine
     address: str
 
-    async def test_whole(self: Any) -> None:
-        """A whole answer carries its request's tag and its usage."""
+    async def test_complete_response(self: Any) -> None:
+        """A complete response contains the request's tag and the usage."""
         incoming = await self.api.chat(self.address, _ask('r1'))
         body = await self._read(incoming)
         text = json.loads(body)['choices'][0]['message']['content']
@@ -87,7 +87,7 @@
         self.assertEqual(usage, engine_data.Usage(6, 24))
 
     async def test_stream(self: Any) -> None:
-        """A stream joins to the same text and ends with usage and DONE."""
+        """A stream yields the same text and ends with usage and DONE."""
         incoming = await self.api.chat(self.address, _ask('r1', stream=True))
         events = await self._read(incoming)
         self.assertTrue(engine_answers.is_whole(_text(events), 'r1', PROMPT))
@@ -99,7 +99,7 @@
         self.assertEqual(tail.usage(), engine_data.Usage(6, 24))
 
     async def test_resume(self: Any) -> None:
-        """A cut stream is taken up at the exact byte, again and again."""
+        """A broken stream is resumed at the exact byte, also repeatedly."""
         ask = _ask('r1', stream=True)
         incoming = await self.api.chat(self.address, ask)
         first = await incoming.next_chunk()
@@ -113,7 +113,7 @@
         self.assertIsNone(await self.api.resume(self.address, 'other', 0))
 
     async def test_cancel(self: Any) -> None:
-        """Cancel tells whether the request had begun to run."""
+        """Cancel returns whether the request had started to run."""
         running = await self.api.chat(self.address, _ask('r1', stream=True))
         queued = asyncio.create_task(
             _failure(self.api.chat(self.address, _ask('r2', stream=True)))
@@ -135,7 +135,7 @@
         await self._until_load(running=0, queued=0)
 
     async def test_priority(self: Any) -> None:
-        """Of those that wait, the lowest priority number runs first."""
+        """The waiting request with the lowest priority number runs first."""
         first = await self.api.chat(self.address, _ask('r1', stream=True))
         asks = [_ask('late', priority=5), _ask('soon', priority=1)]
         waiting = []
@@ -153,13 +153,13 @@
             await self._read(incoming)
 
     async def test_not_loaded(self: Any) -> None:
-        """A version that is not loaded is declined as not run."""
+        """A request for a version that is not loaded is declined as not run."""
         incoming = await self.api.chat(self.address, _ask('r1', version=V2))
         self.assertTrue(engine.is_declined(incoming))
         incoming.close()
 
     async def test_bad_request(self: Any) -> None:
-        """A request at fault itself is not declined: no other would run it."""
+        """An invalid request is not declined: no other engine could run it."""
         ask = _ask('r1', max_tokens=10**9)
         incoming = await self.api.chat(self.address, ask)
         self.assertEqual(incoming.status, 400)
@@ -167,7 +167,7 @@
         incoming.close()
 
     async def test_orders(self: Any) -> None:
-        """Orders take effect; one with an old fencing token does not."""
+        """Orders take effect, except with an outdated fencing token."""
         kinds = engine_data.OrderKind
         order = engine_data.Order('o1', kinds.LOAD, V2, 5)
         await self.api.order(self.address, order)
@@ -184,7 +184,7 @@
         await self._until_loaded({V1})
 
     async def test_cache(self: Any) -> None:
-        """Prompts that share a prefix share its blocks, as events show."""
+        """Prompts with a common prefix share its blocks and cache events."""
         shared = 'x' * engine_answers.BLOCK_CHARS
         ask = _ask('r1', f'{shared}a')
         await self._read(await self.api.chat(self.address, ask))
@@ -219,7 +219,7 @@
 
 
 class StandInTest(EngineContract, unittest.IsolatedAsyncioTestCase):
-    """The stand-in keeps the contract and its fault switches work."""
+    """The stand-in fulfils the contract and injects faults."""
 
     async def asyncSetUp(self) -> None:
         """Start a stand-in."""
@@ -237,7 +237,7 @@
         await self.standin.stop()
 
     async def test_full(self) -> None:
-        """Over the queue's bound a request is declined, not run."""
+        """A request over the queue limit is declined and not run."""
         tasks = [
             asyncio.create_task(self.api.chat(self.address, _ask(str(name))))
             for name in range(3)
@@ -251,11 +251,11 @@
         self.assertNotIn('over', self._states())
 
     async def test_poison(self) -> None:
-        """A request that crashes the engine takes its neighbours along.
+        """A request that crashes the engine also fails concurrent requests.
 
-        The caller of the poison request and the one that waits both see
-        their connection break; afterwards the engine refuses connections
-        until it is back, and has forgotten every answer.
+        The connections of the poison request and of the concurrent request
+        break. The engine then refuses connections until it restarts, and
+        has lost all responses.
         """
         await self._restart(engine_worker.EngineCfg(token_s=60.0))
         self.standin.put_faults(poison='XYZZY')
@@ -277,7 +277,7 @@
         self.assertIsNone(await self.api.resume(self.address, 'ok', 0))
 
     async def test_version_errors(self) -> None:
-        """A bad version's runs fail and are recorded as failed."""
+        """Runs of a faulty version fail and are recorded as failed."""
         self.standin.put_faults(version_errors={'v1': 1.0})
         incoming = await self.api.chat(self.address, _ask('r1'))
         await self._read(incoming)
@@ -287,7 +287,7 @@
         self.assertEqual(self._states(), {'r1': failed})
 
     async def test_ignored_fencing(self) -> None:
-        """An engine that ignores fencing tokens obeys an old order."""
+        """An engine that ignores fencing tokens executes an outdated order."""
         self.standin.put_faults(ignore_fencing=True)
         kinds = engine_data.OrderKind
         order = engine_data.Order('o1', kinds.LOAD, V2, 5)
@@ -298,7 +298,7 @@
         await self._until_loaded({V1})
 
     async def test_lag(self) -> None:
-        """Load reports and cache events show the past."""
+        """Load reports and cache events lag and can have gaps."""
         self.standin.put_faults(lag_s=60.0)
         prompt = 'x' * engine_answers.BLOCK_CHARS
         incoming = await self.api.chat(self.address, _ask('r', prompt))
@@ -312,7 +312,7 @@
         self.assertEqual((gaps.latest, gaps.events), (1, ()))
 
     async def test_reset(self) -> None:
-        """A stream reset after some bytes is resumed to the whole answer."""
+        """A stream reset after some bytes is resumed to the full response."""
         for position in (1, 500, 3000):
             with self.subTest(str(position)):
                 name = f'r{position}'
--- a/beryllug/standins/fleet_settings.py
+++ b/beryllug/standins/fleet_settings.py
@@ -1,4 +1,4 @@
-"""Settings files and addresses of a deployment on loopback."""
+"""Settings files and addresses for a deployment on loopback."""
 
 import contextlib
 import itertools
@@ -27,7 +27,7 @@
 
 
 class Sites(NamedTuple):
-    """All that the settings files of a deployment state."""
+    """Values in the settings files of a deployment."""
 
     hosts: tuple[HostPorts, ...]
     zones: tuple[str, ...]
@@ -50,7 +50,7 @@
 
 
 def operators_of(name: str, hosts: Sequence[HostPorts]) -> str:
-    """Return the operators' address of a process."""
+    """Return the operator address of a process."""
     role, index = _parse(name)
     ports = hosts[index]
     is_control = role == CONTROL
@@ -58,7 +58,7 @@
 
 
 def render(name: str, sites: Sites) -> str:
-    """Return the settings file of a process."""
+    """Render the settings file of a process."""
     role, index = _parse(name)
     section = _entry(index, sites)
     if role == CONTROL:
@@ -81,20 +81,20 @@
 
 
 def free_ports(host: str = HOST) -> HostPorts:
-    """Find free ports outside the range that connections take.
+    """Find free ports outside the ephemeral port range.
 
-    A port of that range may be taken by any connection between this look
-    and the start of the process that is to listen on it.
+    An ephemeral port could be taken by an outgoing connection between this
+    check and the start of the process that is to listen on it.
     """
     ports = [next(_free_port_numbers) for _ in range(PORTS_PER_HOST)]
     return HostPorts(*(f'{host}:{port}' for port in ports))
 
 
 def unique_loopback_host() -> str:
-    """Return a loopback address that no other deployment has.
+    """Return a loopback address that no other deployment uses.
 
-    With one address for all, a deployment took the port of another's process
-    that had just been killed, and answered its callers.
+    With a shared address, a deployment took over the port of another
+    deployment's process that had just been killed, and served its callers.
     """
     low = os.getpid() % OCTET_RANGE
     high = os.getpid() // OCTET_RANGE % OCTET_RANGE
@@ -102,7 +102,7 @@
 
 
 def _iter_free_ports() -> Iterator[int]:
-    """Yield ports that are free, beginning at a place of this process."""
+    """Yield free ports, starting at an offset derived from the process id."""
     span = PORTS_END - PORTS_BEGIN
     start = os.getpid() * PORT_STRIDE
     for step in itertools.count():
--- a/beryllug/standins/harness.py
+++ b/beryllug/standins/harness.py
@@ -1,8 +1,8 @@
 """A small deployment on loopback for the proofs and the demo.
 
-The outside parties are stand-ins inside the calling process, so a test reads
-their records and flips their switches directly. The entry and control
-processes are real processes, which it kills, freezes and stops.
+The external services are stand-ins inside the calling process, so that a test
+can read their records and inject faults directly. Entry and control run as
+separate processes, which a test can kill, pause and stop.
 """
 
 import asyncio
@@ -38,12 +38,12 @@
 
 
 class ServerPlan(NamedTuple):
-    """A backend server to be started.
+    """Plan of one backend server.
 
     Attributes:
-        server_id: Its name.
-        pool: Its pool.
-        zone: Its availability zone.
+        server_id: Server id.
+        pool: Pool of the server.
+        zone: Availability zone.
         engine: Options of a model engine, None for a plain service.
     """
 
@@ -54,15 +54,15 @@
 
 
 class Plan(NamedTuple):
-    """A deployment.
+    """Plan of a deployment.
 
     Attributes:
-        document: The configuration document.
+        document: Configuration document.
         servers: Backend servers.
-        hosts: Count of entry hosts, one entry and one control process each.
-        zones: Availability zones, over which the hosts are spread.
-        entry_settings: Lines for the entry section.
-        control_settings: Lines for the control section.
+        hosts: Number of entry hosts, one entry and one control process each.
+        zones: Availability zones, assigned to the hosts in turn.
+        entry_settings: Additional lines of the entry section.
+        control_settings: Additional lines of the control section.
         platform_cfg: Options of the object API.
     """
 
@@ -79,20 +79,20 @@
     """A running deployment.
 
     Attributes:
-        plan: What it was made from.
-        platform: The object API.
-        host_list: The host list.
-        rating: The rating service.
-        weights: The weight store.
-        servers: Backend servers by name.
-        hosts: Addresses of the entry hosts' processes.
-        client: For calls of the outside parties and operators' addresses.
-        processes: The daemons.
-        revision: Revision of the last document that was applied.
+        plan: Plan of the deployment.
+        platform: Object API stand-in.
+        host_list: Host list stand-in.
+        rating: Rating service stand-in.
+        weights: Weight store stand-in.
+        servers: Backend server stand-ins by server id.
+        hosts: Addresses of the processes of each entry host.
+        client: HTTP client for external services and operator addresses.
+        processes: Entry and control processes.
+        revision: Revision of the last applied document.
     """
 
     def __init__(self, plan: Plan) -> None:
-        """Make a deployment; `start` starts it."""
+        """Prepare a deployment; `start` starts it."""
         self.plan = plan
         self._host = fleet_settings.unique_loopback_host()
         self.platform = platform.stand_in(plan.platform_cfg)
@@ -106,7 +106,7 @@
         self.processes = processes.Processes()
 
     async def start(self) -> None:
-        """Start everything and wait until every process is ready."""
+        """Start all services and processes and wait until they are ready."""
         await self.start_parties()
         await self.apply(self.plan.document)
         self.hosts = [
@@ -125,7 +125,7 @@
         await asyncio.gather(*map(self.wait_ready, names))
 
     async def start_parties(self) -> None:
-        """Start the outside parties and list the backend servers."""
+        """Start the external services and list the backend servers."""
         for service in (
             self.platform,
             self.host_list,
@@ -140,7 +140,7 @@
         self.list_hosts()
 
     async def stop(self) -> None:
-        """Stop everything; processes that do not end are killed."""
+        """Stop all; processes that do not exit in time are killed."""
         await self.processes.stop()
         await self.client.close()
         for stand_in in (*self.servers.values(), self.rating, self.weights):
@@ -149,7 +149,7 @@
         await self.platform.stop()
 
     def list_hosts(self, leaving: tuple[str, ...] = ()) -> None:
-        """Let the host list show the backend servers."""
+        """Publish the backend servers in the host list."""
         behaviour = self.host_list.party
         assert isinstance(behaviour, host_list.HostListBehaviour)
         behaviour.put(
@@ -168,7 +168,7 @@
         )
 
     async def apply(self, document: config_data.Document) -> int:
-        """Apply a document to the platform and return its revision."""
+        """Apply a document on the platform and return its revision."""
         api = object_api.HttpObjectApi(
             self.client, self.platform.address, PLATFORM_S
         )
@@ -181,7 +181,7 @@
         return self.revision
 
     async def in_force(self, name: str) -> None:
-        """Wait until an entry process holds the last revision."""
+        """Wait until an entry process has the last applied revision."""
 
         async def is_current() -> bool:  # noqa: WPS430
             state = await self.dump(name)
@@ -194,24 +194,24 @@
         """Return the state dump of a process.
 
         Raises:
-            TimeoutError: It gave none.
+            TimeoutError: The process returned no dump.
         """
         status, body = await self.get(self.operators_of(name), '/dump')
         if status != OK:
-            raise TimeoutError(f'{name} gave no dump: status {status}')
+            raise TimeoutError(f'{name} returned no dump: HTTP status {status}')
         state: dict[str, Any] = json.loads(body)
         return state
 
     async def spawn(self, name: str) -> None:
-        """Start a process of ours, with the settings of its name."""
+        """Start an entry or control process with rendered settings."""
         text = fleet_settings.render(name, self._addresses())
         await self.processes.spawn(name, text)
 
     async def wait_ready(self, name: str) -> None:
-        """Wait until a process takes work.
+        """Wait until a process passes its readiness check.
 
         Raises:
-            TimeoutError: It does not in time; carries its log.
+            TimeoutError: It did not in time; the message contains its log.
         """
         try:
             await wait_for(lambda: self.is_ready(name), READY_S)
@@ -220,12 +220,12 @@
             raise TimeoutError(f'{name} is not ready: {log}')
 
     async def is_ready(self, name: str) -> bool:
-        """Tell whether a process passes its readiness check."""
+        """Return whether a process passes its readiness check."""
         status, _ = await self.get(self.operators_of(name), '/readyz')
         return status == OK
 
     def operators_of(self, name: str) -> str:
-        """Return the operators' address of a process."""
+        """Return the operator address of a process."""
         return fleet_settings.operators_of(name, self.hosts)
 
     async def restart(self, name: str) -> None:
@@ -239,7 +239,7 @@
         target: str,
         key: str = fleet_settings.OPERATOR_KEY,
     ) -> tuple[int, bytes]:
-        """Get from an operators' address; status 0 without an answer."""
+        """Send a GET to an operator address; status 0 means no response."""
         outgoing = http_data.Outgoing(
             'GET',
             target,
@@ -270,7 +270,7 @@
     """Wait until a condition holds.
 
     Raises:
-        TimeoutError: It did not hold within the time.
+        TimeoutError: It did not hold within `within_s`.
     """
     async with asyncio.timeout(within_s):
         while not await is_true():
--- a/beryllug/standins/host_list.py
+++ b/beryllug/standins/host_list.py
@@ -1,7 +1,7 @@
 """Stand-in of the platform's host list.
 
-A test moves hosts with ``PUT /v1/hosts`` or `HostListParty.put`; readers see
-it `lag_s` later.
+A test changes the hosts with ``PUT /v1/hosts`` or `HostListBehaviour.put`;
+readers see the change after `lag_s`.
 """
 
 import time
@@ -18,29 +18,29 @@
 
 
 class HostListCfg(NamedTuple):
-    """Options."""
+    """Options; each host is ``server_id,address,zone,pool[,state]``."""
 
     hosts: tuple[str, ...] = ()
 
 
 class HostListBehaviour:
-    """The host list's behaviour."""
+    """Behaviour of the host list."""
 
     def __init__(
         self, cfg: HostListCfg, injector: faults.FaultInjector
     ) -> None:
-        """Begin with the given hosts."""
+        """Create a list with the configured hosts."""
         initial = tuple(_parse(line) for line in cfg.hosts)
         self.reads = 0
         self._hosts: lagged.DelayedValue[Hosts] = lagged.DelayedValue(initial)
         self._injector = injector
 
     def put(self, hosts: Hosts) -> None:
-        """Replace the hosts from now on."""
+        """Replace all hosts."""
         self._hosts.put(time.monotonic(), hosts)
 
     def set_state(self, server_id: str, state: view_data.ServerState) -> None:
-        """Let one host change its state."""
+        """Change the state of one host."""
         self.put(
             tuple(
                 host._replace(state=state)
@@ -53,7 +53,7 @@
     async def handle(
         self, req: http_data.Request, response: faults.Response
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         match req.method, req.target:
             case 'GET', '/v1/hosts':
                 self.reads += 1
@@ -67,11 +67,11 @@
                 await response.respond_json(HTTPStatus.NOT_FOUND, error)
 
     def record(self) -> Any:
-        """Return the hosts as they are, without lag."""
+        """Return the number of reads and the current hosts, without lag."""
         return {'reads': self.reads, 'hosts': _lines(self._hosts.current)}
 
     def crash(self) -> None:
-        """Lose nothing."""
+        """Lose no state in a crash."""
 
     async def _replace_hosts(
         self, body: bytes, response: faults.Response
@@ -87,7 +87,7 @@
 
 
 def stand_in(cfg: HostListCfg | None = None) -> party.StandIn:
-    """Make a host list stand-in; `start` opens its sockets."""
+    """Create a host list stand-in; `start` opens its sockets."""
     injector = faults.FaultInjector()
     behaviour = HostListBehaviour(cfg or HostListCfg(), injector)
     return party.StandIn(behaviour, injector)
--- a/beryllug/standins/invariants.py
+++ b/beryllug/standins/invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold, checked against the records of the other side."""
+"""Invariants, checked against the records of the external services."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -16,7 +16,7 @@
 
 
 class Report(NamedTuple):
-    """Counts of a run, and what was violated."""
+    """Request counts of a run and its invariant violations."""
 
     requests: int
     answered: int
@@ -41,12 +41,13 @@
     sent: Sequence[traffic.Sent],
     document: config_data.Document,
 ) -> Report:
-    """Check every invariant over what was sent.
+    """Check every invariant over all sent requests.
 
     Args:
-        fleet: The deployment; all that is owed must have been flushed.
-        sent: Every request with what its caller got.
-        document: A document that allows what any document of the run did.
+        fleet: The deployment; all pending journal rows must be flushed.
+        sent: Every request with its response.
+        document: A document that permits whatever any document used in the
+            run permitted.
 
     Returns:
         Counts and violations.
@@ -90,13 +91,13 @@
         request_id = item.reply.headers[REQUEST_ID]
         states = {row.state for row in bills.get(request_id, ())}
         if journal_data.OutcomeState.DONE not in states:
-            yield f'{request_id} was answered and has no bill: {states}'
+            yield f'{request_id} succeeded but was not billed: {states}'
 
 
 def is_own(reply: caller.Reply, prompt: str) -> bool:
-    """Tell whether a text answer is whole and the one to this very prompt.
+    """Return whether a text response is complete and answers this prompt.
 
-    A stage of a cascade runs under the request's id and its number.
+    A cascade stage runs under the request id followed by the stage number.
     """
     request_id = reply.headers[REQUEST_ID]
     text = chat_answer.text_of(reply.body)
@@ -107,12 +108,12 @@
 
 
 def _answers_are_own(sent: Sequence[traffic.Sent]) -> Iterable[str]:
-    """Each answer carries its request's id and ends with its own hash."""
+    """Check that each response has its request's id and a valid hash."""
     for item in sent:
         is_text = _is_answer(item) and item.kind not in {'lookup', 'hold'}
         if is_text and not is_own(item.reply, item.prompt):
             request_id = item.reply.headers[REQUEST_ID]
-            yield f'{request_id} got an answer that is not its own or not whole'
+            yield f'{request_id} got a wrong or incomplete response'
 
 
 def _runs_are_allowed(
@@ -141,7 +142,7 @@
     )
     for key, count in holds.items():
         if count > 1:
-            yield f'the hold under {key} ran {count} times'
+            yield f'the hold with key {key} ran {count} times'
     reports = {
         engine_answers.digest(item.prompt)
         for item in sent
@@ -166,7 +167,7 @@
         request_id = item.reply.headers.get(REQUEST_ID, '')
         not_run = item.reply.error().get('run') == 'not_run'
         if item.reply.status >= BAD_REQUEST and not_run and request_id in ran:
-            yield f'{request_id} was refused as not run, and ran'
+            yield f'{request_id} was reported as not run, but ran'
 
 
 def _is_answer(item: traffic.Sent) -> bool:
@@ -174,6 +175,6 @@
 
 
 def _code(item: traffic.Sent) -> str:
-    """Return kind and code of a refusal, empty for an answer."""
+    """Return request kind and error code, or empty without an error."""
     code = item.reply.error().get('code', '')
     return f'{item.kind}/{code}' if code else ''
--- a/beryllug/standins/object_api.py
+++ b/beryllug/standins/object_api.py
@@ -1,7 +1,7 @@
 """Stand-in of the platform's object API.
 
-It keeps versions, conditions, watches, rates and the bound on values, and
-counts each call, a waiting watch as one.
+It implements versions, conditional writes, watches, rate limits and the value
+size limit. It counts each call; a waiting watch counts as one call.
 """
 
 import asyncio
@@ -20,19 +20,19 @@
 
 
 class ObjectApiCfg(NamedTuple):
-    """Options; rates in calls a second, 0 for no bound."""
+    """Options; rates in calls per second, 0 for no limit."""
 
     reads_per_s: float = 2000.0
     writes_per_s: float = 400.0
 
 
 class ObjectApiBehaviour:
-    """The object API's behaviour."""
+    """Behaviour of the object API."""
 
     def __init__(
         self, cfg: ObjectApiCfg, injector: faults.FaultInjector
     ) -> None:
-        """Make an empty store."""
+        """Create an empty store."""
         now = time.monotonic()
         self.store = object_store.ObjectStore()
         self.calls: dict[str, int] = {}
@@ -46,7 +46,7 @@
     async def handle(
         self, req: http_data.Request, response: faults.Response
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         split = url_parse.urlsplit(req.target)
         query = dict(url_parse.parse_qsl(split.query))
         key = url_parse.unquote(split.path.removeprefix(f'{ROOT}/'))
@@ -67,7 +67,7 @@
                 await response.respond_json(HTTPStatus.NOT_FOUND, refused)
 
     def record(self) -> Any:
-        """Return calls by kind and all objects with their versions."""
+        """Return calls by kind, and all objects with version and size."""
         return {
             'revision': self.store.revision,
             'calls': self.calls,
@@ -83,7 +83,7 @@
         }
 
     def crash(self) -> None:
-        """Lose nothing: the store is durable."""
+        """Lose no state: the store is durable."""
 
     def _apply_faults(self) -> None:
         stale = self._injector.current.stale
@@ -192,7 +192,7 @@
 
 
 def stand_in(cfg: ObjectApiCfg | None = None) -> party.StandIn:
-    """Make an object API stand-in; `start` opens its sockets."""
+    """Create an object API stand-in; `start` opens its sockets."""
     injector = faults.FaultInjector()
     behaviour = ObjectApiBehaviour(cfg or ObjectApiCfg(), injector)
     return party.StandIn(behaviour, injector)
--- a/beryllug/standins/object_api_test.py
+++ b/beryllug/standins/object_api_test.py
@@ -1,4 +1,4 @@
-"""Contract of the object API, run against the stand-in."""
+"""Contract tests of the object API, run against the stand-in."""
 
 import asyncio
 import unittest
@@ -19,12 +19,12 @@
 
 
 class ObjectApiContract:
-    """What any implementation must do; mixed into a test case."""
+    """Contract of any implementation, as a mixin for test cases."""
 
     api: object_api.ObjectApi
 
     async def test_versions(self: Any) -> None:
-        """Versions rise over all keys and guard conditional writes."""
+        """Versions increase across all keys and guard conditional writes."""
         first = await self.api.write('a/b c', b'1', 0)
         second = await self.api.write('a/d', b'2', None)
         third = await self.api.write('a/b c', b'3', first)
@@ -35,7 +35,7 @@
         self.assertIsNone(await self.api.read('a'))
 
     async def test_conflicts(self: Any) -> None:
-        """A write on another version changes nothing and names it."""
+        """A version conflict has no effect and returns the current version."""
         version = await self.api.write('k', b'1', 0)
         cases = (
             ('exists', self.api.write('k', b'2', 0), version),
@@ -53,14 +53,14 @@
         self.assertEqual(found.value, b'1')
 
     async def test_too_large(self: Any) -> None:
-        """A value over a megabyte is refused, one of a megabyte is not."""
+        """A value of one megabyte is accepted and a larger one rejected."""
         size = object_data.MAX_VALUE
         await self.api.write('k', bytes(size), 0)
         with self.assertRaises(object_data.TooLargeError):
             await self.api.write('k', bytes(size + 1), None)
 
     async def test_list(self: Any) -> None:
-        """A listing holds the keys of its prefix and the revision."""
+        """A listing has the keys under the prefix and the revision."""
         await self.api.write('p/2', b'', 0)
         await self.api.write('p/1', b'', 0)
         await self.api.write('q', b'', 0)
@@ -71,7 +71,7 @@
         self.assertEqual(batch.changes, ())
 
     async def test_watch(self: Any) -> None:
-        """A watch returns each change once, in order, large ones bare."""
+        """A watch returns each change once, in order, without large values."""
         began = (await self.api.list_keys('')).revision
         await self.api.write('w/a', b'1', 0)
         await self.api.write('other', b'1', 0)
@@ -98,7 +98,7 @@
 
 
 class StandInTest(ObjectApiContract, unittest.IsolatedAsyncioTestCase):
-    """The stand-in keeps the contract and its fault switches work."""
+    """The stand-in fulfils the contract and injects faults."""
 
     async def asyncSetUp(self) -> None:
         """Start a stand-in."""
@@ -113,12 +113,12 @@
         await self.standin.stop()
 
     async def test_faults(self) -> None:
-        """A failed write tells whether it may have taken effect.
+        """The error of a failed write shows whether it may have taken effect.
 
-        The store or the way to it fails at one step of a write. The caller
-        gets UnavailableError only where nothing can have been written;
-        where the answer was lost after the effect it gets UncertainError
-        and finds the value by reading back.
+        The store or the connection fails at one step of a write. The caller
+        gets UnavailableError only if nothing can have been written. If the
+        response was lost after the effect, it gets UncertainError and finds
+        the value by reading it back.
         """
         certain = object_data.UnavailableError
         unsure = object_data.UncertainError
@@ -145,7 +145,7 @@
                 self.assertEqual(found is not None, wrote)
 
     async def test_stale(self) -> None:
-        """A stale replica shows old versions; writes meet the real ones."""
+        """A stale replica returns old versions; writes use current ones."""
         version = await self.api.write('k', b'1', 0)
         self.standin.put_faults(stale=True)
         newer = await self.api.write('k', b'2', version)
@@ -156,7 +156,7 @@
         self.assertEqual(fresh and fresh.version, newer)
 
     async def test_rate(self) -> None:
-        """Calls over the rate are refused and have no effect."""
+        """Calls over the rate limit are rejected and have no effect."""
         cfg = standin.ObjectApiCfg(writes_per_s=2)
         slow = standin.stand_in(cfg)
         address = await slow.start()
@@ -172,7 +172,7 @@
         self.assertEqual(api.counts['write'].failures, 1)
 
     async def test_only(self) -> None:
-        """Faults may be narrowed to the next call of one kind."""
+        """Faults can be restricted to the next call of one kind."""
         self.standin.put_faults(only='PUT ', times=1, unavailable=True)
         self.assertIsNone(await self.api.read('k'))
         with self.assertRaises(object_data.UnavailableError):
--- a/beryllug/standins/object_store.py
+++ b/beryllug/standins/object_store.py
@@ -1,4 +1,4 @@
-"""The object store behind the object API stand-in, without its sockets."""
+"""In-memory object store of the object API stand-in."""
 
 import collections
 from collections.abc import Iterator
@@ -9,10 +9,10 @@
 
 
 class ObjectStore:
-    """Objects by key, one revision counter and a history of changes."""
+    """Objects by key, with one revision counter and a change history."""
 
     def __init__(self) -> None:
-        """Make an empty store."""
+        """Create an empty store."""
         self.revision = 0
         self.conflicts = 0
         self._by_key: dict[str, object_data.Object] = {}
@@ -21,7 +21,7 @@
         )
 
     def copy(self) -> 'ObjectStore':
-        """Return the store as it is now, as a stale replica would show it."""
+        """Return a copy of the current state, to serve as a stale replica."""
         replica = ObjectStore()
         replica.revision = self.revision
         replica._by_key = dict(self._by_key)
@@ -29,7 +29,7 @@
         return replica
 
     def read(self, key: str) -> object_data.Object | None:
-        """Return an object or None."""
+        """Return an object, or None if it does not exist."""
         return self._by_key.get(key)
 
     def list_keys(self, prefix: str) -> object_data.Listing:
@@ -42,11 +42,11 @@
         return object_data.Listing(self.revision, tuple(entries))
 
     def write(self, key: str, value: bytes, expected: int | None) -> int:
-        """Write an object if its version is the expected one.
+        """Write an object if its version matches; None skips the check.
 
         Raises:
-            ConflictError: It has another version.
-            TooLargeError: The value is too large.
+            ConflictError: The object has another version.
+            TooLargeError: The value exceeds the size limit.
         """
         if len(value) > object_data.MAX_VALUE:
             raise object_data.TooLargeError(key)
@@ -60,10 +60,10 @@
         return self.revision
 
     def delete(self, key: str, expected: int | None) -> int:
-        """Delete an object if its version is the expected one.
+        """Delete an object if its version matches; None skips the check.
 
         Raises:
-            ConflictError: It has another version or there is none.
+            ConflictError: The object has another version or is missing.
         """
         self._check_version(key, expected)
         if key not in self._by_key:
@@ -79,7 +79,7 @@
         """Return the changes under a prefix after a revision.
 
         Raises:
-            CompactedError: The history does not reach back so far.
+            CompactedError: The history does not go back far enough.
         """
         oldest = self._history[0].version if self._history else 1
         if after + 1 < oldest:
--- a/beryllug/standins/parties_test.py
+++ b/beryllug/standins/parties_test.py
@@ -1,4 +1,4 @@
-"""Contracts of the small parties, run against their stand-ins."""
+"""Contract tests of the smaller external services and their clients."""
 
 import json
 import unittest
@@ -29,7 +29,7 @@
         's2', '127.0.0.1:8', 'z2', 'plain', view_data.ServerState.LIVE
     ),
 )
-# Each leaves the call without an answer that can be used.
+# Each leaves the call without a usable response.
 UNUSABLE: tuple[dict[str, Any], ...] = (
     {'refuse': True},
     {'unavailable': True},
@@ -47,7 +47,7 @@
         self.addAsyncCleanup(self.client.close)
 
     async def begin(self, standin: party.StandIn) -> str:
-        """Start a stand-in that the test stops."""
+        """Start a stand-in and stop it at the end of the test."""
         address = await standin.start()
         self.addAsyncCleanup(standin.stop)
         return address
@@ -55,7 +55,7 @@
     async def switch(
         self, standin: party.StandIn, switches: dict[str, Any]
     ) -> None:
-        """Replace the fault switches through the control address."""
+        """Replace the injected faults through the control address."""
         body = json.dumps(switches).encode()
         outgoing = http_data.Outgoing('PUT', '/faults', {}, body)
         incoming, _ = await self.client.call(standin.control_address, outgoing)
@@ -79,11 +79,11 @@
         await self.client.call(self.address, outgoing)
 
     async def test_read(self) -> None:
-        """All hosts are read with their state."""
+        """Reading returns all hosts with their state."""
         self.assertEqual(await self.api.read(), HOSTS)
 
     async def test_lag(self) -> None:
-        """A leaving host still shows as live while the list lags."""
+        """A change of state becomes visible only after the lag."""
         behaviour = self.standin.party
         assert isinstance(behaviour, host_list_standin.HostListBehaviour)
         leaving = view_data.ServerState.LEAVING
@@ -96,7 +96,7 @@
                 self.assertEqual(state, expected)
 
     async def test_unavailable(self) -> None:
-        """Every failure is one error, after which reading works again."""
+        """Every failure raises HostListError, and reading then recovers."""
         for switches in UNUSABLE:
             with self.subTest(str(switches)):
                 await self.switch(self.standin, switches)
@@ -119,7 +119,7 @@
         )
 
     async def test_holds(self) -> None:
-        """A hold that comes twice is held twice, and counted."""
+        """A hold received twice is stored twice and counted."""
         for doubled in (0, 1):
             status, shown = await self._hold('s1')
             self.assertEqual((status, shown['holds']), (201, doubled + 1))
@@ -127,7 +127,7 @@
             self.assertEqual(self._behaviour().doubled, doubled)
 
     async def test_any_path(self) -> None:
-        """Any other call is answered with what was run."""
+        """Any other call returns the recorded run."""
         ask = plain_service.PlainAsk('r1', 'acme', 'GET', '/desk/7?x=1')
         incoming = await self.api.call(self.address, ask)
         shown = await incoming.read_json()
@@ -137,10 +137,11 @@
         )
 
     async def test_faults(self) -> None:
-        """A call that fails has run just where its error allows it.
+        """A failed call has run only if its error permits that.
 
-        Each row breaks the call at one step. NotSentError and a declining
-        answer mean that the service never ran it; BrokenError says nothing.
+        Each case fails the call at one step. NotSentError and a declining
+        response mean that the service did not run it; BrokenError leaves
+        both possible.
         """
         broken = 'BrokenError'
         cases: tuple[tuple[dict[str, Any], str, int], ...] = (
@@ -194,7 +195,7 @@
         self.api: rating.Rater = rating.HttpRater(self.client, self.address)
 
     async def test_rating(self) -> None:
-        """The rating follows the answer's quality, and a bias moves it."""
+        """The rating is the quality in the text plus the bias, clamped."""
         cases = (
             ('[r1] quality=0.750 oil', 0.0, 0.75),
             ('[r1] quality=0.750 oil', -0.5, 0.25),
@@ -209,7 +210,7 @@
                 self.assertAlmostEqual(found, expected)
 
     async def test_unavailable(self) -> None:
-        """Every failure is one error, and a slow rating is a failure."""
+        """Every failure, including a timeout, raises RatingError."""
         ask = rating.RatingAsk('r1', VERSION, 'text')
         for switches in UNUSABLE:
             with self.subTest(str(switches)):
@@ -232,7 +233,7 @@
         )
 
     async def test_read(self) -> None:
-        """Known versions have facts, and reads over the rate are refused."""
+        """Known versions have metadata; reads over the rate are rejected."""
         found = await self.api.read(VERSION)
         self.assertEqual(found and found.size_bytes, 7)
         other = config_data.VersionRef('small', 'v2')
@@ -241,7 +242,7 @@
             await self.api.read(VERSION)
 
     async def test_unavailable(self) -> None:
-        """Every failure is one error."""
+        """Every failure raises WeightStoreError."""
         for switches in UNUSABLE:
             with self.subTest(str(switches)):
                 await self.switch(self.standin, switches)
--- a/beryllug/standins/plain_service.py
+++ b/beryllug/standins/plain_service.py
@@ -1,7 +1,7 @@
-"""Stand-in of a plain service: it holds slots and counts what it ran.
+"""Stand-in of a plain service that holds slots and records its runs.
 
-It does not look at idempotency keys: a request that comes twice runs twice,
-and the record shows it.
+It ignores idempotency keys: a request received twice runs twice, and the
+record shows both runs.
 """
 
 import asyncio
@@ -20,8 +20,8 @@
     """Options.
 
     Attributes:
-        concurrency: Requests that run at once; more wait.
-        work_s: Seconds that a request takes.
+        concurrency: Maximum number of concurrent requests; more wait.
+        work_s: Seconds per request.
     """
 
     concurrency: int = 16
@@ -45,12 +45,12 @@
 
 
 class PlainServiceBehaviour:
-    """A plain service's behaviour."""
+    """Behaviour of a plain service."""
 
     def __init__(
         self, cfg: PlainServiceCfg, injector: faults.FaultInjector
     ) -> None:
-        """Begin with no slot held."""
+        """Create a service without held slots."""
         self.on_poison: Callable[[], None] = _no_crash
         self.runs: list[PlainRun] = []
         self.holds: dict[str, list[str]] = {}
@@ -60,13 +60,13 @@
 
     @property
     def doubled(self) -> int:
-        """Count the holds on slots that were already held."""
+        """Number of holds on slots that were already held."""
         return sum(len(keys) - 1 for keys in self.holds.values())
 
     async def handle(
         self, req: http_data.Request, response: faults.Response
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         async with self._slots:
             current = self._injector.current
             if current.poison and current.poison.encode() in req.body:
@@ -85,7 +85,7 @@
                 await response.respond_json(HTTPStatus.OK, run._asdict())
 
     def record(self) -> Any:
-        """Return every run, the holds and how many are doubled."""
+        """Return all runs, the holds and the number of double holds."""
         return {
             'runs': [run._asdict() for run in self.runs],
             'holds': self.holds,
@@ -93,7 +93,7 @@
         }
 
     def crash(self) -> None:
-        """Lose nothing: its record is the test's."""
+        """Lose no state: tests need the record after a crash."""
 
     async def _hold(
         self, req: http_data.Request, run: PlainRun, response: faults.Response
@@ -110,7 +110,7 @@
 
 
 def stand_in(cfg: PlainServiceCfg | None = None) -> party.StandIn:
-    """Make a plain service stand-in; `start` opens its sockets."""
+    """Create a plain service stand-in; `start` opens its sockets."""
     injector = faults.FaultInjector()
     behaviour = PlainServiceBehaviour(cfg or PlainServiceCfg(), injector)
     server = party.StandIn(behaviour, injector)
@@ -119,7 +119,7 @@
 
 
 def _no_crash() -> None:
-    """Stand in for the crash until the sockets are bound."""
+    """Ignore the crash request until the server is attached."""
 
 
 def _describe_run(req: http_data.Request) -> PlainRun:
--- a/beryllug/standins/platform_runner.py
+++ b/beryllug/standins/platform_runner.py
@@ -1,10 +1,11 @@
 """Stand-in for a backend server of the platform: a model runner or a service.
 
-It has places and a short queue, reads prompts one after the other and keeps
-what it has read by model, states how sure a model is, resumes a stream behind
-an event, seals its answers, and refuses what is meant for another instance.
-Besides the fault switches of all stand-ins it has some of its own kind of
-trouble, drawn by `Trouble`.
+It has request slots and a short queue, processes prompts one at a time and
+caches the processed prefixes by model. It reports a model's confidence,
+resumes a stream after a given event, seals its responses and rejects requests
+meant for another instance. Besides the faults common to all stand-ins it has
+faults of its own, set by the attributes `cut_after`, `stall_after`,
+`is_sealed`, `refused_model` and `states`.
 """
 
 import asyncio
@@ -28,16 +29,16 @@
     """Options of a backend server.
 
     Attributes:
-        instance: Id of this start of it.
-        version: Version of its software.
-        slots: Requests that it runs at once.
-        queue: Requests that wait; more are refused.
-        work_s: Seconds of a plain call.
-        events: Events of a stream.
+        instance: Id of the server instance.
+        version: Version of the server software.
+        slots: Maximum number of concurrent requests.
+        queue: Maximum number of waiting requests; more are rejected.
+        work_s: Seconds per plain request.
+        events: Number of events in a stream.
         event_s: Seconds between two events.
-        token_s: Seconds to read one token, on a model of pace one.
-        paces: How much longer each model takes, by its name.
-        error_rate: Share of requests that it fails.
+        token_s: Prefill seconds per token, for a model with factor 1.
+        paces: Prefill time factor by model name; 1 by default.
+        error_rate: Fraction of requests that fail.
     """
 
     instance: str
@@ -53,15 +54,15 @@
 
 
 class Run(NamedTuple):
-    """A request that began to run, as the server saw it.
+    """A request that the server started to run.
 
     Attributes:
-        attempt_id: Id of the caller's try.
-        account: Client account that it came for.
-        model: Model that it named.
-        last_event: Event that it goes on from, or empty.
+        attempt_id: Id of the caller's attempt.
+        account: Client account of the request.
+        model: Requested model.
+        last_event: Event after which the stream resumes, or empty.
         headers: All headers.
-        at: Monotonic second at which it began.
+        at: Monotonic start time in seconds.
     """
 
     attempt_id: str
@@ -73,13 +74,13 @@
 
 
 class Statement(NamedTuple):
-    """What a server's answers say of the server itself.
+    """Server status that a server reports in its response headers.
 
     Attributes:
-        limit_per_s: Limit in requests a second; None for none.
-        is_leaving: Whether it leaves.
-        retry_after_s: Seconds after which callers may come back, as it refuses
-            their requests; None where it takes them.
+        limit_per_s: Limit in requests per second; None for no limit.
+        is_leaving: Whether the server is leaving.
+        retry_after_s: Seconds after which callers may retry, while the server
+            rejects requests; None if it accepts them.
     """
 
     limit_per_s: float | None = None
@@ -88,12 +89,12 @@
 
 
 class Arrival(NamedTuple):
-    """A request that reached the server, run or refused.
+    """A request that reached the server, whether run or rejected.
 
     Attributes:
-        attempt_id: Id of the caller's try.
-        at: Monotonic second.
-        answered: What its answer says of the server.
+        attempt_id: Id of the caller's attempt.
+        at: Monotonic time of arrival in seconds.
+        answered: Server status that the response reports.
     """
 
     attempt_id: str
@@ -102,17 +103,17 @@
 
 
 class PlatformRunner:
-    """A backend server without its sockets.
+    """Behaviour of a backend server, independent of sockets.
 
     Attributes:
-        states: What its answers say of it.
-        arrivals: Requests that reached it and were meant for it.
+        states: Server status that its responses report.
+        arrivals: Requests that reached it and were meant for this instance.
     """
 
     def __init__(
         self, cfg: PlatformRunnerCfg, injector: faults.FaultInjector
     ) -> None:
-        """Begin idle, with nothing read."""
+        """Create an idle server with an empty prefix cache."""
         self.cfg = cfg
         self.runs: list[Run] = []
         self.ended: list[str] = []
@@ -133,13 +134,13 @@
         return {'runs': [run.attempt_id for run in self.runs]}
 
     def crash(self) -> None:
-        """Forget the prompts that were read."""
+        """Lose the prefix cache."""
         self._cached_prefixes.clear()
 
     async def handle(
         self, req: http_data.Request, response: faults.Response
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         parsed = requests.read(req)
         expected = req.headers.get(names.EXPECT_INSTANCE, self.cfg.instance)
         if expected != self.cfg.instance:
@@ -242,7 +243,7 @@
         return headers | self._status_headers()
 
     def _status_headers(self) -> dict[str, str]:
-        """Return what all answers say of the server itself."""
+        """Return the headers that report the server status."""
         headers = {}
         if self.states.limit_per_s is not None:
             headers[names.LIMIT] = str(self.states.limit_per_s)
@@ -252,13 +253,13 @@
 
 
 def stand_in(cfg: PlatformRunnerCfg) -> party.StandIn:
-    """Make the stand-in."""
+    """Create a backend server stand-in; `start` opens its sockets."""
     injector = faults.FaultInjector()
     return party.StandIn(PlatformRunner(cfg, injector), injector)
 
 
 def _confidence(parsed: requests.Asked) -> int:
-    """Return how sure a model is: a small one of about half its answers."""
+    """Return the confidence; small models are sure in about half the cases."""
     if not parsed.model.startswith('small'):
         return FULL_CONFIDENCE
     hashed = zlib.crc32(parsed.attempt_id.encode()) % PERCENT
--- a/beryllug/standins/platform_site.py
+++ b/beryllug/standins/platform_site.py
@@ -1,7 +1,7 @@
-"""A small deployment on loopback: store, backend servers, routers, callers.
+"""A small deployment on loopback: store, backend servers and routers.
 
-Routers run in the process of a test, by the composition root of their role,
-so that a test can look into them; `proofs` run them as processes too.
+Routers run inside the test process, built by the composition root of their
+role, so that a test can inspect them. They can also run as separate processes.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
 
 
 class Reply(NamedTuple):
-    """What a caller got."""
+    """The response that a caller received."""
 
     status: int
     headers: Mapping[str, str]
@@ -47,7 +47,7 @@
 
 
 class Router(NamedTuple):
-    """A router; one that runs as a process has no services here."""
+    """A router; `services` is empty if it runs as a separate process."""
 
     name: str
     cfg: settings_data.Router
@@ -55,7 +55,7 @@
 
 
 def caller_headers(path: str, attempt_id: str) -> dict[str, str]:
-    """Return the headers of a usual request."""
+    """Return the default headers of a request."""
     headers_sent = {
         'host': HOST,
         names.ATTEMPT: attempt_id,
@@ -70,7 +70,7 @@
 
 
 def table(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return a stored route table with a route of each kind."""
+    """Return a route table document with a route of each kind."""
     routes = [
         _route('/draft/', 'streaming', POOL)
         | {'sizes': ['small', 'large'], 'resumable': True},
@@ -89,14 +89,14 @@
 
 
 class Site:
-    """A deployment that lives as long as one test.
+    """A deployment for one test.
 
     Attributes:
-        asked_of: Name of the router that each attempt was sent to.
+        asked_of: Router name by attempt id.
     """
 
     def __init__(self) -> None:
-        """Begin without anything; `open` starts the store."""
+        """Create an empty deployment; `open` starts the store."""
         self.store_party = platform_store.PlatformStore(
             platform_store.PlatformStoreCfg()
         )
@@ -120,12 +120,12 @@
         )
 
     async def open(self) -> None:
-        """Start the store, with a route table in it."""
+        """Start the store and write a route table to it."""
         await self.store_stand_in.start(self._hosts[0])
         self.put_table(table())
 
     async def close(self) -> None:
-        """Stop all."""
+        """Stop routers, stand-ins and connections."""
         for router in self.routers:
             await router.services.stop(0)
         for stand_in in (*self.stand_ins.values(), self.store_stand_in):
@@ -133,7 +133,7 @@
         await self._client.close()
 
     def put_table(self, document: dict[str, Any]) -> None:
-        """Write a route table as the operator does."""
+        """Write a route table as an operator does."""
         self.store_party.put(store.TABLES, store.TABLE, document)
 
     async def add_runner(
@@ -145,7 +145,7 @@
         is_listed: bool = True,
         **options: Any,
     ) -> platform_runner.PlatformRunner:
-        """Start a backend server and list it."""
+        """Start a backend server and, by default, list it."""
         self._zones[instance] = zone
         cfg = platform_runner.PlatformRunnerCfg(instance, **options)
         stand_in = platform_runner.stand_in(cfg)
@@ -161,7 +161,7 @@
     async def restart_runner(
         self, service: str, instance: str, born: int
     ) -> platform_runner.PlatformRunner:
-        """Let a backend server crash and start again under its id."""
+        """Crash a backend server and restart it under the same id."""
         await self.stand_ins[instance].stop()
         runner = await self.add_runner(service, instance)
         self.list_runner(service, instance, born=born)
@@ -191,7 +191,7 @@
         self.store_party.put(store.SERVERS, instance, spec)
 
     async def add_router(self, **settings: Any) -> Router:
-        """Start a router; returns when it is ready."""
+        """Start a router and wait until it is ready."""
         process_settings = self._settings(**settings)
         cfg = process_settings.router
         assert cfg is not None
@@ -206,7 +206,7 @@
     async def spawn_router(
         self, running: processes.Processes, **settings: Any
     ) -> Router:
-        """Start a router as a process; returns when it is ready."""
+        """Start a router as a process and wait until it is ready."""
         process_settings = self._settings(**settings)
         cfg = process_settings.router
         assert cfg is not None
@@ -225,17 +225,17 @@
     async def respawn(
         self, running: processes.Processes, router: Router
     ) -> None:
-        """Start a process that has ended again, at its addresses."""
+        """Restart a router process with its previous settings."""
         await running.spawn(router.name, self._settings_texts[router.name])
 
     async def until_ready(self, router: Router) -> None:
-        """Wait until a router says that it is ready."""
+        """Wait until a router reports that it is ready."""
         async with asyncio.timeout(TIMEOUT_S):
             while not await self.is_ready(router):
                 await asyncio.sleep(POLL_S)
 
     async def is_ready(self, router: Router) -> bool:
-        """Ask a router whether it is ready, as the balancer does."""
+        """Check a router's readiness, as the load balancer does."""
         outgoing = http_data.Outgoing('GET', names.READY_PATH, {})
         try:
             incoming, _ = await self._client.call(router.cfg.ready, outgoing, 1)
@@ -251,14 +251,14 @@
         body: bytes = b'',
         **headers: str,
     ) -> Reply:
-        """Send a request as a caller does, on a connection of its own.
+        """Send a request as a caller does, on a new connection.
 
         Args:
-            router: The router.
-            path: The path, which decides the route.
-            method: The method.
-            body: The body.
-            headers: Headers that differ from the usual, with underscores.
+            router: Router to send to.
+            path: Path, which determines the route.
+            method: HTTP method.
+            body: Request body.
+            headers: Overrides of the default headers, with underscores.
         """
         attempt_id = f'try-{next(self._numbers):06}'
         self.asked_of[attempt_id] = router.name
@@ -279,9 +279,9 @@
         return [line for line in self.lines if line['event'] == event]
 
     def _settings(self, **settings: Any) -> settings_data.Settings:
-        # An address of its own for each deployment: on one for all, another
-        # test's connection or datagram took a port between the look for a
-        # free one and its use.
+        # Each deployment has its own addresses. With a shared address,
+        # another test's connection or datagram took a port between the check
+        # that it was free and its use.
         ports = itertools.chain(*map(fleet_settings.free_ports, self._hosts))
         given: dict[str, Any] = {
             'listen': next(ports),
@@ -302,7 +302,7 @@
 
 
 class _LogRecorder(log_lines.LineWriter):
-    """Keeps log lines for a test to read."""
+    """Records log lines for tests."""
 
     def __init__(self, records: list[dict[str, Any]]) -> None:
         super().__init__(os.open(os.devnull, os.O_WRONLY))
@@ -327,7 +327,7 @@
 
 
 def _render_settings(process_settings: settings_data.Settings) -> str:
-    """Return settings as the text of their file."""
+    """Render settings as the text of a settings file."""
     lines = []
     for section, record in process_settings._asdict().items():
         if record is None:
--- a/beryllug/standins/platform_store.py
+++ b/beryllug/standins/platform_store.py
@@ -1,8 +1,8 @@
-"""Stand-in for the platform's store of objects.
+"""Stand-in for the platform's object store.
 
-It keeps objects by kind and name under one revision counter, with conditional
-writes, lists in pages and watches that wait. History can be dropped, and
-calls beyond the rates are refused, as the platform does.
+It stores objects by kind and name under one revision counter, with conditional
+writes, paged lists and long-polling watches. Like the platform, it can compact
+its history and rejects calls over the rate limits.
 """
 
 import asyncio
@@ -23,9 +23,9 @@
     """Options of the store.
 
     Attributes:
-        writes_per_s: Writing calls a second; more are refused.
-        reads_per_s: Reading calls a second; more are refused.
-        page: Most objects in one answer of a list.
+        writes_per_s: Write calls per second; more are rejected.
+        reads_per_s: Read calls per second; more are rejected.
+        page: Maximum number of objects in one page of a list.
     """
 
     writes_per_s: float = 400
@@ -42,7 +42,7 @@
 
 
 class Copy(NamedTuple):
-    """What the store held at a moment."""
+    """A snapshot of the store."""
 
     revision: int
     oldest: int
@@ -51,18 +51,18 @@
 
 
 class PlatformStore:
-    """The store without its sockets.
+    """Behaviour of the object store, independent of sockets.
 
     Attributes:
-        revision: Of its last change.
-        era: How often it has returned from a copy, from 1 on.
-        shown_era: The era as its answers tell it; empty for no word of it.
-        calls: Calls by what they asked.
-        history: Changes that watches are told of.
+        revision: Revision of the last change.
+        era: Starts at 1 and increases by 1 with every restore.
+        reported_era: Era in the response headers; empty to omit it.
+        calls: Number of calls by operation.
+        history: Changes that watches report.
     """
 
     def __init__(self, cfg: PlatformStoreCfg) -> None:
-        """Begin empty, at revision 1."""
+        """Create an empty store at revision 1."""
         self.revision = 1
         self.era = 1
         self.reported_era = '1'
@@ -76,7 +76,7 @@
         self._writes = rate.Bucket(cfg.writes_per_s, 0)
 
     def put(self, kind: str, name: str, spec: Any, status: Any = None) -> int:
-        """Write an object as its owner does; returns its revision."""
+        """Write an object as its owner does and return its revision."""
         existing = self._stored.get((kind, name), {})
         self.revision += 1
         shown = {
@@ -105,11 +105,11 @@
         )
 
     def status(self, kind: str, name: str) -> Any:
-        """Return the status of an object; None without one."""
+        """Return the status of an object; None if there is none."""
         return self._stored.get((kind, name), {}).get('status')
 
     def copy(self) -> Copy:
-        """Take a copy to return from."""
+        """Take a snapshot for `return_from`."""
         return Copy(
             self.revision,
             self._oldest,
@@ -118,7 +118,7 @@
         )
 
     def return_from(self, snapshot: Copy) -> None:
-        """Return from an older copy; what was written since is gone."""
+        """Restore a snapshot and start a new era; later writes are lost."""
         self.era += 1
         self.reported_era = str(self.era)
         self.revision = snapshot.revision
@@ -128,22 +128,22 @@
         self._notify_watchers()
 
     def compact(self) -> None:
-        """Drop the history, and cut the watches that wait."""
+        """Discard the history; watches from an older revision get 410."""
         self.history.clear()
         self._oldest = self.revision
         self._notify_watchers()
 
     def record(self) -> Any:
-        """Return the calls by what they asked."""
+        """Return the number of calls by operation, and the revision."""
         return {'calls': dict(self.calls), 'revision': self.revision}
 
     def crash(self) -> None:
-        """Lose nothing: what was acknowledged is kept."""
+        """Lose no state: acknowledged writes are durable."""
 
     async def handle(
         self, req: http_data.Request, response: faults.Response
     ) -> None:
-        """Answer one call."""
+        """Handle one call."""
         path, _, query = req.target.partition('?')
         parts = path.removeprefix(f'{names.OBJECTS_PATH}/').split('/')
         params = dict(url_parse.parse_qsl(query))
@@ -258,7 +258,7 @@
 
 
 def stand_in(cfg: PlatformStoreCfg) -> party.StandIn:
-    """Make the stand-in."""
+    """Create an object store stand-in; `start` opens its sockets."""
     return party.StandIn(PlatformStore(cfg), faults.FaultInjector())
 
 
--- a/beryllug/standins/platform_store_test.py
+++ b/beryllug/standins/platform_store_test.py
@@ -1,4 +1,4 @@
-"""Tests of the store's client, against the stand-in."""
+"""Tests of the object store client, run against the stand-in."""
 
 import asyncio
 import unittest
@@ -11,7 +11,7 @@
 
 
 class StoreTest(unittest.IsolatedAsyncioTestCase):
-    """Calls, and how they fail."""
+    """Store calls and their failures."""
 
     async def asyncSetUp(self) -> None:
         self.stand_in = platform_store.stand_in(
@@ -29,7 +29,7 @@
         await self.stand_in.stop()
 
     async def test_pages(self) -> None:
-        """A list comes page by page, until there is nothing behind a name."""
+        """A list is read page by page until there are no further names."""
         for name in ('a', 'b', 'c'):
             self.party.put('servers', name, {'x': name})
         first = await self.api.list_page('servers')
@@ -42,7 +42,7 @@
         self.assertEqual(last.listing.revision, self._stamp())
 
     async def test_watch(self) -> None:
-        """Changes come in order, a removal as such, none after a wait."""
+        """A watch returns changes and removals in order, or none in time."""
         self.party.put('servers', 'a', {'x': 1})
         revision = self._stamp()
         self.party.put('servers', 'b', {'x': 2})
@@ -54,7 +54,7 @@
         self.assertEqual(again.changes, ())
 
     async def test_status(self) -> None:
-        """A status is written against the revision it was decided on."""
+        """A status write fails if the object has changed since it was read."""
         self.party.put('rollouts', 'pool', {'target': 'v2'})
         revision = self._stamp()
         await self.api.set_status('rollouts', 'pool', revision, {'state': 'x'})
@@ -63,7 +63,7 @@
             await self.api.set_status('rollouts', 'pool', revision, {})
 
     async def test_failures(self) -> None:
-        """Whether a call can have taken effect is told by its error."""
+        """The error of a call shows whether it may have taken effect."""
         self.party.put('rollouts', 'pool', {'target': 'v2'})
         revision = self._stamp()
         table: tuple[tuple[dict[str, object], type[Exception]], ...] = (
@@ -82,15 +82,15 @@
                 await self.stand_in.settle()
 
     async def test_compacted(self) -> None:
-        """A watch from before the dropped history says so."""
+        """A watch from before the compacted history raises CompactedError."""
         self.party.put('servers', 'a', {})
         self.party.put('servers', 'b', {})
         self.party.compact()
         with self.assertRaises(object_data.CompactedError):
             await self.api.watch('servers', stamps.stamp(1, 1), 0.1)
 
-    async def test_returned(self) -> None:
-        """A revision that was given out again is taken for the one before."""
+    async def test_restored(self) -> None:
+        """A revision reused after a restore is not taken for the old one."""
         copy = self.party.copy()
         self.party.put('rollouts', 'pool', {'target': 'v2'})
         before = self._stamp()
@@ -108,8 +108,8 @@
         page = await self.api.list_page('rollouts')
         self.assertGreater(page.listing.revision, before)
 
-    async def test_written_meanwhile(self) -> None:
-        """A write that meets the return counts as done."""
+    async def test_write_during_restore(self) -> None:
+        """A write during a restore has an uncertain outcome."""
         copy = self.party.copy()
         self.party.put('rollouts', 'pool', {'target': 'v2'})
         before = self._stamp()
@@ -122,8 +122,8 @@
                 'rollouts', 'pool', before, {'state': 'x'}
             )
 
-    async def test_two_eras(self) -> None:
-        """A list begins before the return and ends after it."""
+    async def test_list_across_restore(self) -> None:
+        """A list that spans a restore raises CompactedError."""
         for name in ('a', 'b', 'c'):
             self.party.put('servers', name, {})
         copy = self.party.copy()
@@ -138,7 +138,7 @@
             await listing
 
     async def test_era(self) -> None:
-        """An era is missed in an error, or one that can't be read counts."""
+        """Errors carry the era as well; an unreadable era is counted."""
         table: tuple[tuple[str, bool, int, int], ...] = (
             ('1', False, 1, 0),
             ('', False, 1, 0),
--- a/beryllug/standins/processes.py
+++ b/beryllug/standins/processes.py
@@ -1,4 +1,4 @@
-"""Real processes of ours: started, frozen, killed and stopped by name."""
+"""Daemon processes that can be started, paused, killed and stopped."""
 
 import asyncio
 import signal
@@ -11,15 +11,15 @@
 
 
 class Processes:
-    """Daemons with their settings and logs in a directory of their own."""
+    """Daemons by name, with settings and logs in a temporary directory."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create the directory; no process is started."""
         self._running: dict[str, asyncio.subprocess.Process] = {}
         self._dir = tempfile.TemporaryDirectory(prefix='beryllug-')
 
     async def spawn(self, name: str, settings: str) -> None:
-        """Start a daemon with the text of its settings."""
+        """Start a daemon with the given settings text."""
         path = self._settings_path(name)
         path.write_text(settings, encoding='utf-8')
         with self._log_path(name).open('ab') as log_file:
@@ -33,7 +33,7 @@
             )
 
     def names(self) -> tuple[str, ...]:
-        """Return the names of the daemons that were not ended by us."""
+        """Return the names of daemons that were not killed or terminated."""
         return tuple(self._running)
 
     def pid(self, name: str) -> int:
@@ -41,11 +41,11 @@
         return self._running[name].pid
 
     def log(self, name: str) -> str:
-        """Return the last lines that a daemon logged."""
+        """Return the end of a daemon's log."""
         return self._log_path(name).read_text(errors='replace')[-LOG_CHARS:]
 
     async def kill(self, name: str) -> None:
-        """Kill a daemon at once."""
+        """Kill a daemon and wait for its exit."""
         process = self._running.pop(name)
         process.kill()
         await process.wait()
@@ -55,26 +55,26 @@
         self._running[name].send_signal(number)
 
     def freeze(self, name: str) -> None:
-        """Freeze a daemon."""
+        """Pause a daemon with SIGSTOP."""
         self.signal(name, signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen daemon go on; one that was killed meanwhile is gone.
+        """Resume a paused daemon; does nothing if it was killed meanwhile.
 
-        Two faults may hit one daemon: on a busy machine the one that kills
-        it had not started it anew when the other one's time was over.
+        Two faults may affect the same daemon. On a busy machine, the fault
+        that killed it had not yet restarted it when the pause ended.
         """
         if name in self._running:
             self.signal(name, signal.SIGCONT)
 
     def rewrite(self, name: str, old: str, new: str) -> None:
-        """Change a text in a daemon's settings file."""
+        """Replace a text in a daemon's settings file."""
         path = self._settings_path(name)
         text = path.read_text(encoding='utf-8')
         path.write_text(text.replace(old, new), encoding='utf-8')
 
     async def terminate(self, name: str) -> int:
-        """Stop a daemon gracefully and return its exit code."""
+        """Stop a daemon and return its exit code; kill it after a timeout."""
         process = self._running.pop(name)
         if process.returncode is None:
             process.send_signal(signal.SIGCONT)
@@ -86,7 +86,7 @@
             return await process.wait()
 
     async def stop(self) -> None:
-        """Stop all daemons and forget their files."""
+        """Stop all daemons and delete their files."""
         await asyncio.gather(*map(self.terminate, self.names()))
         self._dir.cleanup()
 
--- a/beryllug/standins/processes_test.py
+++ b/beryllug/standins/processes_test.py
@@ -1,4 +1,4 @@
-"""Tests of the processes that proofs start and end."""
+"""Tests of daemon process management."""
 
 import unittest
 
@@ -6,13 +6,13 @@
 
 
 class ProcessesTest(unittest.IsolatedAsyncioTestCase):
-    """One process that two faults hit."""
+    """Overlapping faults on one process."""
 
     async def test_killed_while_frozen(self) -> None:
-        """A frozen process is killed before its pause is over.
+        """Resuming a process that was killed while paused does nothing.
 
-        The fault that froze it lets it go on then, and must find nothing to
-        do, whether it was started again by then or not.
+        Guards against a failure of the pausing fault when another fault
+        killed the process during the pause.
         """
         running = processes.Processes()
         await running.spawn('one', 'no settings')
--- a/beryllug/standins/sample.py
+++ b/beryllug/standins/sample.py
@@ -1,7 +1,7 @@
 """A sample deployment in the shape of a small resort chain's.
 
-Two client accounts, three models (one with a roll-out under way, one with a
-withdrawn version), one cascade, a booking service.
+Two client accounts, three models (one with a rollout in progress, one with a
+withdrawn version), one cascade and a booking service.
 """
 
 import hashlib
@@ -23,7 +23,7 @@
 
 
 def document() -> config_data.Document:
-    """Return the document of the sample."""
+    """Return the configuration document of the sample."""
     return config_data.Document(
         accounts=(
             config_data.Account(
@@ -90,7 +90,7 @@
 
 
 def servers() -> tuple[harness.ServerPlan, ...]:
-    """Return five model engines and three booking servers."""
+    """Return the plans of five model engines and three booking servers."""
     engines = engine_worker.EngineCfg(concurrency=CONCURRENCY)
     small = (_engine(SMALL, index, engines) for index in range(3))
     large = (_engine(LARGE, index, engines) for index in range(2))
@@ -102,19 +102,19 @@
 
 
 def plan(hosts: int = 2) -> harness.Plan:
-    """Return the whole sample deployment."""
+    """Return the plan of the sample deployment."""
     return harness.Plan(document(), servers(), hosts, ZONES)
 
 
 def key_hash(key: str) -> str:
-    """Return the hash of a bearer key, as a document states it."""
+    """Return the hash of a bearer key in the document's format."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def withdraw(
     declared: config_data.Document, ref: config_data.VersionRef
 ) -> config_data.Document:
-    """Return a document in which a version is withdrawn."""
+    """Return a copy of the document with one version withdrawn."""
     models = tuple(
         model._replace(
             versions=tuple(
--- a/beryllug/standins/serve_test.py
+++ b/beryllug/standins/serve_test.py
@@ -1,4 +1,4 @@
-"""Stand-ins as processes: ready line, switches from outside, SIGTERM."""
+"""Tests of stand-ins as processes: ready line, faults and SIGTERM."""
 
 import asyncio
 import json
@@ -19,15 +19,15 @@
 
 
 class ServeTest(unittest.IsolatedAsyncioTestCase):
-    """Each kind runs as a process of its own."""
+    """Each kind runs as a separate process."""
 
     async def test_kinds(self) -> None:
-        """Each prints its addresses, takes switches, and ends on SIGTERM."""
+        """Each prints its addresses, accepts faults and exits on SIGTERM."""
         self.assertEqual({kind for kind, _ in OPTIONS}, set(serve.KINDS))
         await asyncio.gather(*(self._run(*each) for each in OPTIONS))
 
     async def test_bad_options(self) -> None:
-        """A wrong kind or option ends the process with a code other than 0."""
+        """An invalid kind or option gives a non-zero exit code."""
         for arguments in (
             ('nothing',),
             ('engine', '--tokens=x'),
--- a/beryllug/standins/traffic.py
+++ b/beryllug/standins/traffic.py
@@ -1,4 +1,4 @@
-"""Seeded traffic of callers against a deployment, with what each one got."""
+"""Seeded caller traffic against a deployment, with all responses."""
 
 import asyncio
 import random
@@ -19,16 +19,16 @@
 
 
 class Sent(NamedTuple):
-    """One request and what its caller got.
+    """One request and its response.
 
     Attributes:
         kind: One of `KINDS`.
         account_id: The client account.
         key: Idempotency key, or empty.
-        prompt: What was asked, unique to the request.
-        reply: The answer.
-        sent_at: Wall-clock second.
-        ended_at: Wall-clock second.
+        prompt: Prompt or slot name, unique to the request.
+        reply: Response that the caller received.
+        sent_at: Wall-clock time of sending, in seconds.
+        ended_at: Wall-clock time of the end, in seconds.
     """
 
     kind: str
@@ -41,10 +41,10 @@
 
 
 class Traffic:
-    """Callers that go on sending until they are stopped.
+    """Callers that send requests until they are stopped.
 
     Attributes:
-        sent: Every request that has ended, in order of its end.
+        sent: Completed requests, in order of completion.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         kinds: Sequence[str] = KINDS,
         callers: int = 6,
     ) -> None:
-        """Make traffic; `start` starts its callers."""
+        """Configure the traffic; `start` starts the callers."""
         self.sent: list[Sent] = []
         self._fleet = fleet
         self._seed = seed
@@ -72,13 +72,13 @@
         ]
 
     async def stop(self) -> list[Sent]:
-        """Let each caller end its request, and return all of them."""
+        """Let the callers finish and return all completed requests."""
         self._stopping = True
         await asyncio.gather(*self._tasks)
         return self.sent
 
     async def reach(self, count: int, within_s: float = 60.0) -> None:
-        """Wait until so many requests have ended since now."""
+        """Wait until `count` more requests have completed."""
         wanted = len(self.sent) + count
 
         async def reached() -> bool:  # noqa: WPS430
@@ -87,17 +87,17 @@
         await harness.wait_for(reached, within_s)
 
     def avoid(self, host: int) -> None:
-        """Send no more to a host, as the balancer would."""
+        """Stop sending to a host, as the load balancer would."""
         self._avoided.add(host)
 
     def use(self, host: int) -> None:
-        """Send to a host again."""
+        """Resume sending to a host."""
         self._avoided.discard(host)
 
     async def balance(self) -> None:
-        """Send only to hosts whose readiness check passes, as a balancer.
+        """Send only to hosts that pass the readiness check, as a balancer does.
 
-        Run it as a task; it ends when it is cancelled.
+        Runs until the task is cancelled.
         """
         while True:
             for index, _ in enumerate(self._fleet.hosts):
@@ -129,11 +129,10 @@
         name: str,
         rng: random.Random,
     ) -> None:
-        """Send one request; one with a key again while it may be repeated.
+        """Send one request and retry it if it has an idempotency key.
 
-        A keyed request is what a careful client sends: it repeats it under
-        the same key, through any host, until it has an answer or is told
-        that it must not.
+        A request with a key is retried under the same key, through any
+        available host, until the response is final.
         """
         prompt = f'prompt {self._seed} {name}'
         idempotency_key = ''
@@ -172,7 +171,7 @@
 
 
 def _sender_of(kind: str, bearer: str) -> SendRequest:
-    """Return what sends a request of a kind."""
+    """Return the function that sends a request of a kind."""
     match kind:
         case 'hold':
             return _hold
@@ -244,7 +243,7 @@
 
 
 def _is_final(reply: caller.Reply) -> bool:
-    """Tell whether a careful client stops asking."""
+    """Return whether the client stops retrying after this response."""
     if OK <= reply.status < SERVER_ERROR:
         return reply.error().get('code') not in {'in_progress', 'over_limit'}
     return reply.error().get('run') == 'unknown' and reply.status > 0
