--- a/beryllug/standins/engine.py
+++ b/beryllug/standins/engine.py
@@ -111,7 +111,7 @@
         if run.record.state is engine_runs.RunState.FINISHED:
             await response.finish()
         else:
-            response.abort()
+            response.abort_connection()
 
     async def _request(
         self,
@@ -124,8 +124,8 @@
         run = self.worker.find(name.removesuffix('/resume'))
         if run is None:
             # It may have run, so the error must not state "not run".
-            error = faults.error('unknown_request', name)
-            await response.respond_json(HTTPStatus.NOT_FOUND, error)
+            unknown = faults.error('unknown_request', name)
+            await response.respond_json(HTTPStatus.NOT_FOUND, unknown)
         elif resumes:
             run.count_resume()
             await self._stream(run, int(query.get('offset', '0')), response)
@@ -147,9 +147,9 @@
         await response.respond_json(HTTPStatus.OK, self.worker.load())
 
     async def _show_events(self, after: int, response: faults.Response) -> None:
-        current = self._injector.current
+        active = self._injector.active
         snapshot = self.worker.cache.events(
-            after, current.lag_s, current.gap_rate
+            after, active.lag_s, active.gap_rate
         )
         lines = [event._asdict() for event in snapshot.events]
         document = {'latest': snapshot.latest, 'events': lines}
@@ -165,13 +165,15 @@
         except msgspec.DecodeError:
             await response.refuse(HTTPStatus.BAD_REQUEST, 'bad_order')
             return
-        ignores = self._injector.current.ignore_fencing
+        ignores = self._injector.active.ignore_fencing
         checks = self._cfg.checks_fencing and not ignores
         if self.worker.models.apply_order(order, checks_fencing=checks):
             await response.respond_json(HTTPStatus.OK, {'accepted': True})
             return
-        error = faults.error('old_fencing', 'a newer holder exists', 'not_run')
-        document = {**error, 'highest': self.worker.models.fencing}
+        fencing_error = faults.error(
+            'old_fencing', 'a newer holder exists', 'not_run'
+        )
+        document = {**fencing_error, 'highest': self.worker.models.fencing}
         await response.respond_json(HTTPStatus.CONFLICT, document)
 
     async def _export(
@@ -214,7 +216,7 @@
 ) -> None:
     """Respond for a run that ended before producing any output."""
     if record.state is engine_runs.RunState.CRASHED:
-        response.abort()
-    error = faults.error(record.state, 'the run has ended', 'failed')
+        response.abort_connection()
+    failure = faults.error(record.state, 'the run has ended', 'failed')
     status = HTTPStatus.INTERNAL_SERVER_ERROR
-    await response.respond_json(status, error)
+    await response.respond_json(status, failure)
--- a/beryllug/standins/engine_answers.py
+++ b/beryllug/standins/engine_answers.py
@@ -56,15 +56,15 @@
     document = msgspec.json.decode(req.body)
     messages = document.get('messages') or []
     prompt = '\n'.join(_text(message) for message in messages)
-    model = req.headers.get('x-model') or str(document.get('model', ''))
+    model_name = req.headers.get('x-model') or str(document.get('model', ''))
     asked = document.get('max_completion_tokens') or document.get('max_tokens')
     tokens = int(asked or default_tokens)
     if tokens > MAX_TOKENS:
-        raise ValueError(f'request asks for more than {MAX_TOKENS} tokens')
+        raise ValueError(f'more than {MAX_TOKENS} tokens requested')
     return ChatRequest(
         request_id=req.headers.get('x-request-id', digest(prompt)),
         account_id=req.headers.get('x-account', ''),
-        model=model,
+        model=model_name,
         version=req.headers.get('x-model-version', ''),
         prompt=prompt,
         tokens=tokens,
@@ -90,10 +90,10 @@
 
 def is_whole(text: str, request_id: str, prompt: str) -> bool:
     """Return whether a text is the complete response to this request."""
-    content, _, end_tag = text.rpartition(' ')
-    has_id = content.startswith(f'[{request_id}] ')
-    asked = f'prompt={digest(prompt)}' in content
-    return has_id and asked and end_tag == f'end={digest(content)}'
+    preceding, _, end_tag = text.rpartition(' ')
+    has_id = preceding.startswith(f'[{request_id}] ')
+    has_prompt = f'prompt={digest(prompt)}' in preceding
+    return has_id and has_prompt and end_tag == f'end={digest(preceding)}'
 
 
 def difficulty(prompt: str) -> float:
--- a/beryllug/standins/engine_runs.py
+++ b/beryllug/standins/engine_runs.py
@@ -92,7 +92,7 @@
         )
         self._changed.signal()
 
-    def append(self, chunk: bytes, tokens: int) -> None:
+    def append_output(self, chunk: bytes, tokens: int) -> None:
         """Append to the response."""
         self._body += chunk
         self.record = self.record._replace(
--- a/beryllug/standins/engine_test.py
+++ b/beryllug/standins/engine_test.py
@@ -64,7 +64,7 @@
         return b''.join(received)
     finally:
         incoming.close()
-    raise AssertionError('the response was complete, expected a broken one')
+    raise AssertionError('the answer came whole')
 
 
 class EngineContract:
--- a/beryllug/standins/engine_worker.py
+++ b/beryllug/standins/engine_worker.py
@@ -142,12 +142,12 @@
         chat = run.chat
         run.begin()
         current = self._injector.current
-        if current.poison and current.poison in chat.prompt:
+        if active.poison and active.poison in chat.prompt:
             self.on_poison()
             return
         await self._simulate_delay(self._time_to_first_token_s(chat))
         if self._injector.should_inject(
-            current.version_errors.get(chat.version, 0)
+            active.version_errors.get(chat.version, 0)
         ):
             run.end(engine_runs.RunState.FAILED)
             return
@@ -157,7 +157,7 @@
         else:
             await self._simulate_delay(self._cfg.token_s * len(tokens))
             text = ' '.join(tokens)
-            run.append(
+            run.append_output(
                 engine_answers.completion(chat, text, len(tokens)), len(tokens)
             )
         run.end(engine_runs.RunState.FINISHED)
@@ -171,8 +171,8 @@
             await self._simulate_delay(self._cfg.token_s * len(chunk))
             separator = ' ' if start else ''
             text = separator + ' '.join(chunk)
-            run.append(engine_answers.event(run.chat, text), len(chunk))
-        run.append(engine_answers.final_events(run.chat, len(tokens)), 0)
+            run.append_output(engine_answers.event(run.chat, text), len(chunk))
+        run.append_output(engine_answers.final_events(run.chat, len(tokens)), 0)
 
     async def _simulate_delay(self, duration_s: float) -> None:
         if duration_s:
--- a/beryllug/standins/faults.py
+++ b/beryllug/standins/faults.py
@@ -82,7 +82,7 @@
 
     def __init__(self) -> None:
         """Start with no faults enabled."""
-        self.current = NONE
+        self.active = NONE
         self.random = random.Random(NONE.seed)
         self.injected_count = 0
         self._listeners: list[Callable[[], None]] = []
@@ -91,24 +91,24 @@
         """Register a function to call whenever the faults change."""
         self._listeners.append(listener)
 
-    def put(self, current: Faults) -> None:
+    def put(self, active: Faults) -> None:
         """Replace all faults, reseed and reset the hit count."""
-        self.current = current
-        self.random = random.Random(current.seed)
+        self.active = active
+        self.random = random.Random(active.seed)
         self.injected_count = 0
         for listener in self._listeners:
             listener()
 
     def faults_for(self, req: http_data.Request) -> Faults:
         """Return the request-level faults for this request."""
-        current = self.current
+        active = self.active
         line = f'{req.method} {req.target}'
-        if not line.startswith(current.only):
+        if not line.startswith(active.only):
             return NONE
-        if 0 <= current.times <= self.injected_count:
+        if 0 <= active.times <= self.injected_count:
             return NONE
         self.injected_count += 1
-        return current
+        return active
 
     def should_inject(self, rate: float) -> bool:
         """Decide at random, with the given probability."""
@@ -153,8 +153,11 @@
         headers: Mapping[str, str] | None = None,
     ) -> None:
         """Send a complete JSON response."""
-        all_headers = {'content-type': http_server.JSON_TYPE, **(headers or {})}
-        await self.respond(status, http_data.to_json(document), all_headers)
+        json_headers = {
+            'content-type': http_server.JSON_TYPE,
+            **(headers or {}),
+        }
+        await self.respond(status, http_data.to_json(document), json_headers)
 
     async def start(self, status: int, headers: Mapping[str, str]) -> None:
         """Send the status and headers of a chunked response."""
@@ -171,7 +174,7 @@
         self.bytes_sent += len(chunk)
         await self._exchange.send(chunk)
         if is_last:
-            self.abort()
+            self.abort_connection()
 
     async def finish(self) -> None:
         """Finish a chunked response."""
@@ -185,23 +188,23 @@
     ) -> None:
         """Reject a request and mark it as certainly not executed."""
         document = error(code, 'refused', NOT_RUN)
-        all_headers = {RUN: NOT_RUN, **(headers or {})}
-        await self.respond_json(status, document, all_headers)
+        refusal_headers = {RUN: NOT_RUN, **(headers or {})}
+        await self.respond_json(status, document, refusal_headers)
 
-    def abort(self) -> None:
+    def abort_connection(self) -> None:
         """Close the connection in the middle of a response.
 
         Raises:
             ConnectionResetError: Always, to terminate the handler.
         """
         self._exchange.abort(hard=self._injected.hard_reset)
-        raise ConnectionResetError('connection closed by an injected fault')
+        raise ConnectionResetError('aborted by an injected fault')
 
     async def _inject_before_headers(self) -> None:
         if self._injected.answer_delay_s:
             await asyncio.sleep(self._injected.answer_delay_s)
         if self._injected.drop_answer:
-            self.abort()
+            self.abort_connection()
 
 
 async def inject_before_execution(
@@ -225,8 +228,8 @@
         )
         return False
     if injector.should_inject(injected.error_rate):
-        document = error('internal', 'drawn by a fault switch')
-        await exchange.respond_json(HTTPStatus.INTERNAL_SERVER_ERROR, document)
+        failure = error('internal', 'drawn by a fault switch')
+        await exchange.respond_json(HTTPStatus.INTERNAL_SERVER_ERROR, failure)
         return False
     return True
 
--- a/beryllug/standins/harness.py
+++ b/beryllug/standins/harness.py
@@ -134,17 +134,21 @@
         ):
             await service.start(self._host)
         for server in self.plan.servers:
-            stand_in = _stand_in(server)
-            await stand_in.start(self._host)
-            self.servers[server.server_id] = stand_in
+            stand_in_server = _stand_in(server)
+            await stand_in_server.start(self._host)
+            self.servers[server.server_id] = stand_in_server
         self.list_hosts()
 
     async def stop(self) -> None:
         """Stop all; processes that do not exit in time are killed."""
         await self.processes.stop()
         await self.client.close()
-        for stand_in in (*self.servers.values(), self.rating, self.weights):
-            await stand_in.stop()
+        for stand_in_server in (
+            *self.servers.values(),
+            self.rating,
+            self.weights,
+        ):
+            await stand_in_server.stop()
         await self.host_list.stop()
         await self.platform.stop()
 
--- a/beryllug/standins/host_list.py
+++ b/beryllug/standins/host_list.py
@@ -46,7 +46,7 @@
                 host._replace(state=state)
                 if host.server_id == server_id
                 else host
-                for host in self._hosts.current
+                for host in self._hosts.latest
             )
         )
 
@@ -57,18 +57,18 @@
         match req.method, req.target:
             case 'GET', '/v1/hosts':
                 self.reads += 1
-                lag_s = self._injector.current.lag_s
+                lag_s = self._injector.active.lag_s
                 shown = self._hosts.at(time.monotonic(), lag_s)
                 await response.respond_json(HTTPStatus.OK, _lines(shown))
             case 'PUT', '/v1/hosts':
                 await self._replace_hosts(req.body, response)
             case _:
-                error = faults.error('not_found', req.target, 'not_run')
-                await response.respond_json(HTTPStatus.NOT_FOUND, error)
+                not_found = faults.error('not_found', req.target, 'not_run')
+                await response.respond_json(HTTPStatus.NOT_FOUND, not_found)
 
     def record(self) -> Any:
         """Return the number of reads and the current hosts, without lag."""
-        return {'reads': self.reads, 'hosts': _lines(self._hosts.current)}
+        return {'reads': self.reads, 'hosts': _lines(self._hosts.latest)}
 
     def crash(self) -> None:
         """Lose no state in a crash."""
@@ -79,8 +79,8 @@
         try:
             hosts = host_list.decode(body)
         except msgspec.DecodeError as exc:
-            error = faults.error('bad_hosts', str(exc), 'not_run')
-            await response.respond_json(HTTPStatus.BAD_REQUEST, error)
+            invalid = faults.error('bad_hosts', str(exc), 'not_run')
+            await response.respond_json(HTTPStatus.BAD_REQUEST, invalid)
             return
         self.put(hosts)
         await response.respond_json(HTTPStatus.OK, _lines(hosts))
--- a/beryllug/standins/invariants.py
+++ b/beryllug/standins/invariants.py
@@ -91,7 +91,7 @@
         request_id = item.reply.headers[REQUEST_ID]
         states = {row.state for row in bills.get(request_id, ())}
         if journal_data.OutcomeState.DONE not in states:
-            yield f'{request_id} succeeded but was not billed: {states}'
+            yield f'{request_id} was answered but has no bill: {states}'
 
 
 def is_own(reply: caller.Reply, prompt: str) -> bool:
@@ -113,7 +113,7 @@
         is_text = _is_answer(item) and item.kind not in {'lookup', 'hold'}
         if is_text and not is_own(item.reply, item.prompt):
             request_id = item.reply.headers[REQUEST_ID]
-            yield f'{request_id} got a wrong or incomplete response'
+            yield f'{request_id} got an answer that is not its own or not whole'
 
 
 def _runs_are_allowed(
@@ -142,7 +142,7 @@
     )
     for key, count in holds.items():
         if count > 1:
-            yield f'the hold with key {key} ran {count} times'
+            yield f'the hold under {key} ran {count} times'
     reports = {
         engine_answers.digest(item.prompt)
         for item in sent
@@ -167,7 +167,7 @@
         request_id = item.reply.headers.get(REQUEST_ID, '')
         not_run = item.reply.error().get('run') == 'not_run'
         if item.reply.status >= BAD_REQUEST and not_run and request_id in ran:
-            yield f'{request_id} was reported as not run, but ran'
+            yield f'{request_id} was refused as not run, but ran'
 
 
 def _is_answer(item: traffic.Sent) -> bool:
--- a/beryllug/standins/object_api.py
+++ b/beryllug/standins/object_api.py
@@ -108,8 +108,8 @@
     async def _read(self, key: str, response: faults.Response) -> None:
         stored = self._replica.read(key)
         if stored is None:
-            error = faults.error('not_found', key, 'not_run')
-            await response.respond_json(HTTPStatus.NOT_FOUND, error)
+            not_found = faults.error('not_found', key, 'not_run')
+            await response.respond_json(HTTPStatus.NOT_FOUND, not_found)
             return
         headers = {'x-object-version': str(stored.version)}
         await response.respond(HTTPStatus.OK, stored.value, headers)
@@ -128,13 +128,13 @@
         except object_data.ConflictError as exc:
             await _respond_conflict(exc.current_version, response)
         except object_data.TooLargeError:
-            error = faults.error('too_large', key, 'not_run')
+            too_large = faults.error('too_large', key, 'not_run')
             await response.respond_json(
-                HTTPStatus.REQUEST_ENTITY_TOO_LARGE, error
+                HTTPStatus.REQUEST_ENTITY_TOO_LARGE, too_large
             )
         except ValueError:
-            error = faults.error('bad_condition', key, 'not_run')
-            await response.respond_json(HTTPStatus.BAD_REQUEST, error)
+            invalid = faults.error('bad_condition', key, 'not_run')
+            await response.respond_json(HTTPStatus.BAD_REQUEST, invalid)
         else:
             self._changed.signal()
             headers = {'x-object-version': str(version)}
@@ -156,16 +156,16 @@
             after = int(query.get('after', '0'))
             wait_s = min(float(query.get('wait', '0')), MAX_WAIT_S)
         except ValueError:
-            error = faults.error('bad_watch', str(query), 'not_run')
-            await response.respond_json(HTTPStatus.BAD_REQUEST, error)
+            invalid = faults.error('bad_watch', str(query), 'not_run')
+            await response.respond_json(HTTPStatus.BAD_REQUEST, invalid)
             return
         try:
             batch = await self._await_changes(
                 query.get('prefix', ''), after, wait_s
             )
         except object_data.CompactedError as exc:
-            error = faults.error('compacted', str(exc), 'not_run')
-            await response.respond_json(HTTPStatus.GONE, error)
+            compacted = faults.error('compacted', str(exc), 'not_run')
+            await response.respond_json(HTTPStatus.GONE, compacted)
             return
         await response.respond_json(
             HTTPStatus.OK,
--- a/beryllug/standins/party.py
+++ b/beryllug/standins/party.py
@@ -98,14 +98,14 @@
             self._spawn(self._update_listener())
 
     async def _update_listener(self) -> None:
-        if self.switches.current.refuse:
+        if self.switches.active.refuse:
             await self._close()
         else:
             await self._open()
 
     async def _crash_and_restart(self) -> None:
         await self._close()
-        restart_s = self.switches.current.restart_s
+        restart_s = self.switches.active.restart_s
         if restart_s >= 0:
             await asyncio.sleep(restart_s)
             await self._update_listener()
@@ -144,15 +144,15 @@
     ) -> None:
         match req.method, req.target:
             case 'GET', '/faults':
-                current_faults = self.switches.current._asdict()
-                await exchange.respond_json(HTTPStatus.OK, current_faults)
+                snapshot = self.switches.active._asdict()
+                await exchange.respond_json(HTTPStatus.OK, snapshot)
             case 'PUT', '/faults':
                 await self._put_faults(req, exchange)
             case 'GET', '/record':
                 await exchange.respond_json(HTTPStatus.OK, self.party.record())
             case _:
-                error = faults.error('not_found', req.target, 'not_run')
-                await exchange.respond_json(HTTPStatus.NOT_FOUND, error)
+                not_found = faults.error('not_found', req.target, 'not_run')
+                await exchange.respond_json(HTTPStatus.NOT_FOUND, not_found)
 
     async def _put_faults(
         self, req: http_data.Request, exchange: http_server.Exchange
@@ -160,9 +160,9 @@
         try:
             self.put_faults(**msgspec.json.decode(req.body))
         except (msgspec.DecodeError, options.OptionError) as exc:
-            error = faults.error('bad_faults', str(exc), 'not_run')
-            await exchange.respond_json(HTTPStatus.BAD_REQUEST, error)
+            invalid = faults.error('bad_faults', str(exc), 'not_run')
+            await exchange.respond_json(HTTPStatus.BAD_REQUEST, invalid)
             return
         await exchange.respond_json(
-            HTTPStatus.OK, self.switches.current._asdict()
+            HTTPStatus.OK, self.switches.active._asdict()
         )
--- a/beryllug/standins/plain_service.py
+++ b/beryllug/standins/plain_service.py
@@ -68,12 +68,12 @@
     ) -> None:
         """Handle one request."""
         async with self._slots:
-            current = self._injector.current
-            if current.poison and current.poison.encode() in req.body:
+            active = self._injector.active
+            if active.poison and active.poison.encode() in req.body:
                 self.on_poison()
-                response.abort()
+                response.abort_connection()
             if self._cfg.work_s:
-                await asyncio.sleep(self._cfg.work_s * current.slow_factor)
+                await asyncio.sleep(self._cfg.work_s * active.slow_factor)
             run = _describe_run(req)
             self.runs.append(run)
         match req.method, req.target.partition('?')[0]:
--- a/beryllug/standins/platform_runner.py
+++ b/beryllug/standins/platform_runner.py
@@ -204,8 +204,8 @@
             tokens += parsed.shared_tokens
         async with self._prefill_lock:
             pace = self.cfg.paces.get(parsed.model, 1)
-            slow_factor = self._injector.current.slow_factor
-            await asyncio.sleep(tokens * self.cfg.token_s * pace * slow_factor)
+            factor = self._injector.active.slow_factor
+            await asyncio.sleep(tokens * self.cfg.token_s * pace * factor)
         self._cached_prefixes.add(prefix)
 
     async def _stream(
@@ -219,7 +219,7 @@
         for number in range(first, self.cfg.events + 1):
             if number == self.cut_after:
                 await response.send(b'id: %d\ndata: ha' % number)
-                response.abort()
+                response.abort_connection()
             if number == self.stall_after:
                 await asyncio.Event().wait()
             data = f'{parsed.model} {number}'
@@ -244,12 +244,12 @@
 
     def _status_headers(self) -> dict[str, str]:
         """Return the headers that report the server status."""
-        headers = {}
+        reported = {}
         if self.states.limit_per_s is not None:
-            headers[names.LIMIT] = str(self.states.limit_per_s)
+            reported[names.LIMIT] = str(self.states.limit_per_s)
         if self.states.is_leaving:
-            headers[names.LEAVING] = '1'
-        return headers
+            reported[names.LEAVING] = '1'
+        return reported
 
 
 def stand_in(cfg: PlatformRunnerCfg) -> party.StandIn:
--- a/beryllug/standins/platform_site.py
+++ b/beryllug/standins/platform_site.py
@@ -236,9 +236,9 @@
 
     async def is_ready(self, router: Router) -> bool:
         """Check a router's readiness, as the load balancer does."""
-        outgoing = http_data.Outgoing('GET', names.READY_PATH, {})
+        probe = http_data.Outgoing('GET', names.READY_PATH, {})
         try:
-            incoming, _ = await self._client.call(router.cfg.ready, outgoing, 1)
+            incoming, _ = await self._client.call(router.cfg.ready, probe, 1)
         except (http_data.NotSentError, http_data.BrokenError):
             return False
         return incoming.status == HTTPStatus.OK
--- a/beryllug/standins/rating.py
+++ b/beryllug/standins/rating.py
@@ -58,11 +58,11 @@
         except msgspec.DecodeError:
             await response.refuse(HTTPStatus.BAD_REQUEST, 'bad_rating')
             return
-        current = self._injector.current
-        await asyncio.sleep(self._cfg.work_s * current.slow_factor)
-        rating = _clamp(self._rate(parsed['answer']) + current.bias)
-        ratings = self.ratings.setdefault(parsed['request_id'], [])
-        ratings.append(rating)
+        active = self._injector.active
+        await asyncio.sleep(self._cfg.work_s * active.slow_factor)
+        rating = _clamp(self._rate(parsed['answer']) + active.bias)
+        history = self.ratings.setdefault(parsed['request_id'], [])
+        history.append(rating)
         await response.respond_json(HTTPStatus.OK, {'rating': rating})
 
     def record(self) -> Any:
--- a/beryllug/standins/serve.py
+++ b/beryllug/standins/serve.py
@@ -62,7 +62,7 @@
     """
     if kind not in KINDS:
         known = ', '.join(KINDS)
-        sys.exit(f'unknown stand-in kind {kind}; expected one of {known}')
+        sys.exit(f'unknown kind {kind}; known kinds: {known}')
     try:
         cfg = options.build(KINDS[kind].cfg, cfg_options)
     except options.OptionError as exc:
@@ -76,17 +76,19 @@
 
 
 async def _serve_until_signal(
-    stand_in: party.StandIn, host: str, port: int
+    stand_in_server: party.StandIn, host: str, port: int
 ) -> None:
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
-    await stand_in.start(host, port)
-    sys.stdout.write(f'ready {stand_in.address} {stand_in.control_address}\n')
+    await stand_in_server.start(host, port)
+    sys.stdout.write(
+        f'ready {stand_in_server.address} {stand_in_server.control_address}\n'
+    )
     sys.stdout.flush()
     await ended.wait()
-    await stand_in.stop()
+    await stand_in_server.stop()
 
 
 if __name__ == '__main__':
--- a/beryllug/standins/weight_store.py
+++ b/beryllug/standins/weight_store.py
@@ -51,8 +51,8 @@
         self.reads[name] = self.reads.get(name, 0) + 1
         known = not self._cfg.stored or name in self._cfg.stored
         if not known or not req.target.startswith(ROOT):
-            error = faults.error('not_found', name)
-            await response.respond_json(HTTPStatus.NOT_FOUND, error)
+            not_found = faults.error('not_found', name)
+            await response.respond_json(HTTPStatus.NOT_FOUND, not_found)
             return
         document = {
             'size_bytes': self._cfg.size_bytes,
