--- a/beryllug/standins/engine_worker.py
+++ b/beryllug/standins/engine_worker.py
@@ -90,7 +90,7 @@
 
     def load(self) -> dict[str, Any]:
         """Return the load report, delayed by the injected lag."""
-        lag_s = self._injector.current.lag_s
+        lag_s = self._injector.active.lag_s
         self._record_load()
         snapshot = self._load_history.at(time.monotonic(), lag_s)
         return {**snapshot, 'measured_at': time.time() - lag_s}
@@ -141,7 +141,7 @@
     async def _execute(self, run: engine_runs.Run) -> None:
         chat = run.chat
         run.begin()
-        current = self._injector.current
+        active = self._injector.active
         if active.poison and active.poison in chat.prompt:
             self.on_poison()
             return
@@ -176,7 +176,7 @@
 
     async def _simulate_delay(self, duration_s: float) -> None:
         if duration_s:
-            await asyncio.sleep(duration_s * self._injector.current.slow_factor)
+            await asyncio.sleep(duration_s * self._injector.active.slow_factor)
 
     def _time_to_first_token_s(self, chat: engine_answers.ChatRequest) -> float:
         blocks = engine_answers.blocks(chat.model, chat.prompt)
@@ -188,7 +188,7 @@
 
     def _quality(self, chat: engine_answers.ChatRequest) -> float:
         base = self._cfg.quality.get(chat.version, 1.0)
-        quality_offset = self._injector.current.version_quality.get(
+        quality_offset = self._injector.active.version_quality.get(
             chat.version, 0
         )
         difficulty_level = engine_answers.difficulty(chat.prompt)
--- a/beryllug/standins/object_api.py
+++ b/beryllug/standins/object_api.py
@@ -86,7 +86,7 @@
         """Lose no state: the store is durable."""
 
     def _apply_faults(self) -> None:
-        stale = self._injector.current.stale
+        stale = self._injector.active.stale
         self._replica = self.store.copy() if stale else self.store
         self._changed.signal()
 
