--- a/beryllug/standins/engine_answers.py
+++ b/beryllug/standins/engine_answers.py
@@ -88,7 +88,7 @@
     return text
 
 
-def is_whole(text: str, request_id: str, prompt: str) -> bool:
+def is_complete(text: str, request_id: str, prompt: str) -> bool:
     """Return whether a text is the complete response to this request."""
     preceding, _, end_tag = text.rpartition(' ')
     has_id = preceding.startswith(f'[{request_id}] ')
--- a/beryllug/standins/engine_test.py
+++ b/beryllug/standins/engine_test.py
@@ -82,7 +82,7 @@
         incoming = await self.api.chat(self.address, _ask('r1'))
         body = await self._read(incoming)
         text = json.loads(body)['choices'][0]['message']['content']
-        self.assertTrue(engine_answers.is_whole(text, 'r1', PROMPT))
+        self.assertTrue(engine_answers.is_complete(text, 'r1', PROMPT))
         usage = engine_stream.usage_of(body)
         self.assertEqual(usage, engine_data.Usage(6, 24))
 
@@ -90,7 +90,7 @@
         """A stream yields the same text and ends with usage and DONE."""
         incoming = await self.api.chat(self.address, _ask('r1', stream=True))
         events = await self._read(incoming)
-        self.assertTrue(engine_answers.is_whole(_text(events), 'r1', PROMPT))
+        self.assertTrue(engine_answers.is_complete(_text(events), 'r1', PROMPT))
         tail = engine_stream.StreamTail()
         for start in range(0, len(events), 7):
             self.assertFalse(tail.is_whole())
@@ -107,7 +107,7 @@
         resumed = await self.api.resume(self.address, 'r1', len(first))
         rest = await self._read(resumed)
         text = _text(first + rest)
-        self.assertTrue(engine_answers.is_whole(text, 'r1', PROMPT))
+        self.assertTrue(engine_answers.is_complete(text, 'r1', PROMPT))
         again = await self.api.resume(self.address, 'r1', 0)
         self.assertEqual(await self._read(again), first + rest)
         self.assertIsNone(await self.api.resume(self.address, 'other', 0))
@@ -326,7 +326,7 @@
                 )
                 assert resumed is not None
                 text = _text(received + await self._read(resumed))
-                whole = engine_answers.is_whole(text, name, PROMPT)
+                whole = engine_answers.is_complete(text, name, PROMPT)
                 self.assertTrue(whole)
 
     async def _restart(self, cfg: engine_worker.EngineCfg) -> None:
--- a/beryllug/standins/invariants.py
+++ b/beryllug/standins/invariants.py
@@ -102,7 +102,7 @@
     request_id = reply.headers[REQUEST_ID]
     text = chat_answer.text_of(reply.body)
     return any(
-        engine_answers.is_whole(text, run_id, prompt)
+        engine_answers.is_complete(text, run_id, prompt)
         for run_id in (request_id, f'{request_id}.0')
     )
 
--- a/beryllug/standins/object_api_test.py
+++ b/beryllug/standins/object_api_test.py
@@ -135,13 +135,13 @@
         self.api = object_api.HttpObjectApi(
             self.client, self.standin.address, 0.2
         )
-        for switches, expected, wrote in cases:
-            with self.subTest(str(switches)):
-                await self._put_faults(switches)
+        for fault_settings, expected, wrote in cases:
+            with self.subTest(str(fault_settings)):
+                await self._put_faults(fault_settings)
                 with self.assertRaises(expected):
-                    await self.api.write(str(switches), b'1', 0)
+                    await self.api.write(str(fault_settings), b'1', 0)
                 await self._put_faults({})
-                found = await self.api.read(str(switches))
+                found = await self.api.read(str(fault_settings))
                 self.assertEqual(found is not None, wrote)
 
     async def test_stale(self) -> None:
@@ -179,8 +179,8 @@
             await self.api.write('k', b'', 0)
         await self.api.write('k', b'', 0)
 
-    async def _put_faults(self, switches: dict[str, Any]) -> None:
-        self.standin.put_faults(**switches)
+    async def _put_faults(self, fault_settings: dict[str, Any]) -> None:
+        self.standin.put_faults(**fault_settings)
         await self.standin.settle()
 
 
--- a/beryllug/standins/parties_test.py
+++ b/beryllug/standins/parties_test.py
@@ -46,17 +46,17 @@
         self.client = http_client.HttpClient()
         self.addAsyncCleanup(self.client.close)
 
-    async def begin(self, standin: party.StandIn) -> str:
+    async def start_stand_in(self, standin: party.StandIn) -> str:
         """Start a stand-in and stop it at the end of the test."""
         address = await standin.start()
         self.addAsyncCleanup(standin.stop)
         return address
 
-    async def switch(
-        self, standin: party.StandIn, switches: dict[str, Any]
+    async def put_faults_by_http(
+        self, standin: party.StandIn, fault_settings: dict[str, Any]
     ) -> None:
         """Replace the injected faults through the control address."""
-        body = json.dumps(switches).encode()
+        body = json.dumps(fault_settings).encode()
         outgoing = http_data.Outgoing('PUT', '/faults', {}, body)
         incoming, _ = await self.client.call(standin.control_address, outgoing)
         self.assertEqual(incoming.status, 200)
@@ -70,7 +70,7 @@
         """Start a stand-in with two hosts."""
         await super().asyncSetUp()
         self.standin = host_list_standin.stand_in()
-        self.address = await self.begin(self.standin)
+        self.address = await self.start_stand_in(self.standin)
         self.api: host_list.HostList = host_list.HttpHostList(
             self.client, self.address, TIMEOUT_S
         )
@@ -97,12 +97,12 @@
 
     async def test_unavailable(self) -> None:
         """Every failure raises HostListError, and reading then recovers."""
-        for switches in UNUSABLE:
-            with self.subTest(str(switches)):
-                await self.switch(self.standin, switches)
+        for fault_settings in UNUSABLE:
+            with self.subTest(str(fault_settings)):
+                await self.put_faults_by_http(self.standin, fault_settings)
                 with self.assertRaises(host_list.HostListError):
                     await self.api.read()
-        await self.switch(self.standin, {})
+        await self.put_faults_by_http(self.standin, {})
         self.assertEqual(await self.api.read(), HOSTS)
 
 
@@ -113,7 +113,7 @@
         """Start a stand-in."""
         await super().asyncSetUp()
         self.standin = plain_standin.stand_in()
-        self.address = await self.begin(self.standin)
+        self.address = await self.start_stand_in(self.standin)
         self.api: plain_service.PlainService = plain_service.HttpPlainService(
             self.client
         )
@@ -152,10 +152,10 @@
             ({'reset_at_byte': 5, 'hard_reset': True}, broken, 1),
             ({'poison': 's1'}, broken, 0),
         )
-        for switches, expected, runs in cases:
-            with self.subTest(str(switches)):
+        for fault_settings, expected, runs in cases:
+            with self.subTest(str(fault_settings)):
                 self._behaviour().runs.clear()
-                await self.switch(self.standin, switches)
+                await self.put_faults_by_http(self.standin, fault_settings)
                 self.assertEqual(await self._try_hold(), expected)
                 self.assertEqual(len(self._behaviour().runs), runs)
 
@@ -191,7 +191,7 @@
         """Start a stand-in."""
         await super().asyncSetUp()
         self.standin = rating_standin.stand_in()
-        self.address = await self.begin(self.standin)
+        self.address = await self.start_stand_in(self.standin)
         self.api: rating.Rater = rating.HttpRater(self.client, self.address)
 
     async def test_rating(self) -> None:
@@ -212,9 +212,9 @@
     async def test_unavailable(self) -> None:
         """Every failure, including a timeout, raises RatingError."""
         ask = rating.RatingAsk('r1', VERSION, 'text')
-        for switches in UNUSABLE:
-            with self.subTest(str(switches)):
-                await self.switch(self.standin, switches)
+        for fault_settings in UNUSABLE:
+            with self.subTest(str(fault_settings)):
+                await self.put_faults_by_http(self.standin, fault_settings)
                 with self.assertRaises(rating.RatingError):
                     await self.api.rate(ask, TIMEOUT_S)
 
@@ -227,7 +227,7 @@
         await super().asyncSetUp()
         cfg = weight_standin.WeightStoreCfg(('small@v1',), 7, 2.0)
         self.standin = weight_standin.stand_in(cfg)
-        self.address = await self.begin(self.standin)
+        self.address = await self.start_stand_in(self.standin)
         self.api: weight_store.WeightStore = weight_store.HttpWeightStore(
             self.client, self.address, TIMEOUT_S
         )
@@ -243,9 +243,9 @@
 
     async def test_unavailable(self) -> None:
         """Every failure raises WeightStoreError."""
-        for switches in UNUSABLE:
-            with self.subTest(str(switches)):
-                await self.switch(self.standin, switches)
+        for fault_settings in UNUSABLE:
+            with self.subTest(str(fault_settings)):
+                await self.put_faults_by_http(self.standin, fault_settings)
                 with self.assertRaises(weight_store.WeightStoreError):
                     await self.api.read(VERSION)
 
--- a/beryllug/standins/party.py
+++ b/beryllug/standins/party.py
@@ -39,11 +39,11 @@
     """Serves one external service until it is stopped."""
 
     def __init__(
-        self, party: Behaviour, switches: faults.FaultInjector
+        self, party: Behaviour, injector: faults.FaultInjector
     ) -> None:
         """Store the behaviour and its faults; `start` opens the sockets."""
         self.party = party
-        self.switches = switches
+        self.injector = injector
         self.address = ''
         self.control_address = ''
         self.crashes = 0
@@ -51,7 +51,7 @@
         self._control = http_server.HttpServer(self._handle_control, LIMITS)
         self._tasks: set[asyncio.Task[None]] = set()
         self._socket_lock = asyncio.Lock()
-        switches.add_listener(self._apply_faults)
+        injector.add_listener(self._apply_faults)
 
     async def start(self, host: str = HOST, port: int = 0) -> str:
         """Start listening and return the address as ``ip:port``."""
@@ -71,7 +71,7 @@
 
     def put_faults(self, **fault_settings: Any) -> None:
         """Replace the injected faults; omitted ones are disabled."""
-        self.switches.put(options.build(faults.Faults, fault_settings))
+        self.injector.put(options.build(faults.Faults, fault_settings))
 
     def crash(self) -> None:
         """Close every connection, refuse new ones and lose volatile state.
@@ -98,14 +98,14 @@
             self._spawn(self._update_listener())
 
     async def _update_listener(self) -> None:
-        if self.switches.active.refuse:
+        if self.injector.active.refuse:
             await self._close()
         else:
             await self._open()
 
     async def _crash_and_restart(self) -> None:
         await self._close()
-        restart_s = self.switches.active.restart_s
+        restart_s = self.injector.active.restart_s
         if restart_s >= 0:
             await asyncio.sleep(restart_s)
             await self._update_listener()
@@ -133,9 +133,9 @@
         if req.target in {'/faults', '/record'}:
             await self._handle_control(req, exchange)
             return
-        injected = self.switches.faults_for(req)
+        injected = self.injector.faults_for(req)
         if await faults.inject_before_execution(
-            exchange, injected, self.switches
+            exchange, injected, self.injector
         ):
             await self.party.handle(req, faults.Response(exchange, injected))
 
@@ -144,7 +144,7 @@
     ) -> None:
         match req.method, req.target:
             case 'GET', '/faults':
-                snapshot = self.switches.active._asdict()
+                snapshot = self.injector.active._asdict()
                 await exchange.respond_json(HTTPStatus.OK, snapshot)
             case 'PUT', '/faults':
                 await self._put_faults(req, exchange)
@@ -164,5 +164,5 @@
             await exchange.respond_json(HTTPStatus.BAD_REQUEST, invalid)
             return
         await exchange.respond_json(
-            HTTPStatus.OK, self.switches.active._asdict()
+            HTTPStatus.OK, self.injector.active._asdict()
         )
--- a/beryllug/standins/serve_test.py
+++ b/beryllug/standins/serve_test.py
@@ -42,15 +42,17 @@
         assert process.stdout is not None
         word, address, control = (await process.stdout.readline()).split()
         self.assertEqual(word, b'ready')
-        await self._switch(control.decode(), {'unavailable': True})
+        await self._put_faults(control.decode(), {'unavailable': True})
         status = await _status(address.decode(), '/v1/any')
         self.assertEqual(status, 503, kind)
         process.terminate()
         self.assertEqual(await process.wait(), 0, kind)
 
-    async def _switch(self, control: str, switches: dict[str, bool]) -> None:
+    async def _put_faults(
+        self, control: str, fault_settings: dict[str, bool]
+    ) -> None:
         client = http_client.HttpClient()
-        body = json.dumps(switches).encode()
+        body = json.dumps(fault_settings).encode()
         outgoing = http_data.Outgoing('PUT', '/faults', {}, body)
         incoming, _ = await client.call(control, outgoing)
         self.assertEqual(incoming.status, 200)
