--- a/beryllug/standins/faults.py
+++ b/beryllug/standins/faults.py
@@ -41,13 +41,13 @@
         lag_s: Reports return the state this many seconds ago.
         gap_rate: Fraction of events omitted from a feed.
         ignore_fencing: Execute orders with an outdated fencing token.
-        poison: A prompt that contains this text crashes the engine.
-        restart_s: Seconds until a crashed engine restarts; -1 for never.
-        slow_factor: Multiplier for the processing time of an engine.
+        poison: A request that contains this text crashes the service.
+        restart_s: Seconds until a crashed stand-in restarts; -1 for never.
+        slow_factor: Multiplier for the processing time.
         version_errors: Fraction of runs that fail, by version.
         version_quality: Added to the response quality, by version.
         bias: Added to every rating.
-        seed: Seed for all random decisions.
+        seed: Seed of the injector's random decisions.
     """
 
     only: str = ''
--- a/beryllug/standins/platform_runner.py
+++ b/beryllug/standins/platform_runner.py
@@ -116,8 +116,8 @@
         """Create an idle server with an empty prefix cache."""
         self.cfg = cfg
         self.runs: list[Run] = []
-        self.ended: list[str] = []
-        self.refused = 0
+        self.completed_attempts: list[str] = []
+        self.rejected_count = 0
         self.cut_after: int | None = None
         self.stall_after: int | None = None
         self.is_sealed = True
@@ -195,7 +195,7 @@
             await asyncio.sleep(self.cfg.work_s)
             body = f'{req.method} {req.target}'.encode() + req.body
             await response.respond(HTTPStatus.OK, body, self._headers(parsed))
-        self.ended.append(parsed.attempt_id)
+        self.completed_attempts.append(parsed.attempt_id)
 
     async def _prefill(self, parsed: requests.Asked) -> None:
         prefix = (parsed.model, parsed.shared)
@@ -229,7 +229,7 @@
         await response.finish()
 
     async def _refuse(self, status: int, response: faults.Response) -> None:
-        self.refused += 1
+        self.rejected_count += 1
         headers = {names.NOT_RUN: '1', names.INSTANCE: self.cfg.instance}
         is_unavailable = status == HTTPStatus.SERVICE_UNAVAILABLE
         if is_unavailable and self.states.retry_after_s is not None:
