--- a/beryllug/standins/parties_test.py
+++ b/beryllug/standins/parties_test.py
@@ -1,4 +1,4 @@
-"""Contracts of the small parties, run against their stand-ins."""
+"""Contract tests of the smaller external services and their clients."""
 
 import json
 import unittest
@@ -29,7 +29,7 @@
         's2', '127.0.0.1:8', 'z2', 'plain', view_data.ServerState.LIVE
     ),
 )
-# Each leaves the call without an answer that can be used.
+# Each leaves the call without a usable response.
 UNUSABLE: tuple[dict[str, Any], ...] = (
     {'refuse': True},
     {'unavailable': True},
@@ -46,17 +46,17 @@
         self.client = http_client.HttpClient()
         self.addAsyncCleanup(self.client.close)
 
-    async def begin(self, standin: party.StandIn) -> str:
-        """Start a stand-in that the test stops."""
+    async def start_stand_in(self, standin: party.StandIn) -> str:
+        """Start a stand-in and stop it at the end of the test."""
         address = await standin.start()
         self.addAsyncCleanup(standin.stop)
         return address
 
-    async def switch(
-        self, standin: party.StandIn, switches: dict[str, Any]
+    async def put_faults_by_http(
+        self, standin: party.StandIn, fault_settings: dict[str, Any]
     ) -> None:
-        """Replace the fault switches through the control address."""
-        body = json.dumps(switches).encode()
+        """Replace the injected faults through the control address."""
+        body = json.dumps(fault_settings).encode()
         outgoing = http_data.Outgoing('PUT', '/faults', {}, body)
         incoming, _ = await self.client.call(standin.control_address, outgoing)
         self.assertEqual(incoming.status, 200)
@@ -70,7 +70,7 @@
         """Start a stand-in with two hosts."""
         await super().asyncSetUp()
         self.standin = host_list_standin.stand_in()
-        self.address = await self.begin(self.standin)
+        self.address = await self.start_stand_in(self.standin)
         self.api: host_list.HostList = host_list.HttpHostList(
             self.client, self.address, TIMEOUT_S
         )
@@ -79,13 +79,13 @@
         await self.client.call(self.address, outgoing)
 
     async def test_read(self) -> None:
-        """All hosts are read with their state."""
+        """Reading returns all hosts with their state."""
         self.assertEqual(await self.api.read(), HOSTS)
 
     async def test_lag(self) -> None:
-        """A leaving host still shows as live while the list lags."""
+        """A change of state becomes visible only after the lag."""
         behaviour = self.standin.party
-        assert isinstance(behaviour, host_list_standin.HostListParty)
+        assert isinstance(behaviour, host_list_standin.HostListBehaviour)
         leaving = view_data.ServerState.LEAVING
         for lag_s, expected in ((0.0, leaving), (60.0, None)):
             with self.subTest(lag_s=lag_s):
@@ -96,13 +96,13 @@
                 self.assertEqual(state, expected)
 
     async def test_unavailable(self) -> None:
-        """Every failure is one error, after which reading works again."""
-        for switches in UNUSABLE:
-            with self.subTest(str(switches)):
-                await self.switch(self.standin, switches)
+        """Every failure raises HostListError, and reading then recovers."""
+        for fault_settings in UNUSABLE:
+            with self.subTest(str(fault_settings)):
+                await self.put_faults_by_http(self.standin, fault_settings)
                 with self.assertRaises(host_list.HostListError):
                     await self.api.read()
-        await self.switch(self.standin, {})
+        await self.put_faults_by_http(self.standin, {})
         self.assertEqual(await self.api.read(), HOSTS)
 
 
@@ -113,13 +113,13 @@
         """Start a stand-in."""
         await super().asyncSetUp()
         self.standin = plain_standin.stand_in()
-        self.address = await self.begin(self.standin)
+        self.address = await self.start_stand_in(self.standin)
         self.api: plain_service.PlainService = plain_service.HttpPlainService(
             self.client
         )
 
     async def test_holds(self) -> None:
-        """A hold that comes twice is held twice, and counted."""
+        """A hold received twice is stored twice and counted."""
         for doubled in (0, 1):
             status, shown = await self._hold('s1')
             self.assertEqual((status, shown['holds']), (201, doubled + 1))
@@ -127,7 +127,7 @@
             self.assertEqual(self._behaviour().doubled, doubled)
 
     async def test_any_path(self) -> None:
-        """Any other call is answered with what was run."""
+        """Any other call returns the recorded run."""
         ask = plain_service.PlainAsk('r1', 'acme', 'GET', '/desk/7?x=1')
         incoming = await self.api.call(self.address, ask)
         shown = await incoming.read_json()
@@ -137,10 +137,11 @@
         )
 
     async def test_faults(self) -> None:
-        """A call that fails has run just where its error allows it.
+        """A failed call has run only if its error permits that.
 
-        Each row breaks the call at one step. NotSentError and a declining
-        answer mean that the service never ran it; BrokenError says nothing.
+        Each case fails the call at one step. NotSentError and a declining
+        response mean that the service did not run it; BrokenError leaves
+        both possible.
         """
         broken = 'BrokenError'
         cases: tuple[tuple[dict[str, Any], str, int], ...] = (
@@ -151,10 +152,10 @@
             ({'reset_at_byte': 5, 'hard_reset': True}, broken, 1),
             ({'poison': 's1'}, broken, 0),
         )
-        for switches, expected, runs in cases:
-            with self.subTest(str(switches)):
+        for fault_settings, expected, runs in cases:
+            with self.subTest(str(fault_settings)):
                 self._behaviour().runs.clear()
-                await self.switch(self.standin, switches)
+                await self.put_faults_by_http(self.standin, fault_settings)
                 self.assertEqual(await self._try_hold(), expected)
                 self.assertEqual(len(self._behaviour().runs), runs)
 
@@ -177,9 +178,9 @@
         finally:
             incoming.close()
 
-    def _behaviour(self) -> plain_standin.PlainServiceParty:
+    def _behaviour(self) -> plain_standin.PlainServiceBehaviour:
         behaviour = self.standin.party
-        assert isinstance(behaviour, plain_standin.PlainServiceParty)
+        assert isinstance(behaviour, plain_standin.PlainServiceBehaviour)
         return behaviour
 
 
@@ -190,11 +191,11 @@
         """Start a stand-in."""
         await super().asyncSetUp()
         self.standin = rating_standin.stand_in()
-        self.address = await self.begin(self.standin)
+        self.address = await self.start_stand_in(self.standin)
         self.api: rating.Rater = rating.HttpRater(self.client, self.address)
 
     async def test_rating(self) -> None:
-        """The rating follows the answer's quality, and a bias moves it."""
+        """The rating is the quality in the text plus the bias, clamped."""
         cases = (
             ('[r1] quality=0.750 oil', 0.0, 0.75),
             ('[r1] quality=0.750 oil', -0.5, 0.25),
@@ -209,11 +210,11 @@
                 self.assertAlmostEqual(found, expected)
 
     async def test_unavailable(self) -> None:
-        """Every failure is one error, and a slow rating is a failure."""
+        """Every failure, including a timeout, raises RatingError."""
         ask = rating.RatingAsk('r1', VERSION, 'text')
-        for switches in UNUSABLE:
-            with self.subTest(str(switches)):
-                await self.switch(self.standin, switches)
+        for fault_settings in UNUSABLE:
+            with self.subTest(str(fault_settings)):
+                await self.put_faults_by_http(self.standin, fault_settings)
                 with self.assertRaises(rating.RatingError):
                     await self.api.rate(ask, TIMEOUT_S)
 
@@ -226,13 +227,13 @@
         await super().asyncSetUp()
         cfg = weight_standin.WeightStoreCfg(('small@v1',), 7, 2.0)
         self.standin = weight_standin.stand_in(cfg)
-        self.address = await self.begin(self.standin)
+        self.address = await self.start_stand_in(self.standin)
         self.api: weight_store.WeightStore = weight_store.HttpWeightStore(
             self.client, self.address, TIMEOUT_S
         )
 
     async def test_read(self) -> None:
-        """Known versions have facts, and reads over the rate are refused."""
+        """Known versions have metadata; reads over the rate are rejected."""
         found = await self.api.read(VERSION)
         self.assertEqual(found and found.size_bytes, 7)
         other = config_data.VersionRef('small', 'v2')
@@ -241,10 +242,10 @@
             await self.api.read(VERSION)
 
     async def test_unavailable(self) -> None:
-        """Every failure is one error."""
-        for switches in UNUSABLE:
-            with self.subTest(str(switches)):
-                await self.switch(self.standin, switches)
+        """Every failure raises WeightStoreError."""
+        for fault_settings in UNUSABLE:
+            with self.subTest(str(fault_settings)):
+                await self.put_faults_by_http(self.standin, fault_settings)
                 with self.assertRaises(weight_store.WeightStoreError):
                     await self.api.read(VERSION)
 
--- a/beryllug/standins/platform_runner.py
+++ b/beryllug/standins/platform_runner.py
@@ -1,10 +1,11 @@
 """Stand-in for a backend server of the platform: a model runner or a service.
 
-It has places and a short queue, reads prompts one after the other and keeps
-what it has read by model, states how sure a model is, resumes a stream behind
-an event, seals its answers, and refuses what is meant for another instance.
-Besides the fault switches of all stand-ins it has some of its own kind of
-trouble, drawn by `Trouble`.
+It has request slots and a short queue, processes prompts one at a time and
+caches the processed prefixes by model. It reports a model's confidence,
+resumes a stream after a given event, seals its responses and rejects requests
+meant for another instance. Besides the faults common to all stand-ins it has
+faults of its own, set by the attributes `cut_after`, `stall_after`,
+`is_sealed`, `refused_model` and `states`.
 """
 
 import asyncio
@@ -20,24 +21,24 @@
 
 MS = 1000
 PERCENT = 100
-SURE = 100
-SMALL_SURE = 54
+FULL_CONFIDENCE = 100
+SMALL_CONFIDENT_PERCENT = 54
 
 
 class PlatformRunnerCfg(NamedTuple):
     """Options of a backend server.
 
     Attributes:
-        instance: Id of this start of it.
-        version: Version of its software.
-        slots: Requests that it runs at once.
-        queue: Requests that wait; more are refused.
-        work_s: Seconds of a plain call.
-        events: Events of a stream.
+        instance: Id of the server instance.
+        version: Version of the server software.
+        slots: Maximum number of concurrent requests.
+        queue: Maximum number of waiting requests; more are rejected.
+        work_s: Seconds per plain request.
+        events: Number of events in a stream.
         event_s: Seconds between two events.
-        token_s: Seconds to read one token, on a model of pace one.
-        paces: How much longer each model takes, by its name.
-        error_rate: Share of requests that it fails.
+        token_s: Prefill seconds per token, for a model with factor 1.
+        paces: Prefill time factor by model name; 1 by default.
+        error_rate: Fraction of requests that fail.
     """
 
     instance: str
@@ -53,15 +54,15 @@
 
 
 class Run(NamedTuple):
-    """A request that began to run, as the server saw it.
+    """A request that the server started to run.
 
     Attributes:
-        attempt_id: Id of the caller's try.
-        account: Client account that it came for.
-        model: Model that it named.
-        last_event: Event that it goes on from, or empty.
+        attempt_id: Id of the caller's attempt.
+        account: Client account of the request.
+        model: Requested model.
+        last_event: Event after which the stream resumes, or empty.
         headers: All headers.
-        at: Monotonic second at which it began.
+        at: Monotonic start time in seconds.
     """
 
     attempt_id: str
@@ -73,13 +74,13 @@
 
 
 class Statement(NamedTuple):
-    """What a server's answers say of the server itself.
+    """Server status that a server reports in its response headers.
 
     Attributes:
-        limit_per_s: Limit in requests a second; None for none.
-        is_leaving: Whether it leaves.
-        retry_after_s: Seconds after which callers may come back, as it refuses
-            their requests; None where it takes them.
+        limit_per_s: Limit in requests per second; None for no limit.
+        is_leaving: Whether the server is leaving.
+        retry_after_s: Seconds after which callers may retry, while the server
+            rejects requests; None if it accepts them.
     """
 
     limit_per_s: float | None = None
@@ -88,12 +89,12 @@
 
 
 class Arrival(NamedTuple):
-    """A request that reached the server, run or refused.
+    """A request that reached the server, whether run or rejected.
 
     Attributes:
-        attempt_id: Id of the caller's try.
-        at: Monotonic second.
-        answered: What its answer says of the server.
+        attempt_id: Id of the caller's attempt.
+        at: Monotonic time of arrival in seconds.
+        answered: Server status that the response reports.
     """
 
     attempt_id: str
@@ -102,65 +103,65 @@
 
 
 class PlatformRunner:
-    """A backend server without its sockets.
+    """Behaviour of a backend server, independent of sockets.
 
     Attributes:
-        states: What its answers say of it.
-        arrivals: Requests that reached it and were meant for it.
+        states: Server status that its responses report.
+        arrivals: Requests that reached it and were meant for this instance.
     """
 
     def __init__(
-        self, cfg: PlatformRunnerCfg, switches: faults.Switches
+        self, cfg: PlatformRunnerCfg, injector: faults.FaultInjector
     ) -> None:
-        """Begin idle, with nothing read."""
+        """Create an idle server with an empty prefix cache."""
         self.cfg = cfg
         self.runs: list[Run] = []
-        self.ended: list[str] = []
-        self.refused = 0
+        self.completed_attempts: list[str] = []
+        self.rejected_count = 0
         self.cut_after: int | None = None
         self.stall_after: int | None = None
         self.is_sealed = True
         self.refused_model = ''
         self.states = Statement()
         self.arrivals: list[Arrival] = []
-        self._switches = switches
+        self._injector = injector
         self._running = 0
-        self._read: set[tuple[str, str]] = set()
-        self._reading = asyncio.Lock()
+        self._cached_prefixes: set[tuple[str, str]] = set()
+        self._prefill_lock = asyncio.Lock()
 
     def record(self) -> Any:
         """Return the ids of the requests that ran."""
         return {'runs': [run.attempt_id for run in self.runs]}
 
     def crash(self) -> None:
-        """Forget the prompts that were read."""
-        self._read.clear()
+        """Lose the prefix cache."""
+        self._cached_prefixes.clear()
 
     async def handle(
-        self, req: http_data.Request, answer: faults.Answer
+        self, req: http_data.Request, response: faults.Response
     ) -> None:
-        """Answer one request."""
-        asked = requests.read(req)
+        """Handle one request."""
+        parsed = requests.read(req)
         expected = req.headers.get(names.EXPECT_INSTANCE, self.cfg.instance)
         if expected != self.cfg.instance:
-            await self._refuse(HTTPStatus.MISDIRECTED_REQUEST, answer)
+            await self._refuse(HTTPStatus.MISDIRECTED_REQUEST, response)
             return
         self.arrivals.append(
-            Arrival(asked.attempt_id, time.monotonic(), self.states)
+            Arrival(parsed.attempt_id, time.monotonic(), self.states)
         )
-        if self._is_refused(asked):
-            await self._refuse(HTTPStatus.SERVICE_UNAVAILABLE, answer)
+        if self._is_refused(parsed):
+            await self._refuse(HTTPStatus.SERVICE_UNAVAILABLE, response)
             return
         self._running += 1
         try:
-            await self._run(req, asked, answer)
+            await self._run(req, parsed, response)
         finally:
             self._running -= 1
 
-    def _is_refused(self, asked: requests.Asked) -> bool:
+    def _is_refused(self, parsed: requests.Asked) -> bool:
         is_full = self._running >= self.cfg.slots + self.cfg.queue
-        is_refused_model = bool(asked.model) and (
-            asked.model == self.refused_model
+        is_refused_model = bool(parsed.model) and (
+            parsed.model == self.refused_model
         )
         return (
             is_full or is_refused_model or self.states.retry_after_s is not None
@@ -169,97 +170,101 @@
     async def _run(
         self,
         req: http_data.Request,
-        asked: requests.Asked,
-        answer: faults.Answer,
+        parsed: requests.Asked,
+        response: faults.Response,
     ) -> None:
-        if asked.shared or asked.own_tokens:
-            await self._read_prompt(asked)
+        if parsed.shared or parsed.own_tokens:
+            await self._prefill(parsed)
         self.runs.append(
             Run(
-                asked.attempt_id,
+                parsed.attempt_id,
                 req.headers.get(names.TENANT, ''),
-                asked.model,
-                asked.last_event,
+                parsed.model,
+                parsed.last_event,
                 req.headers,
                 time.monotonic(),
             )
         )
-        if self._switches.chance(self.cfg.error_rate):
-            await answer.respond(
-                HTTPStatus.INTERNAL_SERVER_ERROR, b'', self._headers(asked)
+        if self._injector.should_inject(self.cfg.error_rate):
+            await response.respond(
+                HTTPStatus.INTERNAL_SERVER_ERROR, b'', self._headers(parsed)
             )
-        elif asked.model:
-            await self._stream(asked, answer)
+        elif parsed.model:
+            await self._stream(parsed, response)
         else:
             await asyncio.sleep(self.cfg.work_s)
             body = f'{req.method} {req.target}'.encode() + req.body
-            await answer.respond(HTTPStatus.OK, body, self._headers(asked))
-        self.ended.append(asked.attempt_id)
-
-    async def _read_prompt(self, asked: requests.Asked) -> None:
-        kept = (asked.model, asked.shared)
-        tokens = asked.own_tokens
-        if kept not in self._read:
-            tokens += asked.shared_tokens
-        async with self._reading:
-            pace = self.cfg.paces.get(asked.model, 1)
-            slow = self._switches.present.slow_factor
-            await asyncio.sleep(tokens * self.cfg.token_s * pace * slow)
-        self._read.add(kept)
+            await response.respond(HTTPStatus.OK, body, self._headers(parsed))
+        self.completed_attempts.append(parsed.attempt_id)
+
+    async def _prefill(self, parsed: requests.Asked) -> None:
+        prefix = (parsed.model, parsed.shared)
+        tokens = parsed.own_tokens
+        if prefix not in self._cached_prefixes:
+            tokens += parsed.shared_tokens
+        async with self._prefill_lock:
+            pace = self.cfg.paces.get(parsed.model, 1)
+            factor = self._injector.active.slow_factor
+            await asyncio.sleep(tokens * self.cfg.token_s * pace * factor)
+        self._cached_prefixes.add(prefix)
 
     async def _stream(
-        self, asked: requests.Asked, answer: faults.Answer
+        self, parsed: requests.Asked, response: faults.Response
     ) -> None:
-        headers = self._headers(asked)
+        headers = self._headers(parsed)
         headers[names.CONTENT_TYPE] = names.EVENT_STREAM
-        headers[names.CONFIDENCE] = str(_sure(asked))
-        first = int(asked.last_event or 0) + 1
-        await answer.start(HTTPStatus.OK, headers)
+        headers[names.CONFIDENCE] = str(_confidence(parsed))
+        first = int(parsed.last_event or 0) + 1
+        await response.start(HTTPStatus.OK, headers)
         for number in range(first, self.cfg.events + 1):
             if number == self.cut_after:
-                await answer.send(b'id: %d\ndata: ha' % number)
-                answer.cut()
+                await response.send(b'id: %d\ndata: ha' % number)
+                response.abort_connection()
             if number == self.stall_after:
                 await asyncio.Event().wait()
-            data = f'{asked.model} {number}'
+            data = f'{parsed.model} {number}'
             event = f'id: {number}\ndata: {data}\n\n'
-            await answer.send(event.encode())
+            await response.send(event.encode())
             await asyncio.sleep(self.cfg.event_s)
-        await answer.finish()
+        await response.finish()
 
-    async def _refuse(self, status: int, answer: faults.Answer) -> None:
-        self.refused += 1
+    async def _refuse(self, status: int, response: faults.Response) -> None:
+        self.rejected_count += 1
         headers = {names.NOT_RUN: '1', names.INSTANCE: self.cfg.instance}
         is_unavailable = status == HTTPStatus.SERVICE_UNAVAILABLE
         if is_unavailable and self.states.retry_after_s is not None:
             headers[names.RETRY_AFTER] = str(self.states.retry_after_s)
-        await answer.respond(status, b'', headers | self._stated())
+        await response.respond(status, b'', headers | self._status_headers())
 
-    def _headers(self, asked: requests.Asked) -> dict[str, str]:
-        headers = {names.ATTEMPT: asked.attempt_id}
+    def _headers(self, parsed: requests.Asked) -> dict[str, str]:
+        headers = {names.ATTEMPT: parsed.attempt_id}
         if self.is_sealed:
-            headers[names.SEAL] = f'{self.cfg.instance}.{asked.attempt_id}'
-        return headers | self._stated()
+            headers[names.SEAL] = f'{self.cfg.instance}.{parsed.attempt_id}'
+        return headers | self._status_headers()
 
-    def _stated(self) -> dict[str, str]:
-        """Return what all answers say of the server itself."""
-        stated = {}
+    def _status_headers(self) -> dict[str, str]:
+        """Return the headers that report the server status."""
+        reported = {}
         if self.states.limit_per_s is not None:
-            stated[names.LIMIT] = str(self.states.limit_per_s)
+            reported[names.LIMIT] = str(self.states.limit_per_s)
         if self.states.is_leaving:
-            stated[names.LEAVING] = '1'
-        return stated
+            reported[names.LEAVING] = '1'
+        return reported
 
 
 def stand_in(cfg: PlatformRunnerCfg) -> party.StandIn:
-    """Make the stand-in."""
-    switches = faults.Switches()
-    return party.StandIn(PlatformRunner(cfg, switches), switches)
-
-
-def _sure(asked: requests.Asked) -> int:
-    """Return how sure a model is: a small one of about half its answers."""
-    if not asked.model.startswith('small'):
-        return SURE
-    drawn = zlib.crc32(asked.attempt_id.encode()) % PERCENT
-    return SURE if drawn < SMALL_SURE else drawn - SMALL_SURE
+    """Create a backend server stand-in; `start` opens its sockets."""
+    injector = faults.FaultInjector()
+    return party.StandIn(PlatformRunner(cfg, injector), injector)
+
+
+def _confidence(parsed: requests.Asked) -> int:
+    """Return the confidence; small models are sure in about half the cases."""
+    if not parsed.model.startswith('small'):
+        return FULL_CONFIDENCE
+    hashed = zlib.crc32(parsed.attempt_id.encode()) % PERCENT
+    return (
+        FULL_CONFIDENCE
+        if hashed < SMALL_CONFIDENT_PERCENT
+        else hashed - SMALL_CONFIDENT_PERCENT
+    )
--- a/beryllug/standins/serve_test.py
+++ b/beryllug/standins/serve_test.py
@@ -1,4 +1,4 @@
-"""Stand-ins as processes: ready line, switches from outside, SIGTERM."""
+"""Tests of stand-ins as processes: ready line, faults and SIGTERM."""
 
 import asyncio
 import json
@@ -19,50 +19,52 @@
 
 
 class ServeTest(unittest.IsolatedAsyncioTestCase):
-    """Each kind runs as a process of its own."""
+    """Each kind runs as a separate process."""
 
     async def test_kinds(self) -> None:
-        """Each prints its addresses, takes switches, and ends on SIGTERM."""
+        """Each prints its addresses, accepts faults and exits on SIGTERM."""
         self.assertEqual({kind for kind, _ in OPTIONS}, set(serve.KINDS))
         await asyncio.gather(*(self._run(*each) for each in OPTIONS))
 
     async def test_bad_options(self) -> None:
-        """A wrong kind or option ends the process with a code other than 0."""
-        for given in (
+        """An invalid kind or option gives a non-zero exit code."""
+        for arguments in (
             ('nothing',),
             ('engine', '--tokens=x'),
             ('engine', '--x'),
         ):
-            with self.subTest(str(given)):
-                process = await _begin(*given)
+            with self.subTest(str(arguments)):
+                process = await _start_process(*arguments)
                 self.assertNotEqual(await process.wait(), 0)
 
-    async def _run(self, kind: str, given: tuple[str, ...]) -> None:
-        process = await _begin(kind, *given)
+    async def _run(self, kind: str, arguments: tuple[str, ...]) -> None:
+        process = await _start_process(kind, *arguments)
         assert process.stdout is not None
         word, address, control = (await process.stdout.readline()).split()
         self.assertEqual(word, b'ready')
-        await self._switch(control.decode(), {'unavailable': True})
+        await self._put_faults(control.decode(), {'unavailable': True})
         status = await _status(address.decode(), '/v1/any')
         self.assertEqual(status, 503, kind)
         process.terminate()
         self.assertEqual(await process.wait(), 0, kind)
 
-    async def _switch(self, control: str, switches: dict[str, bool]) -> None:
+    async def _put_faults(
+        self, control: str, fault_settings: dict[str, bool]
+    ) -> None:
         client = http_client.HttpClient()
-        body = json.dumps(switches).encode()
+        body = json.dumps(fault_settings).encode()
         outgoing = http_data.Outgoing('PUT', '/faults', {}, body)
         incoming, _ = await client.call(control, outgoing)
         self.assertEqual(incoming.status, 200)
         await client.close()
 
 
-async def _begin(*given: str) -> asyncio.subprocess.Process:
+async def _start_process(*arguments: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable,
         '-m',
         'beryllug.standins.serve',
-        *given,
+        *arguments,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.DEVNULL,
     )
