--- a/beryllug/proofs/__init__.py
+++ b/beryllug/proofs/__init__.py
@@ -1,4 +1,5 @@
-"""Proofs of the promises with real processes on loopback.
+"""End-to-end tests of the guarantees, with real processes on loopback.
 
-Each checks the record of the other side, not our own counters.
+Each test checks the records of the stand-ins rather than the counters of the
+system under test.
 """
--- a/beryllug/proofs/answers_test.py
+++ b/beryllug/proofs/answers_test.py
@@ -1,4 +1,4 @@
-"""Every caller gets the whole answer to its own request, and no other's."""
+"""Tests that each caller gets only the full response to its own request."""
 
 import asyncio
 import json
@@ -18,25 +18,25 @@
 )
 
 CALLERS = 40
-EACH = 25
+REQUESTS_PER_CALLER = 25
 CANCELLED_SHARE = 0.25
-LONGEST_WAIT_S = 0.05
+MAX_DELAY_S = 0.05
 TOKEN_S = 0.001
-BIG_TOKENS = 32000
-SMALL_READ = 512
-BESIDE = 40
+LONG_STREAM_TOKENS = 32000
+SMALL_READ_BYTES = 512
+CONCURRENT_REQUESTS = 40
 
 
 class AnswersTest(unittest.IsolatedAsyncioTestCase):
-    """One entry host, so that all answers share its few connections."""
+    """One entry host, so that all responses share its few connections."""
 
     async def asyncSetUp(self) -> None:
-        """Start it."""
-        engines = engine_worker.EngineCfg(
+        """Start the deployment."""
+        engine_cfg = engine_worker.EngineCfg(
             concurrency=sample.CONCURRENCY, token_s=TOKEN_S
         )
         servers = tuple(
-            server._replace(engine=engines if server.engine else None)
+            server._replace(engine=engine_cfg if server.engine else None)
             for server in sample.servers()
         )
         plan = sample.plan(hosts=1)._replace(servers=servers)
@@ -50,23 +50,24 @@
         self.host = self.fleet.hosts[0].callers
 
     async def asyncTearDown(self) -> None:
-        """Stop it."""
+        """Stop the deployment."""
         await self.fleet.stop()
 
     async def test_cancelled_beside_others(self) -> None:
-        """A quarter of the callers go away at a random moment.
+        """Cancelled requests leak no data into later responses.
 
-        Their connections to the engines have unread answers, which must not
-        reach whoever uses a connection next. Each answer carries its
-        request's id and a hash of itself.
+        A quarter of the requests are cancelled after a random delay. This
+        leaves unread responses on connections to the engines, which must not
+        be delivered to the next user of the connection. Each response carries
+        its request id and its own hash.
         """
         counts = await asyncio.gather(
-            *(self._call(number) for number in range(CALLERS))
+            *(self._send_requests(number) for number in range(CALLERS))
         )
         await scenario.settle(self.fleet)
-        answered = sum(whole for whole, _ in counts)
-        cancelled = sum(gone for _, gone in counts)
-        self.assertEqual(answered + cancelled, CALLERS * EACH)
+        answered = sum(complete for complete, _ in counts)
+        cancelled = sum(aborted for _, aborted in counts)
+        self.assertEqual(answered + cancelled, CALLERS * REQUESTS_PER_CALLER)
         self.assertGreater(cancelled, CALLERS)
         bills = records.bills(self.fleet)
         self.assertEqual({len(rows) for rows in bills.values()}, {1})
@@ -74,20 +75,20 @@
         states = [found[0].state for found in bills.values()]
         self.assertGreaterEqual(states.count(done), answered)
         print(  # noqa: WPS421
-            f'answers: {answered} whole and own, {cancelled} cancelled, '
+            f'answers: {answered} complete and own, {cancelled} cancelled, '
             f'{len(bills)} bills'
         )
 
     async def test_cancelled_at_engine(self) -> None:
-        """A caller goes away in the middle of a stream: the engine is told."""
-        who = caller.Caller(sample.LARGE_KEY)
+        """A caller disconnects mid-stream; the engine cancels its run."""
+        client = caller.Caller(sample.LARGE_KEY)
         sending = asyncio.create_task(
-            who.chat(
+            client.chat(
                 self.host,
                 'desk-large',
                 'long',
                 stream=True,
-                max_tokens=BIG_TOKENS,
+                max_tokens=LONG_STREAM_TOKENS,
             )
         )
 
@@ -98,7 +99,7 @@
         await harness.wait_for(is_running, harness.READY_S)
         sending.cancel()
         await asyncio.gather(sending, return_exceptions=True)
-        await who.close()
+        await client.close()
 
         async def is_cancelled() -> bool:  # noqa: WPS430
             states = [run.state for run in records.engine_runs_of(self.fleet)]
@@ -115,33 +116,38 @@
         self.assertGreater(rows[0].stages[0].tokens_out, 0)
 
     async def test_slow_reader(self) -> None:
-        """One caller reads a long stream slowly; it holds back itself only.
+        """A slow reader of a long stream delays no other request.
 
-        The entry stops reading that one answer from the engine. Others are
-        answered meanwhile, and the slow one gets every byte.
+        Backpressure makes the entry process pause reading that one response
+        from the engine. Other requests are answered meanwhile, and the slow
+        reader receives every byte.
         """
-        slow = asyncio.create_task(self._read_slowly())
-        who = caller.Caller(sample.LARGE_KEY)
-        for number in range(BESIDE):
-            reply = await who.chat(self.host, 'desk-large', f'{number}')
+        slow_read = asyncio.create_task(self._read_slowly())
+        client = caller.Caller(sample.LARGE_KEY)
+        for number in range(CONCURRENT_REQUESTS):
+            reply = await client.chat(self.host, 'desk-large', f'{number}')
             self.assertEqual(reply.status, harness.OK)
-        await who.close()
-        self.assertFalse(slow.done())
-        body = await slow
+        await client.close()
+        self.assertFalse(slow_read.done())
+        body = await slow_read
         self.assertTrue(body.endswith(b'data: [DONE]\n\n\r\n0\r\n\r\n'))
 
-    async def _call(self, number: int) -> tuple[int, int]:
-        """Send requests one after the other; some are cancelled."""
+    async def _send_requests(self, number: int) -> tuple[int, int]:
+        """Send requests sequentially and cancel some of them.
+
+        Returns:
+            The numbers of complete and of cancelled requests.
+        """
         rng = random.Random(number)
-        who = caller.Caller(sample.LARGE_KEY)
-        whole = 0
-        for index in range(EACH):
+        client = caller.Caller(sample.LARGE_KEY)
+        complete = 0
+        for index in range(REQUESTS_PER_CALLER):
             prompt = f'{number}-{index}'
             sending = asyncio.create_task(
-                who.chat(self.host, 'desk-small', prompt, stream=True)
+                client.chat(self.host, 'desk-small', prompt, stream=True)
             )
             if rng.random() < CANCELLED_SHARE:
-                await asyncio.sleep(rng.random() * LONGEST_WAIT_S)
+                await asyncio.sleep(rng.random() * MAX_DELAY_S)
                 sending.cancel()
             try:
                 reply = await sending
@@ -149,22 +155,22 @@
                 continue
             self.assertEqual(reply.status, harness.OK, reply)
             self.assertTrue(invariants.is_own(reply, prompt), reply)
-            whole += 1
-        await who.close()
-        return whole, EACH - whole
+            complete += 1
+        await client.close()
+        return complete, REQUESTS_PER_CALLER - complete
 
     async def _read_slowly(self) -> bytes:
         body = json.dumps(
             {
                 'model': 'desk-large',
                 'stream': True,
-                'max_tokens': BIG_TOKENS // 16,
+                'max_tokens': LONG_STREAM_TOKENS // 16,
                 'messages': [{'role': 'user', 'content': 'slow'}],
             }
         )
         host, _, port = self.host.rpartition(':')
         reader, writer = await asyncio.open_connection(
-            host, int(port), limit=SMALL_READ
+            host, int(port), limit=SMALL_READ_BYTES
         )
         head = (
             f'POST {caller.CHAT} HTTP/1.1\r\nhost: x\r\n'
@@ -173,11 +179,11 @@
         )
         writer.write(head.encode() + body.encode())
         received = b''
-        for _ in range(BESIDE):
-            received += await reader.read(SMALL_READ)
-            await asyncio.sleep(LONGEST_WAIT_S)
+        for _ in range(CONCURRENT_REQUESTS):
+            received += await reader.read(SMALL_READ_BYTES)
+            await asyncio.sleep(MAX_DELAY_S)
         while not received.endswith(b'\r\n0\r\n\r\n'):
-            received += await reader.read(1024 * SMALL_READ)
+            received += await reader.read(1024 * SMALL_READ_BYTES)
         writer.close()
         return received
 
--- a/beryllug/proofs/bad_input_test.py
+++ b/beryllug/proofs/bad_input_test.py
@@ -1,6 +1,6 @@
-"""Bad input at the entry process: refused as not run, and nothing ran.
+"""Tests that the entry process rejects bad input and runs nothing.
 
-Real processes; what the backend servers ran is read from their records.
+Real processes run; what the backend servers ran is read from their records.
 """
 
 import asyncio
@@ -12,11 +12,11 @@
 KEY = sample.LARGE_KEY.encode()
 HOLDS = '/v1/services/booking/holds'
 SLOW_CLIENTS = 50
-DRIBBLE_S = 0.02
-HANG_S = 20.0
+HEADER_INTERVAL_S = 0.02
+TIMEOUT_S = 20.0
 
-# A hold that would be run if a server took it for a request of its own.
-HIDDEN_HOLD = (
+# A smuggled hold, which runs if a server parses it as a separate request.
+SMUGGLED_HOLD = (
     b'POST /v1/services/booking/holds HTTP/1.1\r\nhost: x\r\n'
     b'authorization: Bearer %b\r\nidempotency-key: hidden\r\n'
     b'content-type: application/json\r\ncontent-length: 13\r\n\r\n'
@@ -44,10 +44,10 @@
 
 
 class BadInputTest(unittest.IsolatedAsyncioTestCase):
-    """One entry host under bad input."""
+    """Sends bad input to one entry host."""
 
     async def asyncSetUp(self) -> None:
-        """Start the deployment with a short bound on slow senders."""
+        """Start the deployment with a short timeout for reading requests."""
         plan = sample.plan(1)._replace(entry_settings=('read_s = 0.5',))
         self.fleet = harness.Fleet(plan)
         await self.fleet.start()
@@ -55,48 +55,49 @@
         self.host = self.fleet.hosts[0].callers
 
     async def asyncTearDown(self) -> None:
-        """Stop it."""
+        """Stop the deployment."""
         await self.caller.close()
         await self.fleet.stop()
 
     async def test_refused(self) -> None:
         """Malformed, oversized and smuggled requests run nothing.
 
-        A client hides a hold behind a request whose end could be read in
-        two ways, or sends what is no request. It is refused, the hold
-        behind it is not run, and the next caller is served.
+        A client sends an invalid request, or appends a hold to a request with
+        ambiguous framing. The request is rejected, the appended hold does not
+        run, and the next caller is served.
         """
         operators = self.fleet.hosts[0].entry_operators
         for title, raw, _ in http_server_test.REFUSED:
-            hides = raw.replace(http_server_test.HIDDEN, HIDDEN_HOLD)
+            request = raw.replace(http_server_test.HIDDEN, SMUGGLED_HOLD)
             for address in (self.host, operators):
                 with self.subTest(title, address=address):
-                    answer = await self._talk(address, hides)
+                    answer = await self._exchange(address, request)
                     self.assertRegex(answer, b'^HTTP/1.1 (4[0-9]{2}|501) ')
                     self.assertEqual(answer.count(b'HTTP/1.1'), 1)
         await self._check_serves(1)
 
     async def test_bodies(self) -> None:
-        """Bodies that are no chat are refused as not run."""
+        """Invalid chat bodies are rejected with the run state "not_run"."""
         for title, body in BODIES:
             with self.subTest(title):
-                answer = await self._talk(self.host, _chat(body))
+                answer = await self._exchange(self.host, _chat(body))
                 self.assertRegex(answer, b'^HTTP/1.1 4[0-9]{2} ')
                 self.assertRegex(answer, b'"run": ?"not_run"')
         await self._check_serves(1)
 
     async def test_slow(self) -> None:
-        """Callers are served while many clients dribble their requests.
+        """Slow clients time out without affecting other callers.
 
-        Each slow client sends a byte now and then and never ends its
-        request. They are cut off when their time is over, and no caller
-        beside them is refused.
+        Each slow client keeps sending header lines and never completes its
+        request. It gets a 408 when the read timeout expires, and no other
+        caller is refused meanwhile.
         """
         slow = [
-            asyncio.create_task(self._dribble()) for _ in range(SLOW_CLIENTS)
+            asyncio.create_task(self._send_slowly())
+            for _ in range(SLOW_CLIENTS)
         ]
         served = 0
-        async with asyncio.timeout(HANG_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not all(task.done() for task in slow):
                 reply = await self._hold(served)
                 self.assertEqual(reply.status, 201, reply)
@@ -106,7 +107,7 @@
         await self._check_serves(served + 1)
 
     async def _check_serves(self, count: int) -> None:
-        """Check that a hold is served and is the last of so many that ran."""
+        """Check that a hold is served and brings the runs to this count."""
         reply = await self._hold(count)
         self.assertEqual(reply.status, 201, reply)
         ran = records.plain_runs_of(self.fleet)
@@ -122,25 +123,25 @@
             idempotency_key=f'k{number}',
         )
 
-    async def _talk(self, address: str, raw: bytes) -> bytes:
+    async def _exchange(self, address: str, raw: bytes) -> bytes:
         host, _, port = address.rpartition(':')
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
             writer.write(raw)
             writer.write_eof()
-            async with asyncio.timeout(HANG_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 return await reader.read()
         finally:
             writer.close()
 
-    async def _dribble(self) -> bytes:
+    async def _send_slowly(self) -> bytes:
         host, _, port = self.host.rpartition(':')
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b'POST %b HTTP/1.1\r\n' % HOLDS.encode())
         answered = asyncio.create_task(reader.readline())
         while not answered.done():
             writer.write(b'a: b\r\n')
-            await asyncio.sleep(DRIBBLE_S)
+            await asyncio.sleep(HEADER_INTERVAL_S)
         writer.close()
         return await answered
 
--- a/beryllug/proofs/client_test.py
+++ b/beryllug/proofs/client_test.py
@@ -1,4 +1,4 @@
-"""Existing clients, tools and keys work against a real deployment."""
+"""Tests of the OpenAI client, the command-line tool and key rotation."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 class ClientTest(unittest.IsolatedAsyncioTestCase):
-    """One deployment for the OpenAI client, the tool and key rotation."""
+    """Runs existing clients and tools against a deployment."""
 
     async def asyncSetUp(self) -> None:
         """Start two entry hosts."""
@@ -26,11 +26,11 @@
         await self.fleet.start()
 
     async def asyncTearDown(self) -> None:
-        """Stop them."""
+        """Stop the deployment."""
         await self.fleet.stop()
 
     async def test_openai_client(self) -> None:
-        """The library of OpenAI gets streamed, whole and listed answers."""
+        """The OpenAI library gets complete and streamed answers and models."""
         client = openai.AsyncOpenAI(
             api_key=sample.LARGE_KEY,
             base_url=f'http://{self.fleet.hosts[0].callers}/v1',
@@ -57,12 +57,12 @@
         await client.close()
 
     async def test_tool(self) -> None:
-        """The command-line tool shows, applies and withdraws."""
+        """The command-line tool exits with the documented codes."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'document.json'
             rendered = document_plain.render(sample.document())
             path.write_text(json.dumps(rendered), encoding='utf-8')
-            for words, code in (
+            for args, code in (
                 (('validate', str(path)), 0),
                 (('show',), 0),
                 (('diff', str(path)), 0),
@@ -73,12 +73,12 @@
                 (('withdraw', 'roster', 'v2'), 2),
                 (('usage',), 0),
             ):
-                with self.subTest(words=words):
-                    ended, said = await self._tool(*words)
-                    self.assertEqual(ended, code, said)
+                with self.subTest(args=args):
+                    exit_code, output = await self._run_tool(*args)
+                    self.assertEqual(exit_code, code, output)
 
     async def test_rotated_keys(self) -> None:
-        """SIGHUP takes new operator keys; requests go on."""
+        """SIGHUP loads new operator keys and revokes the old ones."""
         name = fleet_settings.control_name(0)
         address = self.fleet.operators_of(name)
         self.fleet.processes.rewrite(name, fleet_settings.OPERATOR_KEY, NEW_KEY)
@@ -92,13 +92,13 @@
         status, _ = await self.fleet.get(address, '/dump', NEW_KEY)
         self.assertEqual(status, harness.OK)
 
-    async def _tool(self, *words: str) -> tuple[int, str]:
+    async def _run_tool(self, *args: str) -> tuple[int, str]:
         address = self.fleet.hosts[0].control_operators
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             '-m',
             'beryllug.scripts.beryllug',
-            *words,
+            *args,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
             env={
@@ -107,9 +107,9 @@
                 'PYTHONPATH': str(Path(__file__).resolve().parents[2]),
             },
         )
-        said, _ = await process.communicate()
+        output, _ = await process.communicate()
         assert process.returncode is not None
-        return process.returncode, said.decode()
+        return process.returncode, output.decode()
 
 
 def _prompt() -> list[chat.ChatCompletionMessageParam]:
--- a/beryllug/proofs/config_test.py
+++ b/beryllug/proofs/config_test.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force within seconds and never reverts."""
+"""Tests that accepted configurations take effect quickly and never revert."""
 
 import asyncio
 import time
@@ -10,9 +10,9 @@
 from beryllug.standins import fleet_settings, harness, sample
 
 HOSTS = 3
-SEED_CONTROL = fleet_settings.control_name(0)
-SEED_ENTRY = fleet_settings.entry_name(0)
-WITHIN_S = 13.0
+FIRST_CONTROL = fleet_settings.control_name(0)
+FIRST_ENTRY = fleet_settings.entry_name(0)
+CONVERGENCE_TIMEOUT_S = 13.0
 POLL_S = 0.05
 WRITE_ROOT = 'PUT /v1/objects/beryllug/config/root'
 
@@ -24,12 +24,12 @@
 
 
 class ConfigTest(unittest.IsolatedAsyncioTestCase):
-    """Real processes; what they hold is read from their dumps."""
+    """Reads the revisions of real processes from their dumps."""
 
     async def asyncSetUp(self) -> None:
         self.fleet = harness.Fleet(sample.plan(HOSTS))
-        self.seen: dict[str, list[int]] = defaultdict(list)
-        self.present: dict[str, int] = {}
+        self.observed: dict[str, list[int]] = defaultdict(list)
+        self.current: dict[str, int] = {}
         self.names = [
             name(index)
             for index in range(HOSTS)
@@ -39,55 +39,61 @@
             )
         ]
         await self.fleet.start()
-        self.watching = asyncio.create_task(self._watch())
+        self.polling = asyncio.create_task(self._poll_all())
 
     async def asyncTearDown(self) -> None:
-        self.watching.cancel()
-        await asyncio.gather(self.watching, return_exceptions=True)
+        self.polling.cancel()
+        await asyncio.gather(self.polling, return_exceptions=True)
         await self.fleet.stop()
 
     async def test_faults(self) -> None:
-        """One deployment meets the faults one after the other.
+        """Configurations are applied under a sequence of faults.
 
-        Whatever fails, every process has the last revision in the end, and
-        none is ever seen with a lower one than it had before.
+        After each fault every process reaches the latest revision, and the
+        revision that a process reports never decreases.
         """
         for weight, (title, fault) in enumerate(
             (
-                ('frozen control', self._over_frozen_control),
-                ('frozen entry', self._over_frozen_entry),
-                ('lost answer', self._with_lost_answer),
-                ('slow platform', self._over_slow_platform),
+                ('frozen control', self._apply_with_control_frozen),
+                ('frozen entry', self._apply_with_entry_frozen),
+                ('lost answer', self._apply_with_reply_lost),
+                ('slow platform', self._apply_with_slow_platform),
                 ('restart in an outage', self._restart_in_outage),
-                ('killed control', self._over_killed_control),
+                ('killed control', self._apply_with_control_killed),
             ),
             start=10,
         ):
             with self.subTest(title):
                 await fault(_weighted(weight))
-                await self._reach_all()
-        for name, revisions in self.seen.items():
+                await self._wait_all_current()
+        for name, revisions in self.observed.items():
             with self.subTest(name):
                 self.assertEqual(revisions, sorted(revisions))
 
-    async def _over_frozen_control(
+    async def _apply_with_control_frozen(
         self, document: config_data.Document
     ) -> None:
-        """A control is frozen while a document is applied, then wakes."""
-        self.fleet.processes.freeze(SEED_CONTROL)
+        """A control process is frozen while a document is applied."""
+        self.fleet.processes.freeze(FIRST_CONTROL)
         await self.fleet.apply(document)
-        await self._reach(name for name in self.names if name[-1] != '0')
-        self.fleet.processes.thaw(SEED_CONTROL)
+        await self._wait_current(name for name in self.names if name[-1] != '0')
+        self.fleet.processes.thaw(FIRST_CONTROL)
 
-    async def _over_frozen_entry(self, document: config_data.Document) -> None:
-        """An entry is frozen while a document is applied, then wakes."""
-        self.fleet.processes.freeze(SEED_ENTRY)
+    async def _apply_with_entry_frozen(
+        self, document: config_data.Document
+    ) -> None:
+        """An entry process is frozen while a document is applied."""
+        self.fleet.processes.freeze(FIRST_ENTRY)
         await self.fleet.apply(document)
-        await self._reach(name for name in self.names if name != SEED_ENTRY)
-        self.fleet.processes.thaw(SEED_ENTRY)
+        await self._wait_current(
+            name for name in self.names if name != FIRST_ENTRY
+        )
+        self.fleet.processes.thaw(FIRST_ENTRY)
 
-    async def _with_lost_answer(self, document: config_data.Document) -> None:
-        """The answer to the apply is lost after its effect."""
+    async def _apply_with_reply_lost(
+        self, document: config_data.Document
+    ) -> None:
+        """The platform's reply to the write is lost after it took effect."""
         self.fleet.platform.put_faults(
             drop_answer=True, only=WRITE_ROOT, times=1
         )
@@ -95,63 +101,67 @@
         self.assertEqual(await self.fleet.apply(document), expected)
         self.fleet.platform.put_faults()
 
-    async def _over_slow_platform(self, document: config_data.Document) -> None:
-        """Each call of the platform takes long."""
+    async def _apply_with_slow_platform(
+        self, document: config_data.Document
+    ) -> None:
+        """Every call to the platform is delayed."""
         self.fleet.platform.put_faults(delay_s=0.5)
         await self.fleet.apply(document)
-        await self._reach_all()
+        await self._wait_all_current()
         self.fleet.platform.put_faults()
 
     async def _restart_in_outage(self, document: config_data.Document) -> None:
-        """A host is replaced while the platform is away: peers know all."""
+        """A host restarts in a platform outage and syncs from its peers."""
         await self.fleet.apply(document)
-        await self._reach_all()
+        await self._wait_all_current()
         self.fleet.platform.put_faults(refuse=True)
         await self.fleet.platform.settle()
-        for name in (SEED_CONTROL, SEED_ENTRY):
+        for name in (FIRST_CONTROL, FIRST_ENTRY):
             await self._kill(name)
-        for name in (SEED_CONTROL, SEED_ENTRY):
+        for name in (FIRST_CONTROL, FIRST_ENTRY):
             await self.fleet.spawn(name)
-        await self._reach_all()
-        await self.fleet.wait_ready(SEED_ENTRY)
+        await self._wait_all_current()
+        await self.fleet.wait_ready(FIRST_ENTRY)
         self.fleet.platform.put_faults()
         await self.fleet.platform.settle()
 
-    async def _over_killed_control(
+    async def _apply_with_control_killed(
         self, document: config_data.Document
     ) -> None:
-        """A control is killed; its entry follows another one."""
-        await self._kill(SEED_CONTROL)
+        """A control process is killed; its entry process uses another one."""
+        await self._kill(FIRST_CONTROL)
         await self.fleet.apply(document)
-        await self._reach(name for name in self.names if name != SEED_CONTROL)
-        await self.fleet.spawn(SEED_CONTROL)
+        await self._wait_current(
+            name for name in self.names if name != FIRST_CONTROL
+        )
+        await self.fleet.spawn(FIRST_CONTROL)
 
     async def _kill(self, name: str) -> None:
-        """Kill a process; what it held counts no more."""
+        """Kill a process and discard its observed revision."""
         await self.fleet.processes.kill(name)
-        self.present.pop(name, None)
+        self.current.pop(name, None)
 
-    async def _reach_all(self) -> None:
-        await self._reach(self.names)
+    async def _wait_all_current(self) -> None:
+        await self._wait_current(self.names)
 
-    async def _reach(self, names: Any) -> None:
-        """Wait until processes hold the last revision, for some seconds."""
-        waiting = set(names)
-        until = time.monotonic() + WITHIN_S
-        while waiting:
-            self.assertLess(time.monotonic(), until, waiting)
+    async def _wait_current(self, names: Any) -> None:
+        """Wait until processes have the latest revision, up to a timeout."""
+        pending = set(names)
+        deadline = time.monotonic() + CONVERGENCE_TIMEOUT_S
+        while pending:
+            self.assertLess(time.monotonic(), deadline, pending)
             await asyncio.sleep(POLL_S)
-            waiting = {
+            pending = {
                 name
-                for name in waiting
-                if self.present.get(name, 0) < self.fleet.revision
+                for name in pending
+                if self.current.get(name, 0) < self.fleet.revision
             }
 
-    async def _watch(self) -> None:
-        """Read the revision of every process, again and again."""
-        await asyncio.gather(*map(self._watch_one, self.names))
+    async def _poll_all(self) -> None:
+        """Poll the revision of every process."""
+        await asyncio.gather(*map(self._poll_revision, self.names))
 
-    async def _watch_one(self, name: str) -> None:
+    async def _poll_revision(self, name: str) -> None:
         service = 'control_link' if name.startswith('entry') else 'config'
         while True:
             await asyncio.sleep(POLL_S)
@@ -161,10 +171,10 @@
             except TimeoutError:
                 continue
             revision = state[service]['revision']
-            # A process that was just started has nothing yet.
+            # A process that has just started has no revision yet.
             if revision:
-                self.seen[name].append(revision)
-                self.present[name] = revision
+                self.observed[name].append(revision)
+                self.current[name] = revision
 
 
 if __name__ == '__main__':
--- a/beryllug/proofs/engine_watch.py
+++ b/beryllug/proofs/engine_watch.py
@@ -1,7 +1,7 @@
-"""Watches the engine stand-ins of a deployment for what must never be.
+"""Monitors the engine stand-ins of a deployment for invariant violations.
 
-It looks at them every few milliseconds, so that a state which is put right a
-moment later is seen too.
+The engines are polled every few milliseconds, so that states which last only
+briefly are detected too.
 """
 
 import asyncio
@@ -18,131 +18,139 @@
     harness,
 )
 
-LOOK_S = 0.01
+POLL_INTERVAL_S = 0.01
 
 
-class Seen(NamedTuple):
-    """An order and when it was first seen, in seconds of the wall clock."""
+class ObservedOrder(NamedTuple):
+    """An order and the wall-clock time in seconds of its first observation."""
 
     server: str
     order: engine_models.OrderRecord
-    seen_at: float
+    observed_at: float
 
 
 class EngineWatch:
-    """Looks at loaded versions, open runs and orders of all engines.
+    """Polls loaded versions, open runs and orders of all engines.
 
     Attributes:
-        live: Names of versions of which each pool must keep a copy.
-        violations: What was seen and must not be.
-        orders: Every order that an engine got.
+        live: Names of versions that each pool must keep loaded on an engine.
+        violations: Descriptions of the violations found.
+        orders: Every order that an engine received.
     """
 
     def __init__(self, fleet: harness.Fleet) -> None:
         """Bind to a running deployment."""
         self.live: set[str] = set()
         self.violations: list[str] = []
-        self.orders: list[Seen] = []
+        self.orders: list[ObservedOrder] = []
         self._workers: dict[str, engine_worker.Worker] = {
-            name: made.party.worker
-            for name, made in fleet.servers.items()
-            if isinstance(made.party, engine.EngineParty)
+            name: stand_in.party.worker
+            for name, stand_in in fleet.servers.items()
+            if isinstance(stand_in.party, engine.EngineParty)
         }
-        self._taken: Counter[str] = Counter()
-        self._looks = 0
+        self._orders_read: Counter[str] = Counter()
+        self._poll_count = 0
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start polling."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Look no more."""
+        """Stop polling."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def loaded(self, server: str) -> set[str]:
-        """Return the names of the versions that an engine has."""
+        """Return the names of the versions loaded on an engine."""
         models = self._workers[server].models
         return {ref.version for ref in models.loaded}
 
     def is_running(self) -> bool:
-        """Tell whether some engine runs something."""
+        """Tell whether any engine has a run in progress."""
         return any(
             run.state is engine_runs.RunState.RUNNING
             for worker in self._workers.values()
             for run in worker.records
         )
 
-    def ordered(self, pool: str, names: tuple[str, ...]) -> bool:
-        """Tell whether an engine of a pool was ordered to load a version."""
+    def was_ordered(self, pool: str, names: tuple[str, ...]) -> bool:
+        """Tell whether an engine of a pool received an order for a version."""
         return any(
-            seen.order.version in names
-            for seen in self.orders
-            if seen.server.startswith(pool)
+            observed.order.version in names
+            for observed in self.orders
+            if observed.server.startswith(pool)
         )
 
-    def highest_token(self) -> dict[str, int]:
-        """Return the highest token that each engine obeyed."""
+    def highest_tokens(self) -> dict[str, int]:
+        """Return the highest fencing token that each engine accepted."""
         highest: Counter[str] = Counter()
-        for seen in self.orders:
-            if seen.order.accepted:
-                known = highest[seen.server]
-                highest[seen.server] = max(known, seen.order.fencing)
+        for observed in self.orders:
+            if observed.order.accepted:
+                previous = highest[observed.server]
+                highest[observed.server] = max(previous, observed.order.fencing)
         return dict(highest)
 
-    def older_than(self, tokens: dict[str, int], since: float) -> list[Seen]:
-        """Return orders with older tokens that engines obeyed since then."""
+    def stale_orders(
+        self, tokens: dict[str, int], since: float
+    ) -> list[ObservedOrder]:
+        """Return orders with lower tokens that engines accepted since then."""
         return [
-            seen
-            for seen in self.orders
-            if seen.order.accepted
-            and seen.seen_at > since
-            and seen.order.fencing < tokens.get(seen.server, 0)
+            observed
+            for observed in self.orders
+            if observed.order.accepted
+            and observed.observed_at > since
+            and observed.order.fencing < tokens.get(observed.server, 0)
         ]
 
-    def line(self) -> str:
-        """Return counts for the report of a proof."""
-        obeyed = Counter(
-            seen.order.kind for seen in self.orders if seen.order.accepted
+    def summary(self) -> str:
+        """Return counts for the output of a test."""
+        accepted_counts = Counter(
+            observed.order.kind
+            for observed in self.orders
+            if observed.order.accepted
+        )
+        rejected_count = sum(
+            not observed.order.accepted for observed in self.orders
         )
-        refused = sum(not seen.order.accepted for seen in self.orders)
         kinds = engine_data.OrderKind
         return (
-            f'looks={self._looks} loads={obeyed[kinds.LOAD]} '
-            f'unloads={obeyed[kinds.UNLOAD]} refused={refused} '
+            f'polls={self._poll_count} loads={accepted_counts[kinds.LOAD]} '
+            f'unloads={accepted_counts[kinds.UNLOAD]} refused={rejected_count} '
             f'violations={len(self.violations)}'
         )
 
     async def _run(self) -> None:
         while True:
-            self._look(time.time())
-            await asyncio.sleep(LOOK_S)
+            self._poll(time.time())
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _look(self, now: float) -> None:
-        self._looks += 1
+    def _poll(self, now: float) -> None:
+        self._poll_count += 1
         for server, worker in self._workers.items():
             models = worker.models
-            for order in models.orders[self._taken[server] :]:
-                self._taken[server] += 1
-                self.orders.append(Seen(server, order, now))
+            for order in models.orders[self._orders_read[server] :]:
+                self._orders_read[server] += 1
+                self.orders.append(ObservedOrder(server, order, now))
             for run in worker.records:
                 is_open = run.state in engine_runs.OPEN
                 if is_open and not models.has(run.model, run.version):
-                    self._violate(f'{server} unloaded {run.version} in use')
-        self._look_at_copies()
+                    self._add_violation(
+                        f'{server} unloaded {run.version} in use'
+                    )
+        self._check_copies()
 
-    def _look_at_copies(self) -> None:
-        """Each pool must always have a copy of every live version."""
+    def _check_copies(self) -> None:
+        """Check that each pool has every live version loaded."""
         pools: dict[str, set[str]] = {}
         for server in self._workers:
             pool = server.rpartition('-')[0]
             pools.setdefault(pool, set()).update(self.loaded(server))
         for pool, loaded in pools.items():
             for name in self.live - loaded:
-                self._violate(f'{pool} has no copy of {name}')
+                self._add_violation(f'{pool} has no copy of {name}')
 
-    def _violate(self, title: str) -> None:
-        if title not in self.violations:
-            self.violations.append(title)
+    def _add_violation(self, violation: str) -> None:
+        if violation not in self.violations:
+            self.violations.append(violation)
--- a/beryllug/proofs/faults.py
+++ b/beryllug/proofs/faults.py
@@ -1,7 +1,7 @@
-"""Faults that the proofs draw from: each breaks something and heals it.
+"""Faults injected by the end-to-end tests.
 
-Every function is given the running deployment and a seeded generator, which
-decides whom it hits. It returns when all is healed.
+Every function takes the active deployment and a seeded generator, which selects
+the target. It returns once the fault has been reverted.
 """
 
 import asyncio
@@ -11,126 +11,152 @@
 from beryllug.proofs import scenario
 from beryllug.standins import fleet_settings
 
-Fault = Callable[[scenario.Running, random.Random], Awaitable[None]]
-REQUESTS = 20
-LONGEST_CUT = 400
+Fault = Callable[[scenario.Deployment, random.Random], Awaitable[None]]
+REQUESTS_DURING_FAULT = 20
+MAX_RESET_BYTE = 400
 
-SHORT_S = 2.0
-# Longer than a lease holds, so that its holder wakes with old authority.
+SHORT_FAULT_S = 2.0
+# Longer than a lease, so that its holder resumes after it has expired.
 PAST_LEASE_S = 10.0
 OUTAGE_S = 5.0
-SLOW_S = 0.2
+PLATFORM_DELAY_S = 0.2
 
 
-async def kill_entry(running: scenario.Running, rng: random.Random) -> None:
-    """The callers of one entry host see their connections break."""
-    host = _host(running, rng)
+async def kill_entry(
+    deployment: scenario.Deployment, rng: random.Random
+) -> None:
+    """Kill an entry process, which breaks the connections of its callers."""
+    host = _choose_host(deployment, rng)
     name = fleet_settings.entry_name(host)
-    running.traffic.avoid(host)
-    await running.fleet.processes.kill(name)
-    await running.traffic.reach(10)
-    await running.fleet.restart(name)
-    running.traffic.use(host)
+    deployment.traffic.avoid(host)
+    await deployment.fleet.processes.kill(name)
+    await deployment.traffic.reach(10)
+    await deployment.fleet.restart(name)
+    deployment.traffic.use(host)
 
 
-async def kill_control(running: scenario.Running, rng: random.Random) -> None:
-    """An owner of journal shards is lost with rows that were not flushed."""
-    name = fleet_settings.control_name(_host(running, rng))
-    await running.fleet.processes.kill(name)
-    await running.traffic.reach(REQUESTS)
-    await running.fleet.restart(name)
+async def kill_control(
+    deployment: scenario.Deployment, rng: random.Random
+) -> None:
+    """Kill an owner of journal shards that holds unflushed rows."""
+    name = fleet_settings.control_name(_choose_host(deployment, rng))
+    await deployment.fleet.processes.kill(name)
+    await deployment.traffic.reach(REQUESTS_DURING_FAULT)
+    await deployment.fleet.restart(name)
 
 
-async def freeze_control(running: scenario.Running, rng: random.Random) -> None:
-    """An owner is paused past its lease and wakes with old authority."""
-    name = fleet_settings.control_name(_host(running, rng))
-    running.fleet.processes.freeze(name)
+async def freeze_control(
+    deployment: scenario.Deployment, rng: random.Random
+) -> None:
+    """Pause an owner past its lease, so that it resumes after expiry."""
+    name = fleet_settings.control_name(_choose_host(deployment, rng))
+    deployment.fleet.processes.freeze(name)
     await asyncio.sleep(PAST_LEASE_S)
-    running.fleet.processes.thaw(name)
+    deployment.fleet.processes.thaw(name)
 
 
-async def freeze_entry(running: scenario.Running, rng: random.Random) -> None:
-    """An entry process is paused and wakes with an old view."""
-    host = _host(running, rng)
+async def freeze_entry(
+    deployment: scenario.Deployment, rng: random.Random
+) -> None:
+    """Pause an entry process, so that it resumes with stale state."""
+    host = _choose_host(deployment, rng)
     name = fleet_settings.entry_name(host)
-    running.traffic.avoid(host)
-    running.fleet.processes.freeze(name)
-    await asyncio.sleep(SHORT_S)
-    running.fleet.processes.thaw(name)
-    running.traffic.use(host)
+    deployment.traffic.avoid(host)
+    deployment.fleet.processes.freeze(name)
+    await asyncio.sleep(SHORT_FAULT_S)
+    deployment.fleet.processes.thaw(name)
+    deployment.traffic.use(host)
 
 
-async def stop_control(running: scenario.Running, rng: random.Random) -> None:
-    """A control process is stopped gracefully and started again."""
-    name = fleet_settings.control_name(_host(running, rng))
-    code = await running.fleet.processes.terminate(name)
+async def stop_control(
+    deployment: scenario.Deployment, rng: random.Random
+) -> None:
+    """Stop a control process gracefully and start it again."""
+    name = fleet_settings.control_name(_choose_host(deployment, rng))
+    code = await deployment.fleet.processes.terminate(name)
     assert code == 0, f'exit code {code}'
-    await running.fleet.restart(name)
+    await deployment.fleet.restart(name)
 
 
-async def lose_answers(running: scenario.Running, rng: random.Random) -> None:
-    """Writes take effect in the platform and their answers are lost."""
+async def lose_answers(
+    deployment: scenario.Deployment, rng: random.Random
+) -> None:
+    """Drop the platform's replies to writes that have taken effect."""
     for _ in range(10):
-        running.fleet.platform.put_faults(drop_answer=True, times=2)
-        await running.traffic.reach(5)
-    running.fleet.platform.put_faults()
+        deployment.fleet.platform.put_faults(drop_answer=True, times=2)
+        await deployment.traffic.reach(5)
+    deployment.fleet.platform.put_faults()
 
 
-async def lose_platform(running: scenario.Running, rng: random.Random) -> None:
-    """The platform refuses connections for a while."""
-    running.fleet.platform.put_faults(refuse=True)
+async def lose_platform(
+    deployment: scenario.Deployment, rng: random.Random
+) -> None:
+    """Make the platform refuse connections temporarily."""
+    deployment.fleet.platform.put_faults(refuse=True)
     await asyncio.sleep(OUTAGE_S)
-    running.fleet.platform.put_faults()
-    await running.fleet.platform.settle()
+    deployment.fleet.platform.put_faults()
+    await deployment.fleet.platform.settle()
 
 
-async def slow_platform(running: scenario.Running, rng: random.Random) -> None:
-    """The platform takes long for each call."""
-    running.fleet.platform.put_faults(delay_s=SLOW_S, answer_delay_s=SLOW_S)
-    await asyncio.sleep(SHORT_S)
-    running.fleet.platform.put_faults()
+async def slow_platform(
+    deployment: scenario.Deployment, rng: random.Random
+) -> None:
+    """Delay every call to the platform and its reply."""
+    deployment.fleet.platform.put_faults(
+        delay_s=PLATFORM_DELAY_S, answer_delay_s=PLATFORM_DELAY_S
+    )
+    await asyncio.sleep(SHORT_FAULT_S)
+    deployment.fleet.platform.put_faults()
 
 
-async def stale_platform(running: scenario.Running, rng: random.Random) -> None:
-    """Reads of the platform show an old state."""
-    running.fleet.platform.put_faults(stale=True)
-    await asyncio.sleep(SHORT_S)
-    running.fleet.platform.put_faults()
+async def stale_platform(
+    deployment: scenario.Deployment, rng: random.Random
+) -> None:
+    """Make reads of the platform return stale state."""
+    deployment.fleet.platform.put_faults(stale=True)
+    await asyncio.sleep(SHORT_FAULT_S)
+    deployment.fleet.platform.put_faults()
 
 
-async def lose_host_list(running: scenario.Running, rng: random.Random) -> None:
-    """The host list refuses connections."""
-    running.fleet.host_list.put_faults(refuse=True)
-    await asyncio.sleep(SHORT_S)
-    running.fleet.host_list.put_faults()
+async def lose_host_list(
+    deployment: scenario.Deployment, rng: random.Random
+) -> None:
+    """Make the host list refuse connections."""
+    deployment.fleet.host_list.put_faults(refuse=True)
+    await asyncio.sleep(SHORT_FAULT_S)
+    deployment.fleet.host_list.put_faults()
 
 
-async def reset_answers(running: scenario.Running, rng: random.Random) -> None:
-    """One backend server cuts a few of its answers."""
-    server = _server(running, rng)
+async def reset_answers(
+    deployment: scenario.Deployment, rng: random.Random
+) -> None:
+    """Reset connections of one backend server within a few responses."""
+    server = _choose_server(deployment, rng)
     for _ in range(5):
-        at_byte = rng.randrange(LONGEST_CUT)
-        running.fleet.servers[server].put_faults(reset_at_byte=at_byte, times=1)
-        await running.traffic.reach(8)
-    running.fleet.servers[server].put_faults()
+        at_byte = rng.randrange(MAX_RESET_BYTE)
+        deployment.fleet.servers[server].put_faults(
+            reset_at_byte=at_byte, times=1
+        )
+        await deployment.traffic.reach(8)
+    deployment.fleet.servers[server].put_faults()
 
 
 async def refuse_at_server(
-    running: scenario.Running, rng: random.Random
+    deployment: scenario.Deployment, rng: random.Random
 ) -> None:
-    """One backend server refuses connections and comes back."""
-    made = running.fleet.servers[_server(running, rng)]
-    made.put_faults(refuse=True)
-    await asyncio.sleep(SHORT_S)
-    made.put_faults()
-    await made.settle()
+    """Make one backend server refuse connections temporarily."""
+    stand_in = deployment.fleet.servers[_choose_server(deployment, rng)]
+    stand_in.put_faults(refuse=True)
+    await asyncio.sleep(SHORT_FAULT_S)
+    stand_in.put_faults()
+    await stand_in.settle()
 
 
-async def leave(running: scenario.Running, rng: random.Random) -> None:
-    """One backend server is listed as leaving, then as live again."""
-    running.fleet.list_hosts(leaving=(_server(running, rng),))
-    await asyncio.sleep(SHORT_S)
-    running.fleet.list_hosts()
+async def leave(deployment: scenario.Deployment, rng: random.Random) -> None:
+    """List one backend server as leaving, then as live again."""
+    deployment.fleet.list_hosts(leaving=(_choose_server(deployment, rng),))
+    await asyncio.sleep(SHORT_FAULT_S)
+    deployment.fleet.list_hosts()
 
 
 ALL = (
@@ -150,9 +176,9 @@
 )
 
 
-def _host(running: scenario.Running, rng: random.Random) -> int:
-    return rng.randrange(running.fleet.plan.hosts)
+def _choose_host(deployment: scenario.Deployment, rng: random.Random) -> int:
+    return rng.randrange(deployment.fleet.plan.hosts)
 
 
-def _server(running: scenario.Running, rng: random.Random) -> str:
-    return rng.choice(sorted(running.fleet.servers))
+def _choose_server(deployment: scenario.Deployment, rng: random.Random) -> str:
+    return rng.choice(sorted(deployment.fleet.servers))
--- a/beryllug/proofs/faults_test.py
+++ b/beryllug/proofs/faults_test.py
@@ -1,8 +1,8 @@
-"""Promises under failure, with real processes under traffic.
+"""Tests of the guarantees under faults, with real processes under traffic.
 
-Each case kills, freezes or stops something while three entry hosts serve six
-callers, heals it, and then checks the records of the other side: what the
-backend servers ran, what the platform holds.
+Each case injects a fault while three entry hosts serve six callers, reverts it
+and checks the records of the stand-ins: what the backend servers ran and what
+the platform stores.
 """
 
 import asyncio
@@ -12,62 +12,62 @@
 from beryllug.proofs import faults, scenario
 from beryllug.standins import fleet_settings
 
-# Deployments that run beside each other.
-AT_ONCE = 4
+# Deployments that run in parallel.
+MAX_PARALLEL = 4
 
 
-async def _outage_and_kills(running: scenario.Running) -> None:
-    """Control processes die one by one while the platform is away.
+async def _outage_and_kills(deployment: scenario.Deployment) -> None:
+    """Kill and restart each control process while the platform is down.
 
-    What they held in memory is lost with them; the entries still owe it and
-    send it again to those that started anew from a peer.
+    Their in-memory rows are lost. The entry processes keep unacknowledged rows
+    and send them again to the restarted processes, which sync from a peer.
     """
-    running.fleet.platform.put_faults(refuse=True)
-    for index in range(running.fleet.plan.hosts):
+    deployment.fleet.platform.put_faults(refuse=True)
+    for index in range(deployment.fleet.plan.hosts):
         name = fleet_settings.control_name(index)
-        await running.traffic.reach(20)
-        await running.fleet.processes.kill(name)
-        await running.fleet.restart(name)
-    running.fleet.platform.put_faults()
+        await deployment.traffic.reach(20)
+        await deployment.fleet.processes.kill(name)
+        await deployment.fleet.restart(name)
+    deployment.fleet.platform.put_faults()
     await asyncio.sleep(2)
 
 
-def _alone(fault: faults.Fault) -> scenario.Fault:
-    """Return a fault whose target is always the same."""
+def _with_fixed_target(fault: faults.Fault) -> scenario.Fault:
+    """Bind a fault to a fixed seed, so that its target is always the same."""
 
-    async def hit(running: scenario.Running) -> None:  # noqa: WPS430
-        await fault(running, random.Random(0))
+    async def inject(deployment: scenario.Deployment) -> None:  # noqa: WPS430
+        await fault(deployment, random.Random(0))
 
-    return hit
+    return inject
 
 
 CASES: tuple[tuple[str, scenario.Fault], ...] = (
-    *((fault.__name__, _alone(fault)) for fault in faults.ALL),
+    *((fault.__name__, _with_fixed_target(fault)) for fault in faults.ALL),
     ('outage and kills', _outage_and_kills),
 )
 
 
 class FaultsTest(unittest.IsolatedAsyncioTestCase):
-    """No invariant is violated, whatever fails."""
+    """No fault violates an invariant."""
 
     async def test_cases(self) -> None:
         """Run every case and print its counts."""
-        gate = asyncio.Semaphore(AT_ONCE)
+        semaphore = asyncio.Semaphore(MAX_PARALLEL)
         await asyncio.gather(
             *(
-                self._case(seed, title, fault, gate)
+                self._run_case(seed, title, fault, semaphore)
                 for seed, (title, fault) in enumerate(CASES)
             )
         )
 
-    async def _case(
+    async def _run_case(
         self,
         seed: int,
         title: str,
         fault: scenario.Fault,
-        gate: asyncio.Semaphore,
+        semaphore: asyncio.Semaphore,
     ) -> None:
-        async with gate:
+        async with semaphore:
             with self.subTest(title):
                 report, _ = await scenario.run(scenario.Case(seed, fault))
                 print(f'{title}: {report.line()}')  # noqa: WPS421
--- a/beryllug/proofs/fresh_test.py
+++ b/beryllug/proofs/fresh_test.py
@@ -1,7 +1,7 @@
-"""A fresh deployment serves the sample documents from the first request.
+"""Tests that a new deployment serves the sample documents immediately.
 
-The callers of a process that has just started must not be refused on times
-that it only guesses.
+A process that has just started must not refuse requests because of default
+estimates of service times.
 """
 
 import json
@@ -16,10 +16,10 @@
 
 
 class FreshTest(unittest.IsolatedAsyncioTestCase):
-    """Targets as short as those of the example documents."""
+    """Uses the latency targets of the example documents."""
 
     async def asyncSetUp(self) -> None:
-        """Start one host with the targets of the example."""
+        """Start one host with the targets of an example document."""
         rendered = json.loads((EXAMPLES / 'kesarvan.json').read_text())
         targets = document_plain.build(rendered).targets
         plan = sample.plan(hosts=1)
@@ -30,12 +30,12 @@
         self.host = self.fleet.hosts[0].callers
 
     async def asyncTearDown(self) -> None:
-        """Stop it."""
+        """Stop the deployment."""
         await self.caller.close()
         await self.fleet.stop()
 
     async def test_served(self) -> None:
-        """No lookup and no hold of an idle deployment is refused as late."""
+        """An idle deployment refuses no lookup or hold for its deadline."""
         refused = []
         for number in range(REQUESTS):
             for reply in (await self._lookup(), await self._hold(number)):
--- a/beryllug/proofs/mutations.py
+++ b/beryllug/proofs/mutations.py
@@ -1,8 +1,8 @@
-"""Take each safeguard out and see its proof turn red.
+"""Mutation tests: removes each safeguard and expects its test to fail.
 
-``python -m beryllug.proofs.mutations [NAME...]`` copies the package, changes
-one place in the copy, runs the proof on it and expects it to fail. A proof
-that stays green proves nothing, and the run ends with exit code 1.
+``python -m beryllug.proofs.mutations [NAME...]`` applies each mutation to a
+copy of the package and runs its test there. If a test passes in spite of its
+mutation, it does not cover the safeguard and the exit code is 1.
 """
 
 import os
@@ -19,24 +19,24 @@
 
 
 class Mutation(NamedTuple):
-    """One safeguard taken out.
+    """A mutation that removes a safeguard.
 
     Attributes:
-        name: Short name, with the promise it belongs to.
-        path: The module, below the package.
-        edits: Texts that stand there once, each with its replacement.
-        proof: The test that must turn red.
+        name: Short name, prefixed with the guarantee that it breaks.
+        path: Path of the module within the package.
+        edits: Texts that occur there exactly once, and their replacements.
+        test: Test module that must fail.
     """
 
     name: str
     path: str
     edits: tuple[tuple[str, str], ...]
-    proof: str
+    test: str
 
 
 MUTATIONS: tuple[Mutation, ...] = (
     Mutation(
-        'allowed: the account is not asked',
+        'allowed: permissions of the account are not checked',
         'core/versions.py',
         (
             (
@@ -47,7 +47,7 @@
         'proofs.whole_path_test',
     ),
     Mutation(
-        'withdrawn: still offered to new work',
+        'withdrawn: still selected for new requests',
         'core/versions.py',
         (
             (
@@ -62,7 +62,7 @@
         'proofs.versions_test',
     ),
     Mutation(
-        'withdrawn: a frozen process trusts its old view',
+        'withdrawn: a resumed process uses its stale configuration',
         'entry/chat_order.py',
         (('if not wired.link.may_accept(time.monotonic()):', 'if False:'),),
         'proofs.versions_test',
@@ -79,7 +79,7 @@
         'proofs.sessions_test',
     ),
     Mutation(
-        'session: no record for callers without the token',
+        'session: no record lookup for callers without a token',
         'entry/sessions.py',
         (
             (
@@ -101,13 +101,13 @@
         'proofs.not_run_test',
     ),
     Mutation(
-        'not run: said of a request that may have run',
+        'not run: reported for a request that may have run',
         'core/retry.py',
         (('return failure in SURELY_NOT_RUN', 'return True'),),
         'proofs.not_run_test',
     ),
     Mutation(
-        'whole answer: a broken stream is not resumed',
+        'complete answer: a broken stream is not resumed',
         'entry/turn_runner.py',
         (
             (
@@ -118,13 +118,13 @@
         'proofs.not_run_test',
     ),
     Mutation(
-        'whole answer: resumed at the wrong byte',
+        'complete answer: resumed at the wrong byte offset',
         'entry/turn_runner.py',
         (('opened, relay.tail.size)', 'opened, max(0, relay.tail.size - 1))'),),
         'proofs.not_run_test',
     ),
     Mutation(
-        'billed: an outcome that is late is forgotten',
+        'billed: a late outcome is dropped',
         'entry/outbox.py',
         (
             (
@@ -135,13 +135,13 @@
         'proofs.faults_test',
     ),
     Mutation(
-        'crash: the other hosts are not told',
+        'crash: the other hosts are not notified',
         'control/suspects.py',
         (('self._spread.tell_all(notes)', 'self._spread.tell_all(())'),),
         'control.suspects_test',
     ),
     Mutation(
-        'crash: a trial is granted without telling the others',
+        'crash: a trial is granted without notifying the others',
         'control/suspects.py',
         (
             (
@@ -174,19 +174,19 @@
         'core.suspects_test',
     ),
     Mutation(
-        'crash: the loss of a trial convicts nobody',
+        'crash: a crash during a trial has no consequence',
         'core/suspects.py',
         (('loss.trial_id and now < loss.at', 'now < 0 * loss.at'),),
         'proofs.suspects_test',
     ),
     Mutation(
-        'crash: refused after the first loss, innocent or not',
+        'crash: every request is refused after its first crash',
         'core/suspects.py',
         (('loss.trial_id and now < loss.at', 'now < loss.at'),),
         'proofs.suspects_test',
     ),
     Mutation(
-        'crash: tried without being asked for',
+        'crash: a trial starts without being needed',
         'entry/trials.py',
         (('if not self._crashes.known.needs_trial(call):', 'if True:'),),
         'proofs.suspects_test',
@@ -204,7 +204,7 @@
         'entry.trials_test',
     ),
     Mutation(
-        'crash: "not run" is said of a try that crashed its server',
+        'crash: "not run" is reported for an attempt that crashed',
         'entry/attempts.py',
         (
             (
@@ -215,19 +215,19 @@
         'proofs.suspects_test',
     ),
     Mutation(
-        'crash: a server that is looked at late counts as living',
+        'crash: a server that is checked late counts as alive',
         'entry/crashes.py',
         (('if not cut or not is_late:', 'if True:'),),
         'proofs.suspects_test',
     ),
     Mutation(
-        'crash: retries of its victims draw on the budget',
+        'crash: retries of affected requests use the retry budget',
         'core/retry.py',
         (('if attempt.crashed:\n', 'if False:\n'),),
         'core.retry_test',
     ),
     Mutation(
-        'orders: a version is unloaded under its last answers',
+        'orders: a version is unloaded while answers use it',
         'core/orders.py',
         (
             (
@@ -249,7 +249,7 @@
         'proofs.orders_test',
     ),
     Mutation(
-        'orders: a woken holder goes on by what it knew',
+        'orders: a resumed holder uses its stale state',
         'control/order_sender.py',
         (
             (
@@ -272,7 +272,7 @@
         'proofs.orders_test',
     ),
     Mutation(
-        'orders: the lease is not looked at before the write',
+        'orders: the lease is not checked before the write',
         'control/order_sender.py',
         (
             ('if token is None or token.fencing != book.fencing:', 'if False:'),
@@ -285,7 +285,7 @@
         'control.orders_test',
     ),
     Mutation(
-        'orders: a write may outlast the lease',
+        'orders: a write may continue after the lease expires',
         'control/order_sender.py',
         (('asyncio.timeout(terms.write_s)', 'asyncio.timeout(None)'),),
         'control.orders_test',
@@ -303,7 +303,7 @@
         'control.orders_test',
     ),
     Mutation(
-        'orders: the new token is not shown',
+        'orders: the new token is not asserted',
         'core/orders.py',
         (('ASSERTS_AT_ONCE),', '0),'),),
         'control.orders_test',
@@ -312,54 +312,56 @@
 
 
 def main() -> None:
-    """Run the named mutations, or all."""
-    wanted = sys.argv[1:]
-    green = [
+    """Run the mutations whose names match the arguments, or all."""
+    patterns = sys.argv[1:]
+    undetected = [
         mutation.name
         for mutation in MUTATIONS
-        if (not wanted or any(name in mutation.name for name in wanted))
-        and not _turns_red(mutation)
+        if (not patterns or any(name in mutation.name for name in patterns))
+        and not _is_detected(mutation)
     ]
-    for name in green:
-        _say(f'stayed green: {name}')
-    sys.exit(bool(green))
+    for name in undetected:
+        _print_line(f'not detected: {name}')
+    sys.exit(bool(undetected))
 
 
-def _turns_red(mutation: Mutation) -> bool:
+def _is_detected(mutation: Mutation) -> bool:
     root = Path(__file__).resolve().parents[2]
-    with tempfile.TemporaryDirectory(prefix='beryllug-mutation-') as copy:
-        shutil.copytree(root / PACKAGE, Path(copy) / PACKAGE)
-        _apply(mutation, Path(copy) / PACKAGE / mutation.path)
+    with tempfile.TemporaryDirectory(prefix='beryllug-mutation-') as scratch:
+        shutil.copytree(root / PACKAGE, Path(scratch) / PACKAGE)
+        _apply(mutation, Path(scratch) / PACKAGE / mutation.path)
         command = [
             sys.executable,
             '-m',
             'unittest',
-            f'{PACKAGE}.{mutation.proof}',
+            f'{PACKAGE}.{mutation.test}',
         ]
-        ended = subprocess.run(  # noqa: S603
+        completed = subprocess.run(  # noqa: S603
             command,
-            cwd=copy,
-            env={**os.environ, 'PYTHONPATH': copy},
+            cwd=scratch,
+            env={**os.environ, 'PYTHONPATH': scratch},
             capture_output=True,
             timeout=TIMEOUT_S,
             check=False,
             text=True,
         )
-    last = ' '.join(ended.stderr.strip().splitlines()[-TAIL_LINES:])
-    _say(f'{mutation.name}: {last}')
-    return ended.returncode != 0
+    last_lines = ' '.join(completed.stderr.strip().splitlines()[-TAIL_LINES:])
+    _print_line(f'{mutation.name}: {last_lines}')
+    return completed.returncode != 0
 
 
 def _apply(mutation: Mutation, path: Path) -> None:
     text = path.read_text(encoding='utf-8')
     for old, new in mutation.edits:
         if text.count(old) != 1:
-            raise LookupError(f'{mutation.name}: not there once: {old}')
+            raise LookupError(
+                f'{mutation.name}: must occur exactly once: {old}'
+            )
         text = text.replace(old, new)
     path.write_text(text, encoding='utf-8')
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
--- a/beryllug/proofs/not_run_test.py
+++ b/beryllug/proofs/not_run_test.py
@@ -1,7 +1,7 @@
-"""Refused as "not run" means not run, and a hold runs at most once.
+"""Tests that "not_run" is reported truthfully and holds run at most once.
 
-The connection to the backend server is broken at each place where it can
-break. What the caller is told is checked against what the servers ran.
+The connection to the backend server is broken at different stages of a request.
+The run state told to the caller is checked against what the servers ran.
 """
 
 import unittest
@@ -14,7 +14,7 @@
 NOT_RUN = 'not_run'
 UNKNOWN = 'unknown'
 
-# Where it breaks, what the caller may be told, how often it ran.
+# Title, injected faults, expected run state and expected number of runs.
 HOLD_CASES: tuple[tuple[str, dict[str, Any], str, int], ...] = (
     ('before connect', {'refuse': True}, NOT_RUN, 0),
     ('server says not run', {'unavailable': True}, NOT_RUN, 0),
@@ -32,7 +32,7 @@
 
 
 class NotRunTest(unittest.IsolatedAsyncioTestCase):
-    """Every place of a break, with two entry hosts."""
+    """Breaks connections at every stage, with two entry hosts."""
 
     async def asyncSetUp(self) -> None:
         """Start the deployment."""
@@ -42,44 +42,45 @@
         self.hosts = [ports.callers for ports in self.fleet.hosts]
 
     async def asyncTearDown(self) -> None:
-        """Stop it."""
+        """Stop the deployment."""
         await self.caller.close()
         await self.fleet.stop()
 
     async def test_holds(self) -> None:
-        """A hold is told the truth, and its resend through another host too.
+        """The run state of a hold is correct, also after a resend.
 
-        The caller sends a hold; its connection to the booking server breaks.
-        The servers heal and the caller sends it again under the same key
-        through the other host. What was told "not run" may run now; what
-        may have run must not.
+        The connection to the booking server breaks during a hold. The fault is
+        removed and the caller sends the hold again with the same key through
+        the other host. It runs only if "not_run" was reported; a hold that may
+        have run does not run again.
         """
-        for number, (title, broken, run, runs) in enumerate(HOLD_CASES):
+        for number, (title, faults, run, runs) in enumerate(HOLD_CASES):
             with self.subTest(title):
                 key = f'hold-{number}'
-                await self._break(broken)
+                await self._put_faults(faults)
                 reply = await self._hold(0, key)
-                await self._break({})
+                await self._put_faults({})
                 self.assertEqual(reply.error().get('run'), run)
                 self.assertEqual(self._runs(key), runs)
-                again = await self._hold(1, key)
+                resent = await self._hold(1, key)
                 expected = 1 if run == NOT_RUN else runs
-                self.assertEqual(self._runs(key), expected, again)
-                self.assertEqual(again.status == 201, run == NOT_RUN)
+                self.assertEqual(self._runs(key), expected, resent)
+                self.assertEqual(resent.status == 201, run == NOT_RUN)
 
     async def test_streams(self) -> None:
-        """A stream that breaks is resumed whole, or never looks whole.
+        """A stream that breaks is resumed and complete.
 
-        The engine resets the stream; the entry takes it up again at the
-        exact byte. The caller gets every byte once, and one bill is written.
+        The engine resets the stream and the entry process resumes it at the
+        exact byte offset. The caller gets every byte once, and exactly one
+        billing record is written.
         """
-        for title, broken in STREAM_CASES:
+        for title, faults in STREAM_CASES:
             with self.subTest(title):
-                await self._break({**broken, 'times': 1})
+                await self._put_faults({**faults, 'times': 1})
                 reply = await self.caller.chat(
                     self.hosts[0], 'desk-large', title, stream=True
                 )
-                await self._break({})
+                await self._put_faults({})
                 self.assertEqual(reply.status, 200, reply)
                 self.assertTrue(reply.body.endswith(b'data: [DONE]\n\n'))
                 self.assertTrue(invariants.is_own(reply, title), reply.body)
@@ -88,10 +89,10 @@
                 bills = records.bills(self.fleet)
                 self.assertEqual(len(bills[request_id]), 1)
 
-    async def _break(self, switches: dict[str, Any]) -> None:
-        for made in self.fleet.servers.values():
-            made.put_faults(**switches)
-            await made.settle()
+    async def _put_faults(self, faults: dict[str, Any]) -> None:
+        for stand_in in self.fleet.servers.values():
+            stand_in.put_faults(**faults)
+            await stand_in.settle()
 
     async def _hold(self, host: int, key: str) -> caller.Reply:
         return await self.caller.ask(
--- a/beryllug/proofs/orders_test.py
+++ b/beryllug/proofs/orders_test.py
@@ -1,7 +1,8 @@
-"""Orders to engines reach the newest holder's state, whatever is paused.
+"""Tests that orders bring engines to the state of the newest lease holder.
 
-Real processes; one pool of engines that check the fencing token and one of
-engines that ignore it. Checked against what the engines obeyed and loaded.
+Real processes run with one pool of engines that check the fencing token and one
+of engines that ignore it. The results are checked against the orders that the
+engines accepted and the versions that they loaded.
 """
 
 import asyncio
@@ -24,13 +25,13 @@
 
 HOSTS = 3
 ENGINES = 3
-WITHIN_S = 60.0
+TIMEOUT_S = 60.0
 LEASE_S = 2.0
-ENGINE_S = 2.0
+ENGINE_TIMEOUT_S = 2.0
 SETTINGS = ('heartbeat_s = 0.3', f'lease_s = {LEASE_S}', 'cut_off_s = 2')
 # Engines of the first pool check the fencing token.
 MODELS = MappingProxyType({sample.SMALL: 'desk-small', sample.LARGE: 'roster'})
-OLD = ('v2', 'v3', 'v4', 'v5', 'v6')
+WITHDRAWN = ('v2', 'v3', 'v4', 'v5', 'v6')
 BODY = b'{"messages": [{"role": "user", "content": "x"}], "max_tokens": 120}'
 
 
@@ -38,7 +39,7 @@
     *names: str, withdrawn: tuple[str, ...] = ()
 ) -> config_data.Document:
     """Return a document that declares some versions in each pool."""
-    declared = sample.document()
+    document = sample.document()
     models = tuple(
         config_data.Model(
             model,
@@ -56,16 +57,16 @@
     )
     pools = tuple(
         pool._replace(checks_fencing=pool.name == sample.SMALL)
-        for pool in declared.pools
+        for pool in document.pools
     )
     allowed = tuple(
         config_data.VersionRef(model, '*') for model in MODELS.values()
     )
     accounts = tuple(
         account._replace(allowed=allowed, cascades=())
-        for account in declared.accounts
+        for account in document.accounts
     )
-    return declared._replace(
+    return document._replace(
         accounts=accounts, models=models, pools=pools, rollouts=(), cascades=()
     )
 
@@ -89,10 +90,10 @@
 
 
 class OrdersTest(unittest.IsolatedAsyncioTestCase):
-    """Three control processes before two pools."""
+    """Three control processes and two pools."""
 
     async def asyncSetUp(self) -> None:
-        """Start the deployment and watch its engines."""
+        """Start the deployment and monitor its engines."""
         plan = harness.Plan(
             _document('v1'),
             _servers(),
@@ -109,72 +110,77 @@
         self.addAsyncCleanup(self.watch.stop)
 
     async def test_frozen_holder(self) -> None:
-        """The holder of each pool is frozen with few of many loads ordered.
+        """The lease holder of each pool is frozen amid its load orders.
 
-        Meanwhile these versions are withdrawn and another is declared; others
-        take its leases and bring the engines there. It wakes past its lease
-        with the old document and loads left to order. No engine obeys an old
-        token, and all end in the newest holder's state.
+        Meanwhile these versions are withdrawn and another one is added. Other
+        processes acquire the leases and order the new state. The frozen holder
+        resumes after its lease expired, with the old document and pending load
+        orders. No engine accepts a stale token, and all engines end in the
+        state of the newest holder.
         """
-        await self.fleet.apply(_document('v1', *OLD))
-        frozen = await self._holders_at_work(*OLD)
+        await self.fleet.apply(_document('v1', *WITHDRAWN))
+        frozen = await self._holders_with_loads_sent(*WITHDRAWN)
         for name in frozen:
             self.fleet.processes.freeze(name)
-        await self.fleet.apply(_document('v1', *OLD, 'v9', withdrawn=OLD))
-        await self._until(lambda: self._is_settled({'v1', 'v9'}))
-        newest = self.watch.highest_token()
+        await self.fleet.apply(
+            _document('v1', *WITHDRAWN, 'v9', withdrawn=WITHDRAWN)
+        )
+        await self._wait_until(lambda: self._is_settled({'v1', 'v9'}))
+        newest_tokens = self.watch.highest_tokens()
         thawed_at = time.time()
-        for woken in frozen:
-            self.fleet.processes.thaw(woken)
-            await self.fleet.wait_ready(woken)
+        for resumed in frozen:
+            self.fleet.processes.thaw(resumed)
+            await self.fleet.wait_ready(resumed)
         await asyncio.sleep(3 * LEASE_S)
-        self.assertEqual(self.watch.older_than(newest, thawed_at), [])
+        self.assertEqual(self.watch.stale_orders(newest_tokens, thawed_at), [])
         self.assertTrue(self._is_settled({'v1', 'v9'}))
-        self._report('holder frozen past its lease')
+        self._check_violations('holder frozen past its lease')
 
     async def test_killed_half_way(self) -> None:
-        """The holder of each pool is killed with loads under way.
+        """The lease holder of each pool is killed while loads are in progress.
 
-        The next holder finds in the load reports what is missing, and brings
-        every engine there.
+        The next holder derives the missing versions from the load reports and
+        orders them on every engine.
         """
         await self.fleet.apply(_document('v1', 'v2', 'v3'))
-        for name in await self._holders_at_work('v2', 'v3'):
+        for name in await self._holders_with_loads_sent('v2', 'v3'):
             await self.fleet.processes.kill(name)
         self.assertFalse(self._is_settled({'v1', 'v2', 'v3'}))
-        await self._until(lambda: self._is_settled({'v1', 'v2', 'v3'}))
-        self._report('holder killed half way')
+        await self._wait_until(lambda: self._is_settled({'v1', 'v2', 'v3'}))
+        self._check_violations('holder killed during loads')
 
     async def test_work_ends_first(self) -> None:
-        """A version is withdrawn while an engine runs a long answer on it.
+        """A version is withdrawn while an engine generates a long answer on it.
 
-        Idle engines unload it after the grace time; the one that runs the
-        answer when that has ended, so the answer comes whole. Engines that
-        ignore the token keep one copy.
+        Idle engines unload it after the grace period. The busy engine unloads
+        it after the end of the answer, which is therefore complete. In the
+        pool that ignores the token, one copy remains loaded.
         """
         await self.fleet.apply(_document('v1', 'v2'))
-        await self._until(lambda: self._is_settled({'v1', 'v2'}))
+        await self._wait_until(lambda: self._is_settled({'v1', 'v2'}))
         self.watch.live = {'v2'}
         answering = asyncio.create_task(self._long_answer())
-        await self._until(self.watch.is_running)
+        await self._wait_until(self.watch.is_running)
         await self.fleet.apply(_document('v1', 'v2', withdrawn=('v1',)))
-        await self._until(lambda: len(self._having(sample.SMALL, 'v1')) == 1)
+        await self._wait_until(
+            lambda: len(self._servers_with(sample.SMALL, 'v1')) == 1
+        )
         self.assertFalse(answering.done())
         await answering
-        await self._until(lambda: self._is_settled({'v2'}))
+        await self._wait_until(lambda: self._is_settled({'v2'}))
         await asyncio.sleep(2 * LEASE_S)
-        self.assertEqual(len(self._having(sample.LARGE, 'v1')), 1)
-        self._report('withdrawn under a long answer')
+        self.assertEqual(len(self._servers_with(sample.LARGE, 'v1')), 1)
+        self._check_violations('withdrawn under a long answer')
 
-    def _report(self, title: str) -> None:
-        print(f'orders {title}: {self.watch.line()}')  # noqa: WPS421
+    def _check_violations(self, title: str) -> None:
+        print(f'orders {title}: {self.watch.summary()}')  # noqa: WPS421
         self.assertEqual(self.watch.violations, [])
 
-    async def _holders_at_work(self, *names: str) -> set[str]:
-        """Return the senders of both pools once each has sent a load."""
+    async def _holders_with_loads_sent(self, *names: str) -> set[str]:
+        """Return the lease holders of both pools after each ordered a load."""
         for pool in MODELS:
-            await self._until(partial(self.watch.ordered, pool, names))
-        return {await self._holder(held) for held in MODELS}
+            await self._wait_until(partial(self.watch.was_ordered, pool, names))
+        return {await self._holder(model_pool) for model_pool in MODELS}
 
     async def _holder(self, pool: str) -> str:
         for index in range(HOSTS):
@@ -182,12 +188,16 @@
             state = await self.fleet.dump(name)
             if state['leases'][f'orders/{pool}']['held']:
                 return name
-        raise LookupError(f'nobody holds the lease of {pool}')
+        raise LookupError(f'no process has the lease of {pool}')
 
     def _is_settled(self, wanted: set[str]) -> bool:
-        """Tell whether engines have the versions, and at most a kept one."""
-        checking = [self.watch.loaded(name) for name in self._names(0)]
-        ignoring = [self.watch.loaded(name) for name in self._names(1)]
+        """Tell whether engines have the wanted versions.
+
+        In the pool that ignores the token, one engine may keep a copy of each
+        other version.
+        """
+        checking = [self.watch.loaded(name) for name in self._server_names(0)]
+        ignoring = [self.watch.loaded(name) for name in self._server_names(1)]
         extra = Counter(ref for found in ignoring for ref in found - wanted)
         return (
             all(found == wanted for found in checking)
@@ -195,31 +205,33 @@
             and all(count == 1 for count in extra.values())
         )
 
-    def _names(self, place: int) -> list[str]:
-        pool = tuple(MODELS)[place]
+    def _server_names(self, pool_index: int) -> list[str]:
+        pool = tuple(MODELS)[pool_index]
         return [f'{pool}-{index}' for index in range(ENGINES)]
 
-    def _having(self, pool: str, name: str) -> list[str]:
+    def _servers_with(self, pool: str, name: str) -> list[str]:
         return [
             server
-            for server in self._names(tuple(MODELS).index(pool))
+            for server in self._server_names(tuple(MODELS).index(pool))
             if name in self.watch.loaded(server)
         ]
 
     async def _long_answer(self) -> None:
-        """Run an answer of some twelve seconds on an engine that checks."""
-        address = self.fleet.servers[self._names(0)[0]].address
-        engines = engine_driver.HttpEngine(self.fleet.client, ENGINE_S)
+        """Run an answer of about 12 s on an engine that checks tokens."""
+        address = self.fleet.servers[self._server_names(0)[0]].address
+        engine_client = engine_driver.HttpEngine(
+            self.fleet.client, ENGINE_TIMEOUT_S
+        )
         ref = config_data.VersionRef(MODELS[sample.SMALL], 'v1')
-        ask = engine_data.ChatAsk('long', 'kutch', ref, BODY)
-        incoming = await engines.chat(address, ask)
-        await incoming.read()
+        chat_request = engine_data.ChatAsk('long', 'kutch', ref, BODY)
+        response = await engine_client.chat(address, chat_request)
+        await response.read()
 
-    async def _until(self, is_true: Callable[[], bool]) -> None:
-        async def holds() -> bool:  # noqa: WPS430
-            return is_true()
+    async def _wait_until(self, condition: Callable[[], bool]) -> None:
+        async def is_met() -> bool:  # noqa: WPS430
+            return condition()
 
-        await harness.wait_for(holds, WITHIN_S)
+        await harness.wait_for(is_met, TIMEOUT_S)
 
 
 if __name__ == '__main__':
--- a/beryllug/proofs/pages_test.py
+++ b/beryllug/proofs/pages_test.py
@@ -1,7 +1,7 @@
-"""Tests that the pages and the programs say the same.
+"""Tests that the documentation matches the code.
 
-A page that names what is not there sends its reader astray; what is there and
-stands on no page is found only by reading the code.
+The documentation must not name things that do not exist, and must describe the
+headers, refusal codes, paths, services and metrics that users depend on.
 """
 
 import os
@@ -47,7 +47,7 @@
     ROOT / 'DEVELOPERS.md',
     *sorted(DOCS.glob('*.md')),
 )
-# Linked to and not written yet; each is taken out here when it is there.
+# Linked pages that do not exist yet; remove each one when it is added.
 UNWRITTEN = frozenset(('PROOFS.md', 'CAPACITY.md'))
 SOURCES = tuple(
     path
@@ -55,12 +55,12 @@
     if not path.name.endswith('_test.py')
 )
 
-FENCE = re.compile('^```.*?^```', re.MULTILINE | re.DOTALL)
+CODE_BLOCK = re.compile('^```.*?^```', re.MULTILINE | re.DOTALL)
 LINK = re.compile(r'\]\(([^)\s]+)\)')
 HEADING = re.compile('^#+ (.*)', re.MULTILINE)
-ABSENT = re.compile('^- `([a-z_]+)` does not run', re.MULTILINE)
+NOT_RUNNING = re.compile('^- `([a-z_]+)` does not run', re.MULTILINE)
 HEADER = re.compile("^[A-Z_]+ = '([a-z-]+)'$", re.MULTILINE)
-OUR_HEADER = re.compile('x-beryllug-[a-z-]+')
+PRODUCT_HEADER = re.compile('x-beryllug-[a-z-]+')
 HTTP_PATH = re.compile(r'(?:/v1|/console)(?:/[A-Za-z/]*)?|/(?:healthz|readyz)')
 EVENT = re.compile(r'event=([a-z_]+(?:%s)?)')
 METRIC = re.compile(
@@ -73,14 +73,14 @@
 )
 COMMAND = re.compile(r'^\s*beryllug ([a-z]+)(?: ([a-z]+))?', re.MULTILINE)
 MODULE = re.compile(r'python -m ([a-z_.]+)')
-TARGET = re.compile('(?:^|`)make ([a-z]+)', re.MULTILINE)
-EXIT = re.compile(r'exit code (\d)')
-ROW = re.compile(r'^\| `?([^|`]+?)`?(?:, [^|]*)? \|', re.MULTILINE)
-MACHINE = re.compile(
+MAKE_TARGET = re.compile('(?:^|`)make ([a-z]+)', re.MULTILINE)
+EXIT_CODE = re.compile(r'exit code (\d)')
+TABLE_ROW = re.compile(r'^\| `?([^|`]+?)`?(?:, [^|]*)? \|', re.MULTILINE)
+LOCAL_PATH = re.compile(
     r'(?<![\w.])/(?:home|root|work|tmp|usr|opt|var|etc|mnt|Users)/'
 )
 URL = re.compile(r'https?://([^/\s`)]+)')
-OUR_HOSTS = re.compile(r'127\.0\.0\.1:\d+|ENTRY')
+ALLOWED_HOSTS = re.compile(r'127\.0\.0\.1:\d+|ENTRY')
 
 MS = 1000
 MIB = 1048576
@@ -110,47 +110,47 @@
 
 
 class NamesTest(unittest.TestCase):
-    """Names on the pages exist, and what exists is named."""
+    """Documented names exist, and existing names are documented."""
 
     def test_headers(self) -> None:
-        """Callers' headers, both ways."""
+        """Headers for callers are documented, and documented headers exist."""
         known = set(HEADER.findall(text_of(HEADERS)))
-        listed = set(rows_after(API, '## Headers'))
+        listed = set(first_cells_after(API, '## Headers'))
         self.assertEqual(listed, known | {'retry-after'})
-        self.check_known(OUR_HEADER, known)
+        self.check_known(PRODUCT_HEADER, known)
 
     def test_refusals(self) -> None:
-        """Refusal codes with their statuses, both ways."""
-        stated = re.findall(
+        """Refusal codes and their statuses are as documented."""
+        documented = re.findall(
             r'^\| `([a-z_]+)` \| (\d{3}) \|', text_of(API), re.MULTILINE
         )
         known = [
             (code.value, str(status))
             for code, status in refusal.STATUSES.items()
         ]
-        self.assertCountEqual(stated, known)
+        self.assertCountEqual(documented, known)
 
     def test_runs(self) -> None:
-        """What can be said of a run is explained."""
+        """Every run state is documented."""
         for run in refusal.Run:
             with self.subTest(run.value):
                 self.assertIn(f'**{run.value}**', text_of(API))
 
     def test_unsent_code(self) -> None:
-        """Only the code that the page calls reserved is sent nowhere."""
+        """The unused refusal codes are those documented as reserved."""
         code = ''.join(path.read_text('utf-8') for path in SOURCES)
-        unsent = {
+        unused_codes = {
             one.value
             for one in refusal.Code
             if len(re.findall(rf'Code\.{one.name}\b', code)) < 2
         }
         reserved = re.findall(r'`([a-z_]+)` \|.*\| reserved;', text_of(API))
-        self.assertEqual(unsent, set(reserved))
+        self.assertEqual(unused_codes, set(reserved))
 
     def test_paths(self) -> None:
-        """HTTP paths on any page are served; callers' ones are all listed."""
-        served = set(paths_served())
-        for page, path in found(HTTP_PATH):
+        """Documented HTTP paths are served; callers' paths are documented."""
+        served = set(served_paths())
+        for page, path in find_matches(HTTP_PATH):
             with self.subTest(page=page.name, path=path):
                 bare = path.rstrip('/')
                 self.assertTrue(
@@ -166,7 +166,7 @@
                 self.assertIn(path, text_of(API))
 
     def test_operators_paths(self) -> None:
-        """Each path of the operators' address stands on a page."""
+        """Each path of the operators' address is documented."""
         text = text_of(OPERATIONS) + text_of(CONFIGURATION)
         for path in (ops.HEALTH, ops.READINESS, ops.DUMP, ops.METRICS):
             with self.subTest(path):
@@ -177,63 +177,68 @@
                 self.assertIn(f'/{last}', text)
 
     def test_exit_codes(self) -> None:
-        """Exit codes of the tool and of the daemon, both ways."""
+        """Exit codes of the tool and of the daemon are as documented."""
         tool = {str(code.value) for code in cli_data.Exit}
-        self.assertLessEqual(tool, set(rows_of(CONFIGURATION)))
-        daemon = set(rows_after(OPERATIONS, '`/readyz` when it takes work.'))
+        self.assertLessEqual(tool, set(first_cells(CONFIGURATION)))
+        daemon = set(
+            first_cells_after(OPERATIONS, '`/readyz` when it takes work.')
+        )
         self.assertEqual(daemon, {'0', '1', str(beryllugd.EXIT_USAGE)})
-        self.check_known(EXIT, tool)
+        self.check_known(EXIT_CODE, tool)
 
     def test_settings(self) -> None:
-        """Settings that a page names with their section exist."""
+        """Settings documented with their section exist."""
         known = set(settings_rules.RULES)
         sections = '|'.join({rule.partition('.')[0] for rule in known})
         named = re.compile(rf'`((?:{sections})\.[a-z_]+)`')
         self.check_known(named, known)
 
     def test_metrics(self) -> None:
-        """Metrics, both ways."""
-        known = set(metrics_known())
+        """Metrics are documented, and documented metrics exist."""
+        known = set(known_metrics())
         self.check_known(METRIC, known)
         self.assertEqual(known, set(METRIC.findall(text_of(OPERATIONS))))
 
     def test_events(self) -> None:
-        """Log events that a page names are logged."""
+        """Documented log events are logged."""
         logged = {
             event
             for path in SOURCES
             for event in EVENT.findall(path.read_text('utf-8'))
         }
-        for page, event in found(EVENT):
+        for page, event in find_matches(EVENT):
             with self.subTest(page=page.name, event=event):
                 self.assertTrue(is_logged(event, logged))
 
     def test_commands(self) -> None:
-        """Commands, modules and make targets on any page exist."""
+        """Documented commands, modules and make targets exist."""
         targets = set(
             re.findall('^([a-z]+):', text_of(ROOT / 'Makefile'), re.MULTILINE)
         )
-        self.check_known(TARGET, targets)
+        self.check_known(MAKE_TARGET, targets)
         for page, command, sub in commands():
             with self.subTest(page=page.name, command=command):
                 known = beryllug.Rollout if sub else beryllug.Tool
                 self.assertTrue(hasattr(known, sub or command))
-        for page, module in found(MODULE):
+        for page, module in find_matches(MODULE):
             with self.subTest(page=page.name, module=module):
                 self.assertIsNotNone(util.find_spec(module))
 
     def check_known(self, pattern: re.Pattern[str], known: set[str]) -> None:
-        """Check that all that a pattern finds on any page is known."""
-        for page, name in found(pattern):
+        """Check that all matches of a pattern on the pages are known."""
+        for page, name in find_matches(pattern):
             with self.subTest(page=page.name, name=name):
                 self.assertIn(name, known)
 
 
 class ServicesTest(unittest.IsolatedAsyncioTestCase):
-    """The services that the pages name run in a process."""
+    """Documented services run in a process."""
 
     async def test_services(self) -> None:
-        """The dump's services by role, both ways; none runs as missing."""
+        """The services of each role are as documented.
+
+        Services listed under known limits must not run.
+        """
         table = re.findall(
             r'^\| `([a-z_]+)` \| ((?:entry|control|router)'
             r'(?:, (?:control|router))*) \|',
@@ -241,7 +246,7 @@
             re.MULTILINE,
         )
         limits = text_of(OPERATIONS).partition('## Known limits')[2]
-        missing = set(ABSENT.findall(limits))
+        missing = set(NOT_RUNNING.findall(limits))
         for role in settings_data.Role:
             services = services_of(role)
             listed = {name for name, roles in table if role.value in roles}
@@ -251,11 +256,11 @@
 
 
 class TextTest(unittest.TestCase):
-    """Links, modules, and what must not stand on a page."""
+    """Tests of links, modules, figures and private data in the pages."""
 
     def test_links(self) -> None:
-        """Links between pages resolve, to the very heading."""
-        for page, link in found(LINK):
+        """Links between pages resolve, including their headings."""
+        for page, link in find_matches(LINK):
             target, _, heading = link.partition('#')
             path = (page.parent / target) if target else page
             if path.name in UNWRITTEN and not path.exists():
@@ -266,7 +271,7 @@
                     self.assertIn(heading, anchors(path))
 
     def test_modules(self) -> None:
-        """Modules of the glossary exist, and the words stand in them."""
+        """Modules named in the glossary exist."""
         for line in text_of(GLOSSARY).splitlines():
             modules = re.findall(r'`([a-z_/]+\.py)` \|$', line)
             for module in modules:
@@ -275,7 +280,7 @@
                     self.assertTrue(path.is_file())
 
     def test_figures(self) -> None:
-        """Figures that operators and callers rely on are the code's."""
+        """Documented figures match the constants in the code."""
         for page, figures in FIGURES.items():
             text = ' '.join(text_of(page).split())
             for figure in figures:
@@ -283,15 +288,15 @@
                     self.assertIn(figure, text)
 
     def test_nothing_private(self) -> None:
-        """No page names a path of a machine or a host that isn't ours."""
+        """No page contains a local path or the name of an external host."""
         for page in PAGES:
             text = text_of(page)
             with self.subTest(page.name):
-                self.assertEqual(MACHINE.findall(text), [])
+                self.assertEqual(LOCAL_PATH.findall(text), [])
                 foreign = [
                     host
                     for host in URL.findall(text)
-                    if not OUR_HOSTS.fullmatch(host)
+                    if not ALLOWED_HOSTS.fullmatch(host)
                 ]
                 self.assertEqual(foreign, [])
 
@@ -301,23 +306,25 @@
     return page.read_text('utf-8')
 
 
-def found(pattern: re.Pattern[str]) -> Iterator[tuple[pathlib.Path, str]]:
-    """Yield what a pattern finds, with the page."""
+def find_matches(
+    pattern: re.Pattern[str],
+) -> Iterator[tuple[pathlib.Path, str]]:
+    """Yield the matches of a pattern, each with its page."""
     for page in PAGES:
         for name in pattern.findall(text_of(page)):
             yield page, name
 
 
-def rows_of(page: pathlib.Path) -> list[str]:
+def first_cells(page: pathlib.Path) -> list[str]:
     """Return the first cells of all tables of a page."""
-    return ROW.findall(text_of(page))
+    return TABLE_ROW.findall(text_of(page))
 
 
-def rows_after(page: pathlib.Path, mark: str) -> list[str]:
-    """Return the first cells of the first table after a mark."""
-    _, _, rest = text_of(page).partition(mark)
+def first_cells_after(page: pathlib.Path, marker: str) -> list[str]:
+    """Return the first cells of the first table after a marker."""
+    _, _, rest = text_of(page).partition(marker)
     table = rest.partition('\n|')[2].partition('\n\n')[0]
-    return ROW.findall(f'|{table}\n')[1:]
+    return TABLE_ROW.findall(f'|{table}\n')[1:]
 
 
 def anchors(page: pathlib.Path) -> set[str]:
@@ -329,14 +336,14 @@
 
 
 def commands() -> Iterator[tuple[pathlib.Path, str, str]]:
-    """Yield commands of the tool in blocks, with those of roll-outs."""
-    for page, block in found(FENCE):
+    """Yield commands of the tool in code blocks, with subcommands."""
+    for page, block in find_matches(CODE_BLOCK):
         for command, word in COMMAND.findall(block):
             yield page, command, word if command == 'rollout' else ''
 
 
-def paths_served() -> Iterator[str]:
-    """Yield the paths of callers' and operators' addresses."""
+def served_paths() -> Iterator[str]:
+    """Yield the paths served on the callers' and operators' addresses."""
     yield from (intake.CHAT_PATH, callers.MODELS_PATH)
     yield from (f'{intake.SERVICES_PREFIX}NAME/PATH', f'{fetches.PREFIX}ID')
     for operation in ('booking/holds', 'booking/slots'):
@@ -346,14 +353,14 @@
 
 
 def operator_paths() -> set[str]:
-    """Return the paths that a control adds to its operators' address."""
-    nothing = cast(Any, None)
-    routes = operators.routes(nothing, nothing)
+    """Return the operator paths that a control process adds."""
+    unused = cast(Any, None)
+    routes = operators.routes(unused, unused)
     return {route.path for route in routes if '.' not in route.path}
 
 
-def metrics_known() -> Iterator[str]:
-    """Yield the names of all metrics as Prometheus shows them."""
+def known_metrics() -> Iterator[str]:
+    """Yield the names of all metrics in the Prometheus format."""
     for path in SOURCES:
         for _, name, rest in SAMPLE.findall(text_of(path)):
             counter = 'Kind.COUNTER' in rest
@@ -361,7 +368,7 @@
 
 
 def is_logged(event: str, logged: Iterable[str]) -> bool:
-    """Tell whether an event is logged, by name or by its fixed part."""
+    """Tell whether an event is logged, by name or by its constant prefix."""
     return any(
         event == one or ('%' in one and event.startswith(one[:-2]))
         for one in logged
@@ -373,8 +380,8 @@
     cfg, findings = settings.load(str(ROOT / f'examples/{role.value}.ini'))
     assert cfg is not None, findings
     if cfg.router is not None:
-        sink = os.open(os.devnull, os.O_WRONLY)
-        lines = log_lines.LineWriter(sink)
+        null_fd = os.open(os.devnull, os.O_WRONLY)
+        lines = log_lines.LineWriter(null_fd)
         return set(compose_router.compose(cfg, cfg.router, lines).dump())
     return set(compose.compose(cfg).services.dump())
 
--- a/beryllug/proofs/reports_test.py
+++ b/beryllug/proofs/reports_test.py
@@ -1,4 +1,4 @@
-"""A long report arrives whole and once, over the death of its entry host."""
+"""Tests that reports run once and complete when their entry host fails."""
 
 import asyncio
 import unittest
@@ -24,15 +24,15 @@
 
 
 class ReportsTest(unittest.IsolatedAsyncioTestCase):
-    """Engines slow enough that a report takes two seconds."""
+    """Uses engines on which a report takes two seconds."""
 
     async def asyncSetUp(self) -> None:
         """Start two entry hosts."""
-        slow = engine_worker.EngineCfg(
+        engine_cfg = engine_worker.EngineCfg(
             concurrency=sample.CONCURRENCY, token_s=TOKEN_S
         )
         servers = tuple(
-            server._replace(engine=slow if server.engine else None)
+            server._replace(engine=engine_cfg if server.engine else None)
             for server in sample.servers()
         )
         plan = sample.plan()._replace(servers=servers)
@@ -49,81 +49,81 @@
         self.hosts = [ports.callers for ports in self.fleet.hosts]
 
     async def asyncTearDown(self) -> None:
-        """Stop them."""
+        """Stop the deployment."""
         await self.caller.close()
         await self.fleet.stop()
 
     async def test_host_lost(self) -> None:
-        """The entry host dies while a report is made.
+        """The entry host fails while a report is generated.
 
-        The caller's connection breaks and it sends the report again under
-        the same key through another host. That host takes the answer up at
-        the engine, which goes on without its entry. The report is not run
-        again; a third try and a fetch give the same bytes.
+        The caller's connection breaks and it resends the report with the same
+        key through another host. That host resumes the answer from the engine,
+        where the run continued. The report is not run a second time; a second
+        resend and a fetch return the same bytes.
         """
         first = asyncio.create_task(self._send(0))
         await harness.wait_for(self._is_running, harness.READY_S)
         await self.fleet.processes.kill(fleet_settings.entry_name(0))
-        lost = await first
-        self.assertNotEqual(lost.status, harness.OK)
-        again = await self._send(1)
-        self.assertEqual(again.status, harness.OK, again)
-        self.assertTrue(invariants.is_own(again, PROMPT))
-        third = await self._send(1)
-        self.assertEqual(third.body, again.body)
-        request_id = again.headers[invariants.REQUEST_ID]
+        failed = await first
+        self.assertNotEqual(failed.status, harness.OK)
+        resent = await self._send(1)
+        self.assertEqual(resent.status, harness.OK, resent)
+        self.assertTrue(invariants.is_own(resent, PROMPT))
+        repeated = await self._send(1)
+        self.assertEqual(repeated.body, resent.body)
+        request_id = resent.headers[invariants.REQUEST_ID]
         fetched = await self.caller.ask(
             self.hosts[1], 'GET', f'/v1/requests/{request_id}'
         )
-        self.assertEqual(fetched.body, again.body)
-        await self._check_once(request_id)
+        self.assertEqual(fetched.body, resent.body)
+        await self._check_ran_once(request_id)
 
     async def test_resent_while_running(self) -> None:
-        """An impatient caller sends a report again through another host.
+        """A caller resends a report through another host while it is running.
 
-        Both connections get the whole report of the one run.
+        Both connections receive the complete report of the same run.
         """
         first = asyncio.create_task(self._send(0))
         await harness.wait_for(self._is_running, harness.READY_S)
-        again = await self._send(1)
-        done = await first
-        for reply in (done, again):
+        resent = await self._send(1)
+        original = await first
+        for reply in (original, resent):
             self.assertEqual(reply.status, harness.OK, reply)
             self.assertTrue(invariants.is_own(reply, PROMPT))
-        await self._check_once(done.headers[invariants.REQUEST_ID])
+        await self._check_ran_once(original.headers[invariants.REQUEST_ID])
 
     async def test_caller_gone(self) -> None:
-        """The caller goes away half way and fetches the report later."""
+        """The caller disconnects during the run and resends the report."""
         sending = asyncio.create_task(self._send(0))
         await harness.wait_for(self._is_running, harness.READY_S)
         sending.cancel()
         await asyncio.gather(sending, return_exceptions=True)
-        again = await self._send(1)
-        self.assertEqual(again.status, harness.OK, again)
-        self.assertTrue(invariants.is_own(again, PROMPT))
-        await self._check_once(again.headers[invariants.REQUEST_ID])
+        resent = await self._send(1)
+        self.assertEqual(resent.status, harness.OK, resent)
+        self.assertTrue(invariants.is_own(resent, PROMPT))
+        await self._check_ran_once(resent.headers[invariants.REQUEST_ID])
 
     async def test_hold_of_lost_host(self) -> None:
-        """The entry host dies while a hold is at the booking service.
+        """The entry host fails while a hold is at the booking service.
 
-        Nobody can know whether it ran. The resend is told that it is in
-        progress for as long as it may be, and "unknown" from then on; it is
-        never run again.
+        Whether the hold ran is unknown. Resends report that it is in progress
+        until its deadline and "unknown" afterwards; it never runs a second
+        time.
         """
-        for made in self.fleet.servers.values():
-            made.put_faults(answer_delay_s=2 * HOLD_MS / MS)
+        for stand_in in self.fleet.servers.values():
+            stand_in.put_faults(answer_delay_s=2 * HOLD_MS / MS)
         first = asyncio.create_task(self._hold(0))
-        await harness.wait_for(self._is_held, harness.READY_S)
+        await harness.wait_for(self._is_hold_running, harness.READY_S)
         await self.fleet.processes.kill(fleet_settings.entry_name(0))
         await first
-        told: list[str] = []
+        run_states: list[str] = []
 
         async def is_unknown() -> bool:  # noqa: WPS430
-            told.append((await self._hold(1)).error()['run'])
-            return told[-1] == 'unknown'
+            run_states.append((await self._hold(1)).error()['run'])
+            return run_states[-1] == 'unknown'
 
         await harness.wait_for(is_unknown, harness.READY_S)
-        self.assertNotIn('not_run', told)
+        self.assertNotIn('not_run', run_states)
         self.assertEqual(len(records.plain_runs_of(self.fleet)), 1)
 
     async def _hold(self, host: int) -> caller.Reply:
@@ -135,7 +135,7 @@
             idempotency_key=KEY,
         )
 
-    async def _is_held(self) -> bool:
+    async def _is_hold_running(self) -> bool:
         return bool(records.plain_runs_of(self.fleet))
 
     async def _send(self, host: int) -> caller.Reply:
@@ -152,7 +152,7 @@
         runs = records.engine_runs_of(self.fleet)
         return any(run.tokens_out for run in runs)
 
-    async def _check_once(self, request_id: str) -> None:
+    async def _check_ran_once(self, request_id: str) -> None:
         self.assertEqual(len(records.engine_runs_of(self.fleet)), 1)
         names = self.fleet.processes.names()
         self.assertIn(fleet_settings.entry_name(1), names)
--- a/beryllug/proofs/rollouts_test.py
+++ b/beryllug/proofs/rollouts_test.py
@@ -1,4 +1,4 @@
-"""Roll-outs with real processes: a bad version reaches few callers."""
+"""Tests that roll-outs expose few callers to a bad version."""
 
 import asyncio
 import time
@@ -19,9 +19,10 @@
 STAGES = (10, 25, 50, 100)
 CANDIDATE = 'v2'
 VERSION = 'x-beryllug-version'
-WITHIN_S = 60.0
-# By entry: two failures in a row act before the fleet's verdict.
-MOST_REACHED = 16
+TIMEOUT_S = 60.0
+# Each entry process acts on two failures in a row before the fleet-wide
+# verdict.
+MAX_REACHED = 16
 
 
 def _document() -> config_data.Document:
@@ -33,7 +34,7 @@
 
 
 class RolloutsTest(unittest.IsolatedAsyncioTestCase):
-    """Two entry hosts; callers without sessions ask one model."""
+    """Two entry hosts; callers without sessions use one model."""
 
     async def asyncSetUp(self) -> None:
         """Start the deployment."""
@@ -44,35 +45,36 @@
         self.versions: list[str] = []
 
     async def asyncTearDown(self) -> None:
-        """Stop it."""
+        """Stop the deployment."""
         await self.fleet.stop()
 
     async def test_bad_from_start(self) -> None:
-        """Each answer of the candidate fails from the start.
+        """Every answer of the candidate fails from the start.
 
-        Callers get the incumbent's answers. The candidate is tried on few
-        requests, is stopped, stays stopped when the holder of its lease is
-        killed, and gets no work any more.
+        Callers receive answers of the incumbent. The candidate runs few
+        requests before the roll-out stops. It remains stopped after the holder
+        of its lease is killed, and the candidate receives no more requests.
         """
-        await self._break_candidate()
-        asking = [
-            asyncio.create_task(self._ask(index)) for index in range(CALLERS)
+        await self._fail_candidate()
+        senders = [
+            asyncio.create_task(self._send_chats(index))
+            for index in range(CALLERS)
         ]
-        await harness.wait_for(lambda: self._has('stopped'), WITHIN_S)
+        await harness.wait_for(lambda: self._has_verdict('stopped'), TIMEOUT_S)
         await self._kill_holder()
         await asyncio.sleep(1)
         stopped_at = time.time()
         await asyncio.sleep(1)
         self.stopping = True
-        await asyncio.gather(*asking)
+        await asyncio.gather(*senders)
         await scenario.settle(self.fleet)
-        reached = self._reached()
+        reached = self._requests_on_candidate()
         print(  # noqa: WPS421
             f'bad candidate: {len(reached)} requests reached, '
             f'{len(self.versions)} answered'
         )
-        self.assertLessEqual(len(reached), MOST_REACHED)
-        self.assertTrue(await self._has('stopped'))
+        self.assertLessEqual(len(reached), MAX_REACHED)
+        self.assertTrue(await self._has_verdict('stopped'))
         late = [
             run
             for run in records.engine_runs_of(self.fleet)
@@ -81,13 +83,14 @@
         self.assertEqual(late, [])
 
     async def test_good(self) -> None:
-        """A good candidate passes its stages in order and is promoted.
+        """A good candidate passes all stages in order and is promoted.
 
-        The holder of its lease is killed half way; the next one goes on at
-        the stage of the record.
+        The lease holder is killed during the roll-out. The next one continues
+        at the stage stored in the record.
         """
-        asking = [
-            asyncio.create_task(self._ask(index)) for index in range(CALLERS)
+        senders = [
+            asyncio.create_task(self._send_chats(index))
+            for index in range(CALLERS)
         ]
         stages: list[int] = []
 
@@ -97,36 +100,36 @@
                 stages.append(state['stage'])
             return bool(state) and state['verdict'] == 'promoted'
 
-        async def is_second() -> bool:  # noqa: WPS430
+        async def is_second_stage() -> bool:  # noqa: WPS430
             await is_promoted()
             return bool(stages) and stages[-1] >= 1
 
-        await harness.wait_for(is_second, WITHIN_S)
+        await harness.wait_for(is_second_stage, TIMEOUT_S)
         await self._kill_holder()
-        await harness.wait_for(is_promoted, WITHIN_S)
+        await harness.wait_for(is_promoted, TIMEOUT_S)
         self.stopping = True
-        await asyncio.gather(*asking)
+        await asyncio.gather(*senders)
         self.assertEqual(stages, list(range(len(STAGES))))
 
-    async def _ask(self, index: int) -> None:
-        who = caller.Caller(sample.LARGE_KEY)
+    async def _send_chats(self, index: int) -> None:
+        client = caller.Caller(sample.LARGE_KEY)
         number = 0
         while not self.stopping:
             number += 1
             host = self.fleet.hosts[number % 2].callers
-            reply = await who.chat(host, 'desk-small', f'{index} {number}')
+            reply = await client.chat(host, 'desk-small', f'{index} {number}')
             if reply.status == harness.OK:
                 self.versions.append(reply.headers[VERSION])
             await asyncio.sleep(0.01)
-        await who.close()
+        await client.close()
 
-    async def _break_candidate(self) -> None:
-        for made in self.fleet.servers.values():
-            made.put_faults(version_errors={CANDIDATE: 1.0})
-            await made.settle()
+    async def _fail_candidate(self) -> None:
+        for stand_in in self.fleet.servers.values():
+            stand_in.put_faults(version_errors={CANDIDATE: 1.0})
+            await stand_in.settle()
 
-    def _reached(self) -> set[str]:
-        """Return the requests that ran on the candidate."""
+    def _requests_on_candidate(self) -> set[str]:
+        """Return the ids of the requests that ran on the candidate."""
         return {
             request_id.family_of(run.request_id)
             for run in records.engine_runs_of(self.fleet)
@@ -141,7 +144,7 @@
                 return dict(found)
         return {}
 
-    async def _has(self, verdict: str) -> bool:
+    async def _has_verdict(self, verdict: str) -> bool:
         state = await self._state()
         return bool(state) and state['verdict'] == verdict
 
@@ -152,7 +155,7 @@
                 await self.fleet.processes.kill(name)
                 await self.fleet.restart(name)
                 return
-        self.fail('no process judges the roll-out')
+        self.fail('no process evaluates the roll-out')
 
     def _controls(self) -> list[str]:
         names = self.fleet.processes.names()
--- a/beryllug/proofs/run_all.py
+++ b/beryllug/proofs/run_all.py
@@ -1,10 +1,11 @@
-"""Run every test module, some beside each other: ``make test``.
+"""Runs all test modules, several in parallel: ``make test``.
 
-Each module is a process of its own, so one that hangs or crashes shows as
-itself. The longest come first. Modules named on the command line run alone.
+Each module runs in its own process, so that a hang or crash is attributed to
+it. The slowest modules start first. If modules are named on the command line,
+only these run.
 
-Tests listed in KNOWN-RED.txt, one line each as ``test | cause | issue``, are
-run and printed; their failures alone do not fail the run.
+Tests listed in KNOWN-RED.txt, one per line as ``test | cause | issue``, run and
+are printed, but their failures do not fail the run.
 """
 
 import asyncio
@@ -15,32 +16,32 @@
 from typing import NamedTuple
 
 PACKAGE = 'beryllug'
-AT_ONCE = 4
+MAX_PARALLEL = 4
 TIMEOUT_S = 600
-RAN = re.compile(r'^Ran (\d+) tests?', re.MULTILINE)
-RED = re.compile(r'^(?:FAIL|ERROR): \S+ \((\S+?)\)', re.MULTILINE)
+TEST_COUNT = re.compile(r'^Ran (\d+) tests?', re.MULTILINE)
+FAILED_TEST = re.compile(r'^(?:FAIL|ERROR): \S+ \((\S+?)\)', re.MULTILINE)
 KNOWN_RED = 'KNOWN-RED.txt'
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 
 
-class Ended(NamedTuple):
-    """What became of a module's tests."""
+class ModuleResult(NamedTuple):
+    """Result of a test module."""
 
     module: str
     ran: int
     failed: int
-    said: str
+    output: str
     known_red: tuple[str, ...]
 
 
 def main() -> None:
-    """Run the modules and end with their counts."""
+    """Run the modules, print the counts and exit."""
     root = Path(__file__).resolve().parents[2]
     modules = sys.argv[1:] or _discover(root)
-    ended = asyncio.run(_run(modules, root))
-    ran = sum(item.ran for item in ended)
-    failed = sum(item.failed for item in ended)
-    red = [name for item in ended for name in item.known_red]
+    module_results = asyncio.run(_run(modules, root))
+    ran = sum(item.ran for item in module_results)
+    failed = sum(item.failed for item in module_results)
+    red = [name for item in module_results for name in item.known_red]
     known = len(red)
     for name in red:
         sys.stdout.write(f'known red, see {KNOWN_RED}: {name}\n')
@@ -50,7 +51,7 @@
 
 
 def _discover(root: Path) -> list[str]:
-    """Return the test modules, those with real processes first."""
+    """Return the test modules, end-to-end tests first."""
     paths = (root / PACKAGE).rglob('*_test.py')
     names = [
         '.'.join(path.relative_to(root).with_suffix('').parts) for path in paths
@@ -58,17 +59,17 @@
     return sorted(names, key=lambda name: ('.proofs.' not in name, name))
 
 
-async def _run(modules: Sequence[str], root: Path) -> list[Ended]:
-    gate = asyncio.Semaphore(AT_ONCE)
+async def _run(modules: Sequence[str], root: Path) -> list[ModuleResult]:
+    semaphore = asyncio.Semaphore(MAX_PARALLEL)
     return await asyncio.gather(
-        *(_run_module(module, root, gate) for module in modules)
+        *(_run_module(module, root, semaphore) for module in modules)
     )
 
 
 async def _run_module(
-    module: str, root: Path, gate: asyncio.Semaphore
-) -> Ended:
-    async with gate:
+    module: str, root: Path, semaphore: asyncio.Semaphore
+) -> ModuleResult:
+    async with semaphore:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             '-m',
@@ -83,59 +84,68 @@
         except TimeoutError:
             process.kill()
             raw = b'timed out'
-    ended = judge(
-        module, raw.decode(errors='replace'), process.returncode, _known_red()
+    module_result = parse_result(
+        module,
+        raw.decode(errors='replace'),
+        process.returncode,
+        _read_known_red(),
     )
-    _show(ended)
-    return ended
+    _print_result(module_result)
+    return module_result
 
 
-def judge(
-    module: str, said: str, code: int | None, listed: frozenset[str]
-) -> Ended:
-    """Count a module's tests; one that died without a count failed once.
+def parse_result(
+    module: str, output: str, code: int | None, allowed: frozenset[str]
+) -> ModuleResult:
+    """Count a module's tests; a module without a count is one failure.
 
     Args:
-        module: Its name.
-        said: What its run printed.
-        code: Its exit code.
-        listed: Tests that may fail.
+        module: Name of the module.
+        output: Output of its process.
+        code: Exit code of its process.
+        allowed: Tests that may fail.
     """
-    found = RAN.findall(said)
-    ran = int(found[-1]) if found else 0
-    red = set(RED.findall(said))
-    known = red & listed
+    counts = TEST_COUNT.findall(output)
+    ran = int(counts[-1]) if counts else 0
+    red = set(FAILED_TEST.findall(output))
+    known = red & allowed
     failed = len(red - known)
     if code != 0 and not red:
         failed = 1
-    return Ended(module, max(ran, failed), failed, said, tuple(sorted(known)))
+    return ModuleResult(
+        module, max(ran, failed), failed, output, tuple(sorted(known))
+    )
 
 
-def _known_red() -> frozenset[str]:
-    """Return the tests that may fail for a real fault that is listed.
+def _read_known_red() -> frozenset[str]:
+    """Return the tests listed as failing for a known fault.
 
     Raises:
-        ValueError: The list is longer than it may be.
+        ValueError: The list is longer than MAX_KNOWN_RED.
     """
     path = Path(__file__).resolve().parents[2] / KNOWN_RED
     if not path.exists():
         return frozenset()
     lines = path.read_text(encoding='utf-8').splitlines()
-    listed = frozenset(line.partition('|')[0].strip() for line in lines if line)
-    if len(listed) > MOST_KNOWN_RED:
-        raise ValueError(f'{KNOWN_RED} lists more than {MOST_KNOWN_RED}')
-    return listed
-
-
-def _show(ended: Ended) -> None:
-    word = 'FAILED' if ended.failed else 'ok'
-    sys.stdout.write(f'{word:6} {ended.ran:4} {ended.module}\n')
-    if ended.failed or ended.known_red:
-        sys.stdout.write(ended.said)
-    elif '.proofs.' in ended.module:
-        lines = ended.said.splitlines()
-        counted = [line for line in lines if 'violations=' in line]
-        sys.stdout.writelines(f'       {line}\n' for line in counted)
+    allowed = frozenset(
+        line.partition('|')[0].strip() for line in lines if line
+    )
+    if len(allowed) > MAX_KNOWN_RED:
+        raise ValueError(f'{KNOWN_RED} lists more than {MAX_KNOWN_RED} tests')
+    return allowed
+
+
+def _print_result(module_result: ModuleResult) -> None:
+    status = 'FAILED' if module_result.failed else 'ok'
+    sys.stdout.write(
+        f'{status:6} {module_result.ran:4} {module_result.module}\n'
+    )
+    if module_result.failed or module_result.known_red:
+        sys.stdout.write(module_result.output)
+    elif '.proofs.' in module_result.module:
+        lines = module_result.output.splitlines()
+        summaries = [line for line in lines if 'violations=' in line]
+        sys.stdout.writelines(f'       {line}\n' for line in summaries)
     sys.stdout.flush()
 
 
--- a/beryllug/proofs/run_all_test.py
+++ b/beryllug/proofs/run_all_test.py
@@ -1,4 +1,4 @@
-"""Tests of how a module's run is judged."""
+"""Tests of the evaluation of a module's run."""
 
 import unittest
 
@@ -26,17 +26,17 @@
 
 
 class JudgeTest(unittest.TestCase):
-    """Only what KNOWN-RED.txt lists may fail without failing the run."""
+    """Only tests listed in KNOWN-RED.txt may fail without failing the run."""
 
     def test_cases(self) -> None:
         """Rows of one table test count as one test."""
-        for title, said, code, failed, known in CASES:
+        for title, output, code, failed, known in CASES:
             with self.subTest(title):
-                ended = run_all.judge(
-                    'beryllug.a_test', said, code, frozenset((KNOWN,))
+                module_result = run_all.parse_result(
+                    'beryllug.a_test', output, code, frozenset((KNOWN,))
                 )
-                counted = (ended.failed, len(ended.known_red))
-                self.assertEqual(counted, (failed, known))
+                counts = (module_result.failed, len(module_result.known_red))
+                self.assertEqual(counts, (failed, known))
 
 
 if __name__ == '__main__':
--- a/beryllug/proofs/scenario.py
+++ b/beryllug/proofs/scenario.py
@@ -1,4 +1,4 @@
-"""Run a deployment under traffic while something fails, then check it all."""
+"""Runs a deployment under traffic, injects a fault and checks invariants."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,38 +7,38 @@
 from beryllug.core import config_data
 from beryllug.standins import harness, invariants, sample, traffic
 
-SETTLE_S = 30.0
-WARM_REQUESTS = 40
+SETTLE_TIMEOUT_S = 30.0
+WARM_UP_REQUESTS = 40
 HOSTS = 3
 
 
-class Running(NamedTuple):
-    """A deployment and its traffic, given to what makes things fail.
+class Deployment(NamedTuple):
+    """An active deployment and its traffic, passed to fault functions.
 
     Attributes:
-        fleet: The deployment.
-        traffic: Its traffic.
-        marks: Wall-clock seconds that a proof wants to remember.
+        fleet: Its processes and stand-ins.
+        traffic: Its traffic generator.
+        timestamps: Wall-clock times in seconds, recorded by a test by name.
     """
 
     fleet: harness.Fleet
     traffic: traffic.Traffic
-    marks: dict[str, float]
+    timestamps: dict[str, float]
 
 
-Fault = Callable[[Running], Awaitable[None]]
+Fault = Callable[[Deployment], Awaitable[None]]
 
 
 class Case(NamedTuple):
-    """A scenario.
+    """A test scenario.
 
     Attributes:
-        seed: Seed of the traffic.
-        fault: Makes things fail and heal while requests are sent.
-        plan: The deployment.
-        document: Allows whatever any document of the run allowed.
-        kinds: Kinds of requests.
-        look: Looks at the records of the other side at the end.
+        seed: Seed of the traffic generator.
+        fault: Injects a fault and reverts it while requests are sent.
+        plan: Plan of the deployment.
+        document: Allows every version that any document of the run allowed.
+        kinds: Kinds of requests to send.
+        inspect: Reads the records of the stand-ins after the run.
     """
 
     seed: int
@@ -46,58 +46,58 @@
     plan: harness.Plan = sample.plan(HOSTS)
     document: config_data.Document = sample.document()
     kinds: tuple[str, ...] = traffic.KINDS
-    look: Callable[[Running], None] | None = None
+    inspect: Callable[[Deployment], None] | None = None
 
 
 async def run(case: Case) -> tuple[invariants.Report, list[traffic.Sent]]:
     """Run a scenario.
 
     Returns:
-        The checked invariants, and every request with what its caller got.
+        The result of the invariant checks, and every request with its reply.
     """
     fleet = harness.Fleet(case.plan)
-    sending = traffic.Traffic(fleet, case.seed, case.kinds)
-    running = Running(fleet, sending, {})
+    generator = traffic.Traffic(fleet, case.seed, case.kinds)
+    deployment = Deployment(fleet, generator, {})
     try:
-        report = await _drive(running, case)
+        report = await _run_phases(deployment, case)
     finally:
         await fleet.stop()
-    return report, sending.sent
+    return report, generator.sent
 
 
-async def _drive(running: Running, case: Case) -> invariants.Report:
+async def _run_phases(deployment: Deployment, case: Case) -> invariants.Report:
     """Send requests before, during and after the fault, then check."""
-    await running.fleet.start()
-    running.traffic.start()
+    await deployment.fleet.start()
+    deployment.traffic.start()
     try:
-        await running.traffic.reach(WARM_REQUESTS)
-        await case.fault(running)
-        await running.traffic.reach(WARM_REQUESTS)
+        await deployment.traffic.reach(WARM_UP_REQUESTS)
+        await case.fault(deployment)
+        await deployment.traffic.reach(WARM_UP_REQUESTS)
     finally:
-        sent = await running.traffic.stop()
-    await settle(running.fleet)
-    if case.look is not None:
-        case.look(running)
-    return invariants.check(running.fleet, sent, case.document)
+        sent = await deployment.traffic.stop()
+    await settle(deployment.fleet)
+    if case.inspect is not None:
+        case.inspect(deployment)
+    return invariants.check(deployment.fleet, sent, case.document)
 
 
 async def settle(fleet: harness.Fleet) -> None:
-    """Wait until no process owes a row to the journal."""
+    """Wait until every entry process has written its rows to the journal."""
 
     async def is_settled() -> bool:  # noqa: WPS430
-        owed = await asyncio.gather(
+        unwritten = await asyncio.gather(
             *(
-                _owed(fleet, name)
+                _unwritten_rows(fleet, name)
                 for name in fleet.processes.names()
                 if name.startswith('entry')
             )
         )
-        return not any(owed)
+        return not any(unwritten)
 
-    await harness.wait_for(is_settled, SETTLE_S)
+    await harness.wait_for(is_settled, SETTLE_TIMEOUT_S)
 
 
-async def _owed(fleet: harness.Fleet, name: str) -> int:
+async def _unwritten_rows(fleet: harness.Fleet, name: str) -> int:
     state = await fleet.dump(name)
-    owed: int = state['outbox']['owed'] + state['answers']['owed']
-    return owed
+    unwritten: int = state['outbox']['owed'] + state['answers']['owed']
+    return unwritten
--- a/beryllug/proofs/schedule_test.py
+++ b/beryllug/proofs/schedule_test.py
@@ -1,6 +1,6 @@
-"""Any two faults at once: a seeded schedule over all invariants.
+"""Seeded tests that inject two faults at once and check all invariants.
 
-``BERYLLUG_SEEDS=FIRST-LAST`` runs other seeds than those of CI.
+``BERYLLUG_SEEDS=FIRST-LAST`` replaces the default range of seeds.
 """
 
 import asyncio
@@ -11,36 +11,36 @@
 from beryllug.proofs import faults, scenario
 
 SEEDS = os.environ.get('BERYLLUG_SEEDS', '1-24')
-# Deployments that run beside each other.
-AT_ONCE = 4
+# Deployments that run in parallel.
+MAX_PARALLEL = 4
 
 
 class ScheduleTest(unittest.IsolatedAsyncioTestCase):
-    """Two faults drawn by each seed hit the deployment at the same time."""
+    """Two faults selected by each seed are injected at the same time."""
 
     async def test_seeds(self) -> None:
         """No seed violates an invariant."""
         first, _, last = SEEDS.partition('-')
-        gate = asyncio.Semaphore(AT_ONCE)
+        semaphore = asyncio.Semaphore(MAX_PARALLEL)
         totals = await asyncio.gather(
             *(
-                self._seed(seed, gate)
+                self._run_seed(seed, semaphore)
                 for seed in range(int(first), int(last or first) + 1)
             )
         )
         print(f'{len(totals)} seeds, {sum(totals)} requests')  # noqa: WPS421
 
-    async def _seed(self, seed: int, gate: asyncio.Semaphore) -> int:
+    async def _run_seed(self, seed: int, semaphore: asyncio.Semaphore) -> int:
         rng = random.Random(seed)
-        drawn = rng.sample(faults.ALL, 2)
-        names = ' + '.join(fault.__name__ for fault in drawn)
+        selected = rng.sample(faults.ALL, 2)
+        names = ' + '.join(fault.__name__ for fault in selected)
 
-        async def both(running: scenario.Running) -> None:  # noqa: WPS430
+        async def both(deployment: scenario.Deployment) -> None:  # noqa: WPS430
             await asyncio.gather(
-                *(fault(running, random.Random(seed)) for fault in drawn)
+                *(fault(deployment, random.Random(seed)) for fault in selected)
             )
 
-        async with gate:
+        async with semaphore:
             with self.subTest(seed=seed, faults=names):
                 report, _ = await scenario.run(scenario.Case(seed, both))
                 print(f'seed {seed} {names}: {report.line()}')  # noqa: WPS421
--- a/beryllug/proofs/sessions_test.py
+++ b/beryllug/proofs/sessions_test.py
@@ -1,4 +1,4 @@
-"""A session keeps its version: over hosts, kills and a moved share."""
+"""Tests that sessions keep their version on any host and after changes."""
 
 import unittest
 
@@ -22,10 +22,10 @@
 
 
 class SessionsTest(unittest.IsolatedAsyncioTestCase):
-    """Two entry hosts and a roll-out; sessions with and without token."""
+    """Two entry hosts and a roll-out; sessions with and without a token."""
 
     async def asyncSetUp(self) -> None:
-        """Start the deployment with a share of half the sessions."""
+        """Start the deployment with half of the sessions on the candidate."""
         plan = sample.plan()._replace(document=_document(SHARES))
         self.fleet = harness.Fleet(plan)
         await self.fleet.start()
@@ -34,62 +34,68 @@
         await harness.wait_for(self._has_token, harness.READY_S)
 
     async def asyncTearDown(self) -> None:
-        """Stop it."""
+        """Stop the deployment."""
         await self.caller.close()
         await self.fleet.stop()
 
     async def test_kept(self) -> None:
-        """Sessions stay on the version that answered first.
+        """Sessions stay on the version that answered their first request.
 
-        Each session is answered through one host. Then that host's entry
-        process is killed, the share of the roll-out is moved to all new
-        sessions, and each session goes on through the other host: half of
-        them return their token, the others are known by their record.
+        Each session starts through one host. The entry process of that host is
+        killed, the roll-out is raised to all new sessions, and each session
+        continues through the second host. Half of them return their token; the
+        rest are identified by their stored record.
         """
         await harness.wait_for(self._has_budget, harness.READY_S)
-        first = [await self._ask(0, index, '') for index in range(SESSIONS)]
-        pinned = [reply.headers[VERSION] for reply in first]
-        self.assertEqual(set(pinned), BOTH)
+        first = [
+            await self._send_chat(0, index, '') for index in range(SESSIONS)
+        ]
+        pinned_versions = [reply.headers[VERSION] for reply in first]
+        self.assertEqual(set(pinned_versions), BOTH)
         await self.fleet.processes.kill(fleet_settings.entry_name(0))
         await self._apply(_document((100,)))
         for index, reply in enumerate(first):
             with self.subTest(index):
                 token = reply.headers[TOKEN] if index % 2 else ''
-                again = await self._ask(1, index, token)
-                self.assertEqual(again.headers[VERSION], pinned[index])
-                self.assertNotIn(MOVED, again.headers)
+                second = await self._send_chat(1, index, token)
+                self.assertEqual(
+                    second.headers[VERSION], pinned_versions[index]
+                )
+                self.assertNotIn(MOVED, second.headers)
 
     async def test_withdrawn(self) -> None:
-        """A withdrawal beats the pin, and the caller is told so."""
-        reply = await self._ask(0, 0, '')
+        """A withdrawal overrides the pin, and the response reports the move."""
+        reply = await self._send_chat(0, 0, '')
         ref = config_data.VersionRef('desk-small', 'v1')
         self.assertEqual(reply.headers[VERSION], 'desk-small@v1')
-        plain = _document(SHARES)._replace(rollouts=())
-        await self._apply(sample.withdraw(plain, ref))
-        again = await self._ask(1, 0, reply.headers[TOKEN])
-        self.assertEqual(again.headers[VERSION], 'desk-small@v2')
-        self.assertEqual(again.headers[MOVED], 'yes')
-        other = caller.Caller(sample.SMALL_KEY)
-        refused = await other.chat(self.hosts[1], 'desk-small', 'x')
-        await other.close()
+        without_rollout = _document(SHARES)._replace(rollouts=())
+        await self._apply(sample.withdraw(without_rollout, ref))
+        second = await self._send_chat(1, 0, reply.headers[TOKEN])
+        self.assertEqual(second.headers[VERSION], 'desk-small@v2')
+        self.assertEqual(second.headers[MOVED], 'yes')
+        small_caller = caller.Caller(sample.SMALL_KEY)
+        refused = await small_caller.chat(self.hosts[1], 'desk-small', 'x')
+        await small_caller.close()
         self.assertEqual(refused.error()['code'], 'withdrawn')
         self.assertEqual(refused.error()['run'], 'not_run')
 
     async def _has_token(self) -> bool:
-        """Tell whether the session keys have reached both hosts.
+        """Tell whether both hosts have received the session keys.
 
-        Until they have, a session is known by its record alone.
+        Until then, a session is identified only by its stored record.
         """
-        replies = [await self._ask(host, SESSIONS, '') for host in (0, 1)]
+        replies = [await self._send_chat(host, SESSIONS, '') for host in (0, 1)]
         return all(TOKEN in reply.headers for reply in replies)
 
     async def _has_budget(self) -> bool:
-        """Tell whether the first host may give out the candidate."""
+        """Tell whether the first host has exposure budget for the candidate."""
         state = await self.fleet.dump(fleet_settings.entry_name(0))
         brakes = state['exposure']['brakes'].get('desk-small@v2', {})
         return int(brakes.get('total', 0)) >= SESSIONS
 
-    async def _ask(self, host: int, index: int, token: str) -> caller.Reply:
+    async def _send_chat(
+        self, host: int, index: int, token: str
+    ) -> caller.Reply:
         fields = {'x_beryllug_session': f'guest-{index}'}
         if token:
             fields['x_beryllug_session_token'] = token
--- a/beryllug/proofs/suspects_test.py
+++ b/beryllug/proofs/suspects_test.py
@@ -1,4 +1,4 @@
-"""A request that crashes servers costs two of them, and nobody else."""
+"""Tests that a request crashes at most two servers and fails no other one."""
 
 import asyncio
 import functools
@@ -21,80 +21,81 @@
 )
 
 POISON = 'poison'
-INNOCENT = 'an innocent question'
+UNRELATED_PROMPT = 'an innocent question'
 PROMPTS = ('the poison of Bhuj', 'another poison of Bhuj')
 RESTART_S = 0.5
 RESENDS = 4
-# The first run cannot be foreseen and the trial is the second; all else is
-# refused while the suspicion lasts.
-MOST_LOST = 2
+# The first run cannot be prevented and the second one is the trial. All further
+# runs are refused while the request is suspected.
+MAX_CRASHES = 2
 REFUSED = 'suspected_of_crashes'
 NOT_RUN = 'not_run'
 UNPROCESSABLE = 422
-# Innocent requests that run on all engines when the first one is lost.
-INNOCENTS = 18
-INNOCENT_TOKENS = 40
+# Unrelated requests that run on all engines when the first engine crashes.
+UNRELATED_COUNT = 18
+UNRELATED_TOKENS = 40
 TOKEN_S = 0.01
-MORE_SERVERS = 3
-# Seconds for which a process stands still, longer than a restart takes.
-STALL_S = 0.8
+EXTRA_SERVERS = 3
+# Duration of a freeze, longer than a restart takes.
+FREEZE_S = 0.8
 POLL_S = 0.001
-ASKED = (fleet_settings.entry_name(0), fleet_settings.entry_name(1))
+ENTRIES = (fleet_settings.entry_name(0), fleet_settings.entry_name(1))
 
-Step = Callable[[scenario.Running], Awaitable[None]]
+Step = Callable[[scenario.Deployment], Awaitable[None]]
 
 
-async def _nothing(running: scenario.Running) -> None:
-    """Let all work."""
+async def _no_step(deployment: scenario.Deployment) -> None:
+    """Change nothing."""
 
 
-async def _lose_platform(running: scenario.Running) -> None:
-    running.fleet.platform.put_faults(refuse=True)
-    await running.fleet.platform.settle()
+async def _lose_platform(deployment: scenario.Deployment) -> None:
+    deployment.fleet.platform.put_faults(refuse=True)
+    await deployment.fleet.platform.settle()
 
 
-async def _heal_platform(running: scenario.Running) -> None:
-    running.fleet.platform.put_faults()
-    await running.fleet.platform.settle()
+async def _heal_platform(deployment: scenario.Deployment) -> None:
+    deployment.fleet.platform.put_faults()
+    await deployment.fleet.platform.settle()
 
 
-async def _kill_control(running: scenario.Running) -> None:
-    await running.fleet.processes.kill(fleet_settings.control_name(0))
+async def _kill_control(deployment: scenario.Deployment) -> None:
+    await deployment.fleet.processes.kill(fleet_settings.control_name(0))
 
 
-async def _restart_control(running: scenario.Running) -> None:
-    await running.fleet.restart(fleet_settings.control_name(0))
+async def _restart_control(deployment: scenario.Deployment) -> None:
+    await deployment.fleet.restart(fleet_settings.control_name(0))
 
 
-class Got(NamedTuple):
-    """What the callers of a case got.
+class CaseResults(NamedTuple):
+    """CaseResults to the callers of a case.
 
     Attributes:
         replies: To the requests that crash servers, in the order of sending.
-        innocents: To the requests that shared the first loss, with prompts.
-        crashed: Ids of all requests that ran on a lost engine.
+        unrelated: Prompts and replies of the unrelated requests that ran on
+            all engines at the first crash.
+        crashed: Ids of all requests that ran on a crashed engine.
     """
 
     replies: list[caller.Reply]
-    innocents: list[tuple[str, caller.Reply]]
+    unrelated: list[tuple[str, caller.Reply]]
     crashed: set[str]
 
 
 class Case(NamedTuple):
-    """What happens around the requests that crash servers.
+    """A case of requests that crash servers, with steps around them.
 
     Attributes:
-        title: Its name.
-        before: Before they are sent.
-        between: After their first answers, before they are sent again.
-        after: When all is over.
-        prompts: The requests, sent at the same time.
+        title: Name of the case.
+        before: Step before they are sent.
+        between: Step after their first replies, before they are resent.
+        after: Step at the end.
+        prompts: Prompts of the requests, sent at the same time.
     """
 
     title: str
-    before: Step = _nothing
-    between: Step = _nothing
-    after: Step = _nothing
+    before: Step = _no_step
+    between: Step = _no_step
+    after: Step = _no_step
     prompts: tuple[str, ...] = PROMPTS[:1]
 
 
@@ -110,71 +111,75 @@
     """Three entry hosts under traffic, three engines of the small model."""
 
     async def test_poison(self) -> None:
-        """A request costs three servers, or innocent ones their answers."""
-        shared = 0
+        """A request crashes at most two servers; others are answered."""
+        shared_crashes = 0
         for number, case in enumerate(CASES):
             with self.subTest(case.title):
-                got = Got([], [], set())
+                received = CaseResults([], [], set())
                 report, sent = await scenario.run(
                     scenario.Case(
                         number,
-                        functools.partial(_fault, case, got),
+                        functools.partial(_inject_fault, case, received),
                         _plan(),
-                        look=functools.partial(_look, got),
+                        inspect=functools.partial(_inspect, received),
                     )
                 )
                 self.assertEqual(report.violations, ())
-                self._check_resends(got.replies, len(case.prompts))
+                self._check_resends(received.replies, len(case.prompts))
                 self._check_traffic(sent)
-                shared += self._check_innocents(got)
-        self.assertGreater(shared, 0)
+                shared_crashes += self._check_unrelated(received)
+        self.assertGreater(shared_crashes, 0)
 
     async def test_hold(self) -> None:
-        """A hold that has crashed its server counts as not run, or runs on."""
+        """Holds that crashed a server are "unknown", refused ones "not_run"."""
         await self._send_holds(harness.Fleet(sample.plan()), {})
 
     async def test_hold_seen_late(self) -> None:
-        """A resend runs where an entry stood still as a server was lost."""
-        for title, still in (
-            ('at the first loss', {1: ASKED[0]}),
-            ('at the loss of the trial', {2: ASKED[1]}),
-            ('at both', {1: ASKED[0], 2: ASKED[1]}),
-            ('where the next one is sent', {1: ASKED[1]}),
+        """The same applies if an entry process is frozen during a crash."""
+        for title, freezes in (
+            ('at the first crash', {1: ENTRIES[0]}),
+            ('at the crash of the trial', {2: ENTRIES[1]}),
+            ('at both', {1: ENTRIES[0], 2: ENTRIES[1]}),
+            ('where the next one is sent', {1: ENTRIES[1]}),
         ):
             with self.subTest(title):
-                await self._send_holds(harness.Fleet(sample.plan()), still)
+                await self._send_holds(harness.Fleet(sample.plan()), freezes)
 
     async def _send_holds(
-        self, fleet: harness.Fleet, still: dict[int, str]
+        self, fleet: harness.Fleet, freezes: dict[int, str]
     ) -> None:
-        who = caller.Caller(sample.LARGE_KEY)
-        stopping = asyncio.create_task(_stop_at_crashes(fleet, still))
+        client = caller.Caller(sample.LARGE_KEY)
+        freezing = asyncio.create_task(_freeze_at_crashes(fleet, freezes))
         try:
-            await self._check_holds(who, fleet)
+            await self._check_holds(client, fleet)
         finally:
-            stopping.cancel()
-            await asyncio.gather(who.close(), fleet.stop())
+            freezing.cancel()
+            await asyncio.gather(client.close(), fleet.stop())
 
     async def _check_holds(
-        self, who: caller.Caller, fleet: harness.Fleet
+        self, client: caller.Caller, fleet: harness.Fleet
     ) -> None:
         await fleet.start()
-        await _poison(fleet)
-        first = await _hold(who, fleet, 0, 'key-1')
-        again = await _hold(who, fleet, 1, 'key-1')
-        self.assertEqual(_lost(fleet), 1)
-        trial = await _hold(who, fleet, 1, 'key-2')
+        await _put_poison(fleet)
+        first = await _hold(client, fleet, 0, 'key-1')
+        resent = await _hold(client, fleet, 1, 'key-1')
+        self.assertEqual(_crash_count(fleet), 1)
+        trial = await _hold(client, fleet, 1, 'key-2')
         for number in range(RESENDS):
-            last = await _hold(who, fleet, number % 2, f'new-{number}')
+            last = await _hold(client, fleet, number % 2, f'new-{number}')
             self.assertEqual(last.error()['code'], REFUSED, last)
             self.assertEqual(last.error()['run'], NOT_RUN)
-        told = await _hold(who, fleet, 0, 'key-2')
-        for reply in (first, again, trial, told):
+        repeated = await _hold(client, fleet, 0, 'key-2')
+        for reply in (first, resent, trial, repeated):
             self.assertEqual(reply.error().get('run'), 'unknown', reply)
-        self.assertEqual(_lost(fleet), MOST_LOST)
+        self.assertEqual(_crash_count(fleet), MAX_CRASHES)
 
     def _check_resends(self, replies: list[caller.Reply], prompts: int) -> None:
-        """The first resend may be the trial, where no server was left."""
+        """Check the replies to the requests that crash servers.
+
+        The first resends are not checked: they may be the trials, if no server
+        was available for these before.
+        """
         for first in replies[:prompts]:
             self.assertEqual(first.error().get('run'), 'unknown', first)
         for reply in replies[2 * prompts :]:
@@ -186,49 +191,59 @@
         for item in sent:
             self.assertNotEqual(item.reply.error().get('code'), REFUSED, item)
 
-    def _check_innocents(self, got: Got) -> int:
-        """Return how many innocent requests ran on a lost engine."""
-        for prompt, reply in got.innocents:
+    def _check_unrelated(self, received: CaseResults) -> int:
+        """Check unrelated requests and count those on a crashed engine."""
+        for prompt, reply in received.unrelated:
             self.assertEqual(reply.status, harness.OK, reply)
             self.assertTrue(invariants.is_own(reply, prompt))
-        ids = {_id_of(one) for one in got.innocents}
-        return len(ids & got.crashed)
-
-
-async def _fault(case: Case, got: Got, running: scenario.Running) -> None:
-    fleet = running.fleet
-    await _poison(fleet)
-    await case.before(running)
-    who = caller.Caller(sample.LARGE_KEY)
-    innocents = asyncio.create_task(_send_innocents(who, fleet))
+        ids = {_id_of(one) for one in received.unrelated}
+        return len(ids & received.crashed)
+
+
+async def _inject_fault(
+    case: Case, received: CaseResults, deployment: scenario.Deployment
+) -> None:
+    fleet = deployment.fleet
+    await _put_poison(fleet)
+    await case.before(deployment)
+    client = caller.Caller(sample.LARGE_KEY)
+    unrelated = asyncio.create_task(_send_unrelated(client, fleet))
+    await harness.wait_for(
+        functools.partial(_are_unrelated_running, fleet), harness.READY_S
+    )
+    received.replies.extend(await _send_all(client, fleet, 0, case.prompts))
+    received.unrelated.extend(await unrelated)
+    await case.between(deployment)
     await harness.wait_for(
-        functools.partial(_innocents_run, fleet), harness.READY_S
+        functools.partial(_are_all_restarted, fleet), harness.READY_S
     )
-    got.replies.extend(await _send_all(who, fleet, 0, case.prompts))
-    got.innocents.extend(await innocents)
-    await case.between(running)
-    await harness.wait_for(functools.partial(_all_back, fleet), harness.READY_S)
     for number in range(RESENDS):
         host = (number + 1) % fleet.plan.hosts
-        got.replies.extend(await _send_all(who, fleet, host, case.prompts))
-    await who.close()
-    lost = _lost(fleet)
-    assert lost <= MOST_LOST * len(case.prompts), f'{lost} servers lost'
-    assert lost >= len(case.prompts), f'{lost} servers lost'
-    await case.after(running)
+        received.replies.extend(
+            await _send_all(client, fleet, host, case.prompts)
+        )
+    await client.close()
+    crash_count = _crash_count(fleet)
+    assert crash_count <= MAX_CRASHES * len(case.prompts), (
+        f'{crash_count} servers crashed'
+    )
+    assert crash_count >= len(case.prompts), f'{crash_count} servers crashed'
+    await case.after(deployment)
 
 
-async def _send_innocents(
-    who: caller.Caller, fleet: harness.Fleet
+async def _send_unrelated(
+    client: caller.Caller, fleet: harness.Fleet
 ) -> list[tuple[str, caller.Reply]]:
-    prompts = [f'{INNOCENT} {number}' for number in range(INNOCENTS)]
+    prompts = [
+        f'{UNRELATED_PROMPT} {number}' for number in range(UNRELATED_COUNT)
+    ]
     replies = await asyncio.gather(
         *(
-            who.chat(
+            client.chat(
                 fleet.hosts[number % len(fleet.hosts)].callers,
                 'desk-small',
                 prompt,
-                max_tokens=INNOCENT_TOKENS,
+                max_tokens=UNRELATED_TOKENS,
             )
             for number, prompt in enumerate(prompts)
         )
@@ -236,10 +251,10 @@
     return list(zip(prompts, replies))
 
 
-async def _innocents_run(fleet: harness.Fleet) -> bool:
+async def _are_unrelated_running(fleet: harness.Fleet) -> bool:
     prompts = {
-        engine_answers.digest(f'{INNOCENT} {number}')
-        for number in range(INNOCENTS)
+        engine_answers.digest(f'{UNRELATED_PROMPT} {number}')
+        for number in range(UNRELATED_COUNT)
     }
     running = {
         run.prompt_hash
@@ -250,66 +265,66 @@
 
 
 def _plan() -> harness.Plan:
-    slow = engine_worker.EngineCfg(
+    slow_engine = engine_worker.EngineCfg(
         concurrency=sample.CONCURRENCY, token_s=TOKEN_S
     )
     servers = tuple(
-        server._replace(engine=slow if server.engine else None)
+        server._replace(engine=slow_engine if server.engine else None)
         for server in sample.servers()
     )
-    # Enough that some are left when two requests have crashed two each.
-    more = tuple(
+    # Enough that some servers remain after two requests crashed two each.
+    extra = tuple(
         servers[0]._replace(server_id=f'{sample.SMALL}-more-{index}')
-        for index in range(MORE_SERVERS)
+        for index in range(EXTRA_SERVERS)
     )
-    servers = (*servers, *more)
+    servers = (*servers, *extra)
     return sample.plan(scenario.HOSTS)._replace(servers=servers)
 
 
-def _look(got: Got, running: scenario.Running) -> None:
-    got.crashed.update(
+def _inspect(received: CaseResults, deployment: scenario.Deployment) -> None:
+    received.crashed.update(
         run.request_id
-        for run in records.engine_runs_of(running.fleet)
+        for run in records.engine_runs_of(deployment.fleet)
         if run.state is engine_runs.RunState.CRASHED
     )
 
 
-def _id_of(innocent: tuple[str, caller.Reply]) -> str:
-    return innocent[1].headers[invariants.REQUEST_ID]
+def _id_of(exchange: tuple[str, caller.Reply]) -> str:
+    return exchange[1].headers[invariants.REQUEST_ID]
 
 
-async def _all_back(fleet: harness.Fleet) -> bool:
+async def _are_all_restarted(fleet: harness.Fleet) -> bool:
     statuses = [
-        await fleet.get(made.address, '/v1/load')
-        for made in fleet.servers.values()
+        await fleet.get(stand_in.address, '/v1/load')
+        for stand_in in fleet.servers.values()
     ]
     return all(status for status, _ in statuses)
 
 
-async def _poison(fleet: harness.Fleet) -> None:
-    for made in fleet.servers.values():
-        made.put_faults(poison=POISON, restart_s=RESTART_S)
-        await made.settle()
+async def _put_poison(fleet: harness.Fleet) -> None:
+    for stand_in in fleet.servers.values():
+        stand_in.put_faults(poison=POISON, restart_s=RESTART_S)
+        await stand_in.settle()
 
 
 async def _send_all(
-    who: caller.Caller,
+    client: caller.Caller,
     fleet: harness.Fleet,
     host: int,
     prompts: tuple[str, ...],
 ) -> list[caller.Reply]:
     return await asyncio.gather(
         *(
-            who.chat(fleet.hosts[host].callers, 'desk-small', prompt)
+            client.chat(fleet.hosts[host].callers, 'desk-small', prompt)
             for prompt in prompts
         )
     )
 
 
 async def _hold(
-    who: caller.Caller, fleet: harness.Fleet, host: int, key: str
+    client: caller.Caller, fleet: harness.Fleet, host: int, key: str
 ) -> caller.Reply:
-    return await who.ask(
+    return await client.ask(
         fleet.hosts[host].callers,
         'POST',
         '/v1/services/booking/holds',
@@ -318,18 +333,20 @@
     )
 
 
-async def _stop_at_crashes(fleet: harness.Fleet, still: dict[int, str]) -> None:
-    """Let an entry process stand still at the crashes of these numbers."""
-    for crash, name in sorted(still.items()):
-        while _lost(fleet) < crash:
+async def _freeze_at_crashes(
+    fleet: harness.Fleet, freezes: dict[int, str]
+) -> None:
+    """Freeze an entry process at each of the given crash counts."""
+    for crash, name in sorted(freezes.items()):
+        while _crash_count(fleet) < crash:
             await asyncio.sleep(POLL_S)
         fleet.processes.freeze(name)
-        await asyncio.sleep(STALL_S)
+        await asyncio.sleep(FREEZE_S)
         fleet.processes.thaw(name)
 
 
-def _lost(fleet: harness.Fleet) -> int:
-    return sum(made.crashes for made in fleet.servers.values())
+def _crash_count(fleet: harness.Fleet) -> int:
+    return sum(stand_in.crashes for stand_in in fleet.servers.values())
 
 
 if __name__ == '__main__':
--- a/beryllug/proofs/versions_test.py
+++ b/beryllug/proofs/versions_test.py
@@ -1,4 +1,4 @@
-"""A withdrawn version receives no new work; only allowed versions run."""
+"""Tests that withdrawn versions get no requests and only allowed ones run."""
 
 import asyncio
 import time
@@ -13,8 +13,8 @@
     sample,
 )
 
-OLD = config_data.VersionRef('desk-small', 'v1')
-DISPATCH_S = 0.5
+WITHDRAWN = config_data.VersionRef('desk-small', 'v1')
+DISPATCH_DELAY_S = 0.5
 BLIND_S = 2.0
 
 
@@ -36,67 +36,68 @@
 DOCUMENT = _both_allowed()
 
 
-async def _withdraw(running: scenario.Running) -> None:
-    """Withdraw while requests are under way, and wait until in force."""
-    await running.fleet.apply(sample.withdraw(DOCUMENT, OLD))
-    await _in_force_everywhere(running)
+async def _withdraw(deployment: scenario.Deployment) -> None:
+    """Withdraw a version under load and wait until all entries apply it."""
+    await deployment.fleet.apply(sample.withdraw(DOCUMENT, WITHDRAWN))
+    await _wait_in_force(deployment)
 
 
-async def _withdraw_over_frozen_entry(running: scenario.Running) -> None:
-    """Withdraw while an entry process is frozen; it wakes with the old view.
+async def _withdraw_over_frozen_entry(deployment: scenario.Deployment) -> None:
+    """Withdraw a version while an entry process is frozen.
 
-    Callers of that host wait. When it wakes, requests it had read before are
-    dispatched on what it knows then; control tells it within a heartbeat.
+    Callers of that host wait. After it resumes, requests that it had already
+    read are dispatched on its stale configuration, until the control process
+    sends it the new one within a heartbeat.
     """
     name = fleet_settings.entry_name(0)
-    running.fleet.processes.freeze(name)
-    running.traffic.avoid(0)
-    await running.fleet.apply(sample.withdraw(DOCUMENT, OLD))
-    await running.traffic.reach(20)
-    running.fleet.processes.thaw(name)
-    running.traffic.use(0)
-    await _in_force_everywhere(running)
-
-
-async def _withdraw_at_end_of_outage(running: scenario.Running) -> None:
-    """Withdraw just as the platform comes back, before control has heard."""
-    running.fleet.platform.put_faults(refuse=True)
-    await running.traffic.reach(20)
-    running.fleet.platform.put_faults()
-    await running.fleet.platform.settle()
-    await running.fleet.apply(sample.withdraw(DOCUMENT, OLD))
-    await _in_force_everywhere(running)
-
-
-async def _withdraw_over_blind_entry(running: scenario.Running) -> None:
-    """An entry is frozen between the grant of a report and its dispatch.
-
-    The platform is slow, so reports wait for their grant when the process
-    is frozen. It wakes later than an entry may go without control, and must
-    not dispatch on a view of which it knows that it is old.
+    deployment.fleet.processes.freeze(name)
+    deployment.traffic.avoid(0)
+    await deployment.fleet.apply(sample.withdraw(DOCUMENT, WITHDRAWN))
+    await deployment.traffic.reach(20)
+    deployment.fleet.processes.thaw(name)
+    deployment.traffic.use(0)
+    await _wait_in_force(deployment)
+
+
+async def _withdraw_at_end_of_outage(deployment: scenario.Deployment) -> None:
+    """Withdraw when the platform recovers, before control has read from it."""
+    deployment.fleet.platform.put_faults(refuse=True)
+    await deployment.traffic.reach(20)
+    deployment.fleet.platform.put_faults()
+    await deployment.fleet.platform.settle()
+    await deployment.fleet.apply(sample.withdraw(DOCUMENT, WITHDRAWN))
+    await _wait_in_force(deployment)
+
+
+async def _withdraw_over_blind_entry(deployment: scenario.Deployment) -> None:
+    """Freeze an entry process between the grant of a report and its dispatch.
+
+    The platform is slow, so reports wait for their grant when the process is
+    frozen. It resumes after the limit for an entry process without contact to
+    control, and must not dispatch on its expired configuration.
     """
     name = fleet_settings.entry_name(0)
-    running.fleet.platform.put_faults(delay_s=0.5)
+    deployment.fleet.platform.put_faults(delay_s=0.5)
     await asyncio.sleep(1)
-    running.fleet.processes.freeze(name)
-    running.traffic.avoid(0)
-    await running.fleet.apply(sample.withdraw(DOCUMENT, OLD))
-    running.fleet.platform.put_faults()
+    deployment.fleet.processes.freeze(name)
+    deployment.traffic.avoid(0)
+    await deployment.fleet.apply(sample.withdraw(DOCUMENT, WITHDRAWN))
+    deployment.fleet.platform.put_faults()
     await asyncio.sleep(BLIND_S + 1)
-    running.marks['in_force'] = time.time()
-    running.fleet.processes.thaw(name)
+    deployment.timestamps['in_force'] = time.time()
+    deployment.fleet.processes.thaw(name)
     await asyncio.sleep(1)
-    running.traffic.use(0)
+    deployment.traffic.use(0)
 
 
-async def _in_force_everywhere(running: scenario.Running) -> None:
-    """Wait until every entry process holds the last revision."""
-    fleet = running.fleet
+async def _wait_in_force(deployment: scenario.Deployment) -> None:
+    """Wait until every entry process has the latest revision."""
+    fleet = deployment.fleet
     for index in range(fleet.plan.hosts):
         await fleet.in_force(fleet_settings.entry_name(index))
-    # Dispatches that were decided before the last process learnt of it are
-    # at the servers within this time.
-    running.marks['in_force'] = time.time() + DISPATCH_S
+    # Requests dispatched before the last process got the revision reach the
+    # servers within this delay.
+    deployment.timestamps['in_force'] = time.time() + DISPATCH_DELAY_S
 
 
 CASES: tuple[tuple[str, scenario.Fault], ...] = (
@@ -108,10 +109,10 @@
 
 
 class VersionsTest(unittest.IsolatedAsyncioTestCase):
-    """Checked against what the model engines say that they ran."""
+    """Checks the run records of the model engines."""
 
     async def test_withdrawn(self) -> None:
-        """No engine receives work of a withdrawn version once in force."""
+        """Engines get no requests for a version after its withdrawal."""
         for seed, (title, fault) in enumerate(CASES):
             with self.subTest(title):
                 await self._check(title, seed, fault)
@@ -127,13 +128,13 @@
         before: list[engine_runs.RunRecord] = []
         after: list[engine_runs.RunRecord] = []
 
-        def look(running: scenario.Running) -> None:  # noqa: WPS430
-            for run in records.engine_runs_of(running.fleet):
-                if (run.model, run.version) == OLD:
-                    late = run.received_at > running.marks['in_force']
+        def inspect(deployment: scenario.Deployment) -> None:  # noqa: WPS430
+            for run in records.engine_runs_of(deployment.fleet):
+                if (run.model, run.version) == WITHDRAWN:
+                    late = run.received_at > deployment.timestamps['in_force']
                     (after if late else before).append(run)
 
-        report, _ = await scenario.run(case._replace(look=look))
+        report, _ = await scenario.run(case._replace(inspect=inspect))
         print(f'withdrawn {title}: {report.line()}')  # noqa: WPS421
         self.assertTrue(before)
         self.assertEqual(after, [])
--- a/beryllug/proofs/whole_path_test.py
+++ b/beryllug/proofs/whole_path_test.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes: two entry hosts, every kind of call."""
+"""End-to-end test of every kind of call through two entry hosts."""
 
 import asyncio
 import unittest
@@ -6,10 +6,10 @@
 from beryllug.core import journal_data
 from beryllug.standins import caller, harness, records, sample
 
-# The sample rolls desk-small v2 out to 5 of 100 new sessions, drawn by an id
-# that differs each time; both versions are allowed.
+# The sample rolls desk-small v2 out to 5 of 100 new sessions, selected by a
+# random id; both versions are allowed.
 DESK_SMALL = ('desk-small@v1', 'desk-small@v2')
-# Which stage of a cascade answers depends on times that were learnt.
+# The stage of a cascade that answers depends on measured latencies.
 CHATS: tuple[tuple[str, str, tuple[str, ...]], ...] = (
     ('whole', 'desk-small', DESK_SMALL),
     ('cascade', 'offers', ('desk-small@v1', 'desk-large@v1')),
@@ -17,7 +17,13 @@
 )
 REFUSED: tuple[tuple[str, str, str, int, str], ...] = (
     ('wrong key', 'no-such-key', 'desk-small', 401, 'unauthenticated'),
-    ('model not allowed', sample.SMALL_KEY, 'desk-large', 403, 'not_allowed'),
+    (
+        'model not allowed',
+        sample.SMALL_KEY,
+        'desk-large',
+        403,
+        'not_allowed',
+    ),
     ('cascade not allowed', sample.SMALL_KEY, 'offers', 403, 'not_allowed'),
     ('unknown model', sample.LARGE_KEY, 'nothing', 404, 'not_found'),
 )
@@ -25,23 +31,23 @@
 
 
 class WholePathTest(unittest.IsolatedAsyncioTestCase):
-    """Requests go caller, entry, backend server and back, each billed once."""
+    """Requests through entry and backend server, each billed once."""
 
     async def asyncSetUp(self) -> None:
-        """Start two entry hosts and all outside parties."""
+        """Start two entry hosts and all stand-ins."""
         self.fleet = harness.Fleet(sample.plan())
         await self.fleet.start()
-        self.large = caller.Caller(sample.LARGE_KEY)
+        self.client = caller.Caller(sample.LARGE_KEY)
         self.hosts = [ports.callers for ports in self.fleet.hosts]
 
     async def asyncTearDown(self) -> None:
-        """Stop everything."""
-        await self.large.close()
+        """Stop the deployment."""
+        await self.client.close()
         await self.fleet.stop()
 
     async def test_every_kind(self) -> None:
-        """Every kind of call gets its own whole answer and one bill."""
-        answered = [
+        """Every call gets its own complete answer and one billing record."""
+        request_ids = [
             *await self._chats(),
             await self._stream(),
             await self._lookup(),
@@ -50,7 +56,7 @@
         ]
         await self._refusals()
         bills = records.bills(self.fleet)
-        self.assertEqual(set(bills), set(answered))
+        self.assertEqual(set(bills), set(request_ids))
         for request_id, rows in bills.items():
             with self.subTest(request_id):
                 self.assertEqual(len(rows), 1)
@@ -60,7 +66,7 @@
         ids = []
         for title, model, allowed in CHATS:
             with self.subTest(title):
-                reply = await self.large.chat(self.hosts[0], model, title)
+                reply = await self.client.chat(self.hosts[0], model, title)
                 self.assertEqual(reply.status, 200)
                 self.assertIn(reply.headers['x-beryllug-version'], allowed)
                 ids.append(reply.headers['x-beryllug-request-id'])
@@ -68,24 +74,24 @@
         return ids
 
     async def _stream(self) -> str:
-        reply = await self.large.chat(
+        reply = await self.client.chat(
             self.hosts[1], 'desk-small', 'stream', stream=True
         )
         self.assertTrue(reply.body.endswith(b'data: [DONE]\n\n'))
         return reply.headers['x-beryllug-request-id']
 
     async def _lookup(self) -> str:
-        reply = await self.large.ask(
+        reply = await self.client.ask(
             self.hosts[0], 'GET', '/v1/services/booking/slots'
         )
         self.assertEqual(reply.status, 200)
         return reply.headers['x-beryllug-request-id']
 
     async def _hold(self) -> str:
-        """Send one hold twice, through both hosts at once."""
+        """Send the same hold through both hosts concurrently."""
         first, second = await asyncio.gather(
             *(
-                self.large.ask(
+                self.client.ask(
                     host, 'POST', HOLDS, {'slot': '10:00'}, idempotency_key='h'
                 )
                 for host in self.hosts
@@ -98,8 +104,8 @@
         return ran.headers['x-beryllug-request-id']
 
     async def _report(self) -> str:
-        """Run a report and fetch it again through the other host."""
-        reply = await self.large.chat(
+        """Run a report and fetch it through the other host."""
+        reply = await self.client.chat(
             self.hosts[0],
             'roster',
             'report',
@@ -109,20 +115,20 @@
         )
         request_id = reply.headers['x-beryllug-request-id']
         target = f'/v1/requests/{request_id}'
-        again = await self.large.ask(self.hosts[1], 'GET', target)
-        self.assertEqual(again.body, reply.body)
-        stranger = caller.Caller(sample.SMALL_KEY)
-        refused = await stranger.ask(self.hosts[1], 'GET', target)
-        await stranger.close()
+        fetched = await self.client.ask(self.hosts[1], 'GET', target)
+        self.assertEqual(fetched.body, reply.body)
+        other_client = caller.Caller(sample.SMALL_KEY)
+        refused = await other_client.ask(self.hosts[1], 'GET', target)
+        await other_client.close()
         self.assertEqual(refused.status, 404)
         return request_id
 
     async def _refusals(self) -> None:
         for title, key, model, status, code in REFUSED:
             with self.subTest(title):
-                stranger = caller.Caller(key)
-                reply = await stranger.chat(self.hosts[0], model, 'x')
-                await stranger.close()
+                other_client = caller.Caller(key)
+                reply = await other_client.chat(self.hosts[0], model, 'x')
+                await other_client.close()
                 self.assertEqual(reply.status, status)
                 self.assertEqual(reply.error()['code'], code)
                 self.assertEqual(reply.error()['run'], 'not_run')
