--- a/beryllug/proofs/answers_test.py
+++ b/beryllug/proofs/answers_test.py
@@ -75,7 +75,7 @@
         states = [found[0].state for found in bills.values()]
         self.assertGreaterEqual(states.count(done), answered)
         print(  # noqa: WPS421
-            f'answers: {answered} complete and own, {cancelled} cancelled, '
+            f'answers: {answered} whole and own, {cancelled} cancelled, '
             f'{len(bills)} bills'
         )
 
--- a/beryllug/proofs/orders_test.py
+++ b/beryllug/proofs/orders_test.py
@@ -39,7 +39,7 @@
     *names: str, withdrawn: tuple[str, ...] = ()
 ) -> config_data.Document:
     """Return a document that declares some versions in each pool."""
-    document = sample.document()
+    sample_document = sample.document()
     models = tuple(
         config_data.Model(
             model,
@@ -57,16 +57,16 @@
     )
     pools = tuple(
         pool._replace(checks_fencing=pool.name == sample.SMALL)
-        for pool in document.pools
+        for pool in sample_document.pools
     )
     allowed = tuple(
         config_data.VersionRef(model, '*') for model in MODELS.values()
     )
     accounts = tuple(
         account._replace(allowed=allowed, cascades=())
-        for account in document.accounts
+        for account in sample_document.accounts
     )
-    return document._replace(
+    return sample_document._replace(
         accounts=accounts, models=models, pools=pools, rollouts=(), cascades=()
     )
 
@@ -147,7 +147,7 @@
             await self.fleet.processes.kill(name)
         self.assertFalse(self._is_settled({'v1', 'v2', 'v3'}))
         await self._wait_until(lambda: self._is_settled({'v1', 'v2', 'v3'}))
-        self._check_violations('holder killed during loads')
+        self._check_violations('holder killed half way')
 
     async def test_work_ends_first(self) -> None:
         """A version is withdrawn while an engine generates a long answer on it.
@@ -188,7 +188,7 @@
             state = await self.fleet.dump(name)
             if state['leases'][f'orders/{pool}']['held']:
                 return name
-        raise LookupError(f'no process has the lease of {pool}')
+        raise LookupError(f'nobody holds the lease of {pool}')
 
     def _is_settled(self, wanted: set[str]) -> bool:
         """Tell whether engines have the wanted versions.
--- a/beryllug/proofs/stops_test.py
+++ b/beryllug/proofs/stops_test.py
@@ -89,8 +89,8 @@
 
 LEAVING = ('runners-small-0', 'runners-large-1', 'booking-2')
 LEAVING_CASES: tuple[tuple[str, scenario.Fault], ...] = (
-    ('listed', _leave),
-    ('host list then unreachable', _leave_and_lose_host_list),
+    ('seen', _leave),
+    ('then the host list is lost', _leave_and_lose_host_list),
 )
 
 
--- a/beryllug/proofs/suspects_test.py
+++ b/beryllug/proofs/suspects_test.py
@@ -137,8 +137,8 @@
     async def test_hold_seen_late(self) -> None:
         """The same applies if an entry process is frozen during a crash."""
         for title, freezes in (
-            ('at the first crash', {1: ENTRIES[0]}),
-            ('at the crash of the trial', {2: ENTRIES[1]}),
+            ('at the first loss', {1: ENTRIES[0]}),
+            ('at the loss of the trial', {2: ENTRIES[1]}),
             ('at both', {1: ENTRIES[0], 2: ENTRIES[1]}),
             ('where the next one is sent', {1: ENTRIES[1]}),
         ):
@@ -225,9 +225,9 @@
     await client.close()
     crash_count = _crash_count(fleet)
     assert crash_count <= MAX_CRASHES * len(case.prompts), (
-        f'{crash_count} servers crashed'
+        f'{crash_count} servers lost'
     )
-    assert crash_count >= len(case.prompts), f'{crash_count} servers crashed'
+    assert crash_count >= len(case.prompts), f'{crash_count} servers lost'
     await case.after(deployment)
 
 
