--- a/beryllug/proofs/client_test.py
+++ b/beryllug/proofs/client_test.py
@@ -36,10 +36,10 @@
             base_url=f'http://{self.fleet.hosts[0].callers}/v1',
             max_retries=0,
         )
-        whole = await client.chat.completions.create(
+        complete = await client.chat.completions.create(
             model='desk-small', messages=_prompt()
         )
-        self.assertIn('end=', whole.choices[0].message.content or '')
+        self.assertIn('end=', complete.choices[0].message.content or '')
         stream = await client.chat.completions.create(
             model='desk-small', messages=_prompt(), stream=True
         )
--- a/beryllug/proofs/stops_test.py
+++ b/beryllug/proofs/stops_test.py
@@ -111,10 +111,10 @@
             with self.subTest(title):
                 late: list[str] = []
 
-                def look(final: scenario.Deployment) -> None:  # noqa: WPS430
+                def collect(final: scenario.Deployment) -> None:  # noqa: WPS430
                     late.extend(_late_requests(final))
 
-                case = scenario.Case(12, fault, _plan(), inspect=look)
+                case = scenario.Case(12, fault, _plan(), inspect=collect)
                 report, _ = await scenario.run(case)
                 print(f'leaving, {title}: {report.line()}')  # noqa: WPS421
                 self.assertEqual(late, [])
