--- a/beryllug/proofs/suspects_test.py
+++ b/beryllug/proofs/suspects_test.py
@@ -53,7 +53,7 @@
     await deployment.fleet.platform.settle()
 
 
-async def _heal_platform(deployment: scenario.Deployment) -> None:
+async def _restore_platform(deployment: scenario.Deployment) -> None:
     deployment.fleet.platform.put_faults()
     await deployment.fleet.platform.settle()
 
@@ -101,7 +101,7 @@
 
 CASES = (
     Case('platform up'),
-    Case('platform down', _lose_platform, after=_heal_platform),
+    Case('platform down', _lose_platform, after=_restore_platform),
     Case('control lost', between=_kill_control, after=_restart_control),
     Case('two at once', prompts=PROMPTS),
 )
