--- a/beryllug/proofs/platform/__init__.py
+++ b/beryllug/proofs/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Promises of the role `router`, on stand-ins that speak the platform's words.
+"""Tests of the role `router` against stand-ins of the platform.
 
-Each failure is brought about, and what the caller and the backend servers see
-of it is checked.
+Each test causes a failure and checks what the caller and the backend servers
+observe.
 """
--- a/beryllug/proofs/platform/evacuation_test.py
+++ b/beryllug/proofs/platform/evacuation_test.py
@@ -1,4 +1,4 @@
-"""An availability zone is evacuated, and taken back."""
+"""An availability zone is evacuated and reopened."""
 
 import asyncio
 import unittest
@@ -9,16 +9,16 @@
 from beryllug.router import directory
 from beryllug.standins import platform_site
 
-FAR = 'b'
-# Seconds a server of the table below is cold, and requests a second that it
-# bears meanwhile.
+OTHER_ZONE = 'b'
+# Seconds for which a server of the table below is cold, and requests per
+# second that it can serve meanwhile.
 COLD_S = 1.0
 COLD_PER_S = 2
-ASKED = 12
+REQUESTS = 12
 
 
 class EvacuationTest(site_test.SiteCase):
-    """Zone `a` has the servers of every test, zone `b` one of each service."""
+    """Zone `a` has the usual servers, zone `b` one of each service."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -35,22 +35,22 @@
             (platform_site.POOL, 'far-m'),
             (platform_site.DESK, 'far-d'),
         ):
-            await self.site.add_runner(service, instance, zone=FAR)
+            await self.site.add_runner(service, instance, zone=OTHER_ZONE)
         known = self.router.services.find('directory', directory.Directory)
         async with asyncio.timeout(platform_site.TIMEOUT_S):
             while not self._is_known(known):
                 await asyncio.sleep(platform_site.POLL_S)
 
-    async def test_nothing_more(self) -> None:
-        """No request of any kind reaches the zone, from any router.
+    async def test_no_new_requests(self) -> None:
+        """No router sends a request of any kind to the zone.
 
-        Also not from one that starts later and never reads the store: a peer
-        tells it. Callers are answered all the while, from the other zone.
+        This includes a router that starts later and cannot read the store: a
+        peer informs it. The other zone answers all requests.
         """
         routers = [self.router, await self.site.add_router()]
         self._evacuate(platform_site.ZONE)
         await self._until_told(routers, {platform_site.ZONE})
-        before = self._runs_near()
+        before = self._runs_in_zone()
         self.site.store_stand_in.put_faults(refuse=True)
         await self.site.store_stand_in.settle()
         late = await self.site.add_router()
@@ -59,16 +59,16 @@
             for path in (site_test.LOOKUP, site_test.HOLD, site_test.DRAFT):
                 reply = await self.site.ask(router, path)
                 self.assertEqual(reply.status, 200)
-        self.assertEqual(self._runs_near(), before)
+        self.assertEqual(self._runs_in_zone(), before)
 
-    async def test_under_way(self) -> None:
-        """A stream that runs in the zone ends there, whole."""
-        self._evacuate(FAR)
-        await self._until_told([self.router], {FAR})
+    async def test_running_stream(self) -> None:
+        """A stream that runs in the zone is completed there."""
+        self._evacuate(OTHER_ZONE)
+        await self._until_told([self.router], {OTHER_ZONE})
         asking = asyncio.create_task(self.ask(site_test.REPORT))
         while not self.runs('p1', 'p2'):
             await asyncio.sleep(platform_site.POLL_S)
-        self._reopen(FAR)
+        self._reopen(OTHER_ZONE)
         self._evacuate(platform_site.ZONE)
         self.assertFalse(asking.done())
         reply = await asking
@@ -76,55 +76,55 @@
         self.assertEqual(len(self.runs('p1', 'p2')), 1)
 
     async def test_all_zones(self) -> None:
-        """With all zones evacuated a request is refused at once, truly.
+        """With all zones evacuated a request is refused at once.
 
-        Its caller is told when to come back, and it has run nowhere.
+        The reply has Retry-After, and the request has run nowhere.
         """
         self._evacuate(platform_site.ZONE)
-        self._evacuate(FAR)
-        await self._until_told([self.router], {platform_site.ZONE, FAR})
+        self._evacuate(OTHER_ZONE)
+        await self._until_told([self.router], {platform_site.ZONE, OTHER_ZONE})
         for path in (site_test.LOOKUP, site_test.HOLD, site_test.DRAFT):
             with self.subTest(path):
                 reply = await self.ask(path)
                 self.assertEqual(reply.status, 503)
                 self.assertIn(names.RETRY_AFTER, reply.headers)
-        self.assertEqual(self._runs_near() + len(self.runs('far-d')), 0)
+        self.assertEqual(self._runs_in_zone() + len(self.runs('far-d')), 0)
 
-    async def test_taken_back(self) -> None:
-        """The zone takes requests again, its servers as cold ones.
+    async def test_reopened(self) -> None:
+        """The reopened zone takes requests, its servers as cold ones.
 
-        They may have become cold meanwhile, and their own word of it comes
-        with the next heartbeat. Sent all that waits, they crash.
+        They may have become cold meanwhile, and report it only with the next
+        heartbeat. All waiting requests at once would crash them.
         """
         self._evacuate(platform_site.ZONE)
         await self._until_told([self.router], {platform_site.ZONE})
         self._reopen(platform_site.ZONE)
         await self._until_told([self.router], set())
-        for _ in range(ASKED):
+        for _ in range(REQUESTS):
             await self.ask(site_test.LOOKUP)
         for instance in ('d1', 'd2'):
             self.assertLessEqual(len(self.runs(instance)), COLD_PER_S)
         await asyncio.sleep(COLD_S)
-        before = self._runs_near()
-        for _ in range(ASKED):
+        before = self._runs_in_zone()
+        for _ in range(REQUESTS):
             await self.ask(site_test.LOOKUP)
-        self.assertGreater(self._runs_near(), before + COLD_PER_S * 2)
+        self.assertGreater(self._runs_in_zone(), before + COLD_PER_S * 2)
 
     def _evacuate(self, zone: str) -> None:
-        """Order that nothing more goes to the servers of a zone."""
+        """Order the evacuation of a zone."""
         self.site.store_party.put(store.EVACUATIONS, zone, {})
 
     def _reopen(self, zone: str) -> None:
-        """Take an evacuation back."""
+        """Revoke an evacuation."""
         self.site.store_party.drop(store.EVACUATIONS, zone)
 
     def _is_known(self, known: directory.Directory) -> bool:
-        """Tell whether the table and the servers of the test are known."""
+        """Return whether the test's table and servers are known."""
         table = known.table
         listed = known.servers.dump()['listed']
         return table is not None and table.version == 2 and len(listed) == 6
 
-    def _runs_near(self) -> int:
+    def _runs_in_zone(self) -> int:
         """Return the requests that ran in zone `a`."""
         return sum(
             len(runner.runs)
--- a/beryllug/proofs/platform/judge_model_test.py
+++ b/beryllug/proofs/platform/judge_model_test.py
@@ -1,8 +1,8 @@
-"""The judges of a roll-out against any series of freezes, losses and outages.
+"""The judges of a roll-out under any series of freezes, kills and outages.
 
-Four processes judge one roll-out. Each sees answers of its own, tells the
-judges when it can, and may be killed, frozen or cut off from the store. The
-store holds the one truth of how the roll-out has ended.
+Four processes judge one roll-out. Each counts answers of its own, reports them
+to the judges when it can, and may be killed, frozen or cut off from the store.
+The store holds the outcome of the roll-out.
 """
 
 import asyncio
@@ -26,16 +26,16 @@
 BOUNDS = canary_data.Bounds(share=0.15, slack=30, session_s=5)
 RETRY_BOUND: Any = None
 INSTANCES = ('n1', 'n2')
-TELL_S = 0.4
+DIGEST_INTERVAL_S = 0.4
 STEP_S = 0.3
-# Seconds in which the end of a roll-out stands in the store, once all is
-# well: the second judge's wait and that of any other, and a look of each.
-SETTLED_S = 6.0
+# Seconds until the end of a roll-out is stored once all faults are over: the
+# wait of the second judge and of any other, and one check of each.
+SETTLE_S = 6.0
 Phase = canary_data.Phase
 
 
 class _Store:
-    """The status of the one order; a write holds on its first revision."""
+    """The status of the one order; only the first write succeeds."""
 
     def __init__(self) -> None:
         self.ends: list[str] = []
@@ -54,7 +54,7 @@
 
 
 class _Process:
-    """One process: what it saw, and its judge."""
+    """One process: its counts and its judge."""
 
     def __init__(self, name: str, world: '_World') -> None:
         self.name = name
@@ -74,15 +74,15 @@
         return next(iter(self.trials.rollouts()))
 
     async def start(self) -> None:
-        """Start to judge."""
+        """Start judging."""
         await self._judge.start()
 
     async def stop(self) -> None:
-        """Be gone."""
+        """Stop the process."""
         await self._judge.stop(0)
 
     def digest(self, now: float) -> peering_data.Digest:
-        """Return what it tells a judge."""
+        """Return what it reports to a judge."""
         return peering_data.Digest(
             self.name,
             self.name,
@@ -93,19 +93,19 @@
 
 
 class _Peers:
-    """The other processes, as one sees them; it tells them of phases, too."""
+    """The other processes as one sees them; it also sends them phases."""
 
     def __init__(self, name: str, world: '_World') -> None:
         self._name = name
         self._world = world
 
     def is_judge(self, service: str, rank: int) -> bool:
-        """Tell whether this process is the judge of a rank."""
+        """Return whether this process is the judge of a rank."""
         alive = sorted(self._world.processes)
         return rank < len(alive) and alive[rank] == self._name
 
     def tell_phase(self, rollout: rollout_state.Rollout, now: float) -> None:
-        """Tell all that are not frozen."""
+        """Send the phase to all processes that are not frozen."""
         news = rollout_state.news((rollout,), now)
         for other in self._world.processes.values():
             if not other.is_frozen:
@@ -122,63 +122,63 @@
         self.rng = random.Random(seed)
 
     def now(self) -> float:
-        """Return the present second."""
+        """Return the current time in seconds."""
         return asyncio.get_running_loop().time()
 
     async def start(self) -> None:
         """Start all processes."""
         for name in NAMES:
-            await self._begin(name)
+            await self._start_process(name)
 
     async def restart(self) -> None:
-        """A process is killed and starts again, with nothing seen."""
-        name = self._any()
+        """Kill a process and restart it with no counts."""
+        name = self._random_name()
         await self.processes.pop(name).stop()
-        await self._begin(name)
+        await self._start_process(name)
 
     async def freeze(self) -> None:
-        """A process hears nothing for a while."""
-        self.processes[self._any()].is_frozen = True
+        """Freeze a process: it receives nothing until it is thawed."""
+        self.processes[self._random_name()].is_frozen = True
 
     async def thaw(self) -> None:
-        """All processes hear again."""
+        """Thaw all processes."""
         for process in self.processes.values():
             process.is_frozen = False
 
     async def down(self) -> None:
-        """The store goes away."""
+        """Make the store unavailable."""
         self.store.is_down = True
 
     async def up(self) -> None:
-        """The store is back."""
+        """Make the store available."""
         self.store.is_down = False
 
     async def answer(self) -> None:
-        """Some answers of both versions come to some processes."""
+        """Count some answers of both versions at random processes."""
         for _ in range(4):
             self._count('old', 'v1', is_good=True)
             for instance in INSTANCES:
                 self._count(instance, ORDER.target, is_good=not self.is_bad)
 
-    def spread(self) -> None:
-        """Tell all what each saw, and what stands in the store."""
+    def exchange_digests(self) -> None:
+        """Exchange counts between processes and show them the store."""
         now = self.now()
-        hearing = [
+        reachable = [
             each for each in self.processes.values() if not each.is_frozen
         ]
-        for one in hearing:
-            for other in hearing:
+        for one in reachable:
+            for other in reachable:
                 if one is not other:
                     other.trials.take_news(one.digest(now), now)
             if self.store.ends and not self.store.is_down:
-                self._show(one, now)
+                self._show_status(one, now)
 
     async def stop(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         for process in self.processes.values():
             await process.stop()
 
-    def _show(self, process: _Process, now: float) -> None:
+    def _show_status(self, process: _Process, now: float) -> None:
         stored = {'state': self.store.ends[0], 'target': ORDER.target}
         spec = {
             'service': ORDER.service,
@@ -190,15 +190,15 @@
         )
         process.trials.take_order(order, phase, now)
 
-    async def _begin(self, name: str) -> None:
+    async def _start_process(self, name: str) -> None:
         self.processes[name] = _Process(name, self)
         await self.processes[name].start()
 
-    def _any(self) -> str:
+    def _random_name(self) -> str:
         return self.rng.choice(sorted(self.processes))
 
     def _count(self, instance: str, version: str, *, is_good: bool) -> None:
-        process = self.processes[self._any()]
+        process = self.processes[self._random_name()]
         if process.rollout.is_open:
             server = servers_data.Server(
                 instance,
@@ -218,7 +218,7 @@
 
 
 class JudgeModelTest(virtual_time_test.VirtualTimeCase):
-    """One roll-out to its end."""
+    """One roll-out until it ends."""
 
     @settings(max_examples=60, deadline=None)
     @given(
@@ -229,12 +229,12 @@
     def test_series(
         self, steps: Sequence[str], seed: int, is_bad: bool
     ) -> None:
-        """It ends once, the same for all, and as the answers say."""
+        """It ends once, the same for all, as the answers require."""
         asyncio.run(self._play(_World(seed, is_bad), steps))
 
     async def _play(self, world: _World, steps: Sequence[str]) -> None:
         await world.start()
-        spreading = asyncio.create_task(_spread(world))
+        exchange = asyncio.create_task(_exchange_digests(world))
         for step in steps:
             await getattr(world, step)()
             await asyncio.sleep(STEP_S)
@@ -244,13 +244,13 @@
         for _ in range(4):
             await world.answer()
             await asyncio.sleep(STEP_S)
-        await asyncio.sleep(ORDER.duration_s + SETTLED_S)
+        await asyncio.sleep(ORDER.duration_s + SETTLE_S)
         self._check(world)
         expected = Phase.ROLLED_BACK if world.is_bad else Phase.COMPLETE
         self.assertEqual(world.store.ends, [expected.value])
         phases = {each.rollout.phase for each in world.processes.values()}
         self.assertEqual(phases, {expected})
-        spreading.cancel()
+        exchange.cancel()
         await world.stop()
 
     def _check(self, world: _World) -> None:
@@ -259,7 +259,7 @@
         self.assertNotIn(wrong.value, world.store.ends)
 
 
-async def _spread(world: _World) -> None:
+async def _exchange_digests(world: _World) -> None:
     while True:
-        await asyncio.sleep(TELL_S)
-        world.spread()
+        await asyncio.sleep(DIGEST_INTERVAL_S)
+        world.exchange_digests()
--- a/beryllug/proofs/platform/listing_test.py
+++ b/beryllug/proofs/platform/listing_test.py
@@ -1,9 +1,8 @@
-"""Tests of lists that many processes ask the platform's store for at once.
+"""Tests of lists that many processes request from the store at once.
 
-What callers see without the safeguards: after all processes of a fleet of a
-hundred were killed, nothing is answered for half a minute. Each lists a
-thousand servers from the store, which refuses some calls of each, and each
-begins its list anew after a refusal.
+After all processes of a fleet of a hundred are killed, each lists a thousand
+servers from the store, which refuses some of the calls. If each restarted its
+list after a refusal, no request would be answered for half a minute.
 """
 
 from typing import Any
@@ -18,7 +17,7 @@
 
 
 class _Api:
-    """A store's client of which some calls are refused, and changes."""
+    """A store client that refuses some calls and makes changes."""
 
     def __init__(
         self, api: store.Store, party: platform_store.PlatformStore
@@ -40,7 +39,7 @@
 
 
 class ListingTest(IsolatedAsyncioTestCase):
-    """A list of ten servers, two a page."""
+    """A list of ten servers, two per page."""
 
     async def asyncSetUp(self) -> None:
         stand_in = platform_store.stand_in(
@@ -57,35 +56,35 @@
         self.api = _Api(self.store, party)
 
     async def test_refused(self) -> None:
-        """A refused page is asked for again, and no page twice."""
+        """A refused page is requested again, and no page twice."""
         self.api.refused = {2, 3, 5}
         with mock.patch.object(store_listing, 'PAUSES_S', (0.001,) * 4):
-            found = await store_listing.list_all(self._asked(), SERVERS)
+            found = await store_listing.list_all(self._untyped_api(), SERVERS)
         names = ''.join(each.name for each in found.found)
         self.assertEqual(names, 'abcdefghij')
         self.assertEqual(self.api.asked, 5 + 3)
 
     async def test_first_refused(self) -> None:
-        """A first page that is refused fails: the store is down, perhaps."""
+        """A refused first page fails: the store may be down."""
         self.api.refused = {1}
         with self.assertRaises(object_data.RateLimitedError):
-            await store_listing.list_all(self._asked(), SERVERS)
+            await store_listing.list_all(self._untyped_api(), SERVERS)
         self.assertEqual(self.api.asked, 1)
 
     async def test_change_between(self) -> None:
-        """A server goes from a page that was read, before the last is.
+        """A server is removed from a page that has already been read.
 
-        A watch from the revision of the list must tell of it, or requests go
-        to that server for as long as nothing else is known of it.
+        A watch from the list's revision must report the removal. Otherwise
+        requests go to that server until something else reveals it.
         """
         self.api.changes = {3: 'b'}
-        found = await store_listing.list_all(self._asked(), SERVERS)
+        found = await store_listing.list_all(self._untyped_api(), SERVERS)
         self.assertIn('b', [each.name for each in found.found])
         after = await self.store.watch(SERVERS, found.revision, 0.1)
         gone = [each.stored.name for each in after.changes if each.is_gone]
         self.assertEqual(gone, ['b'])
 
-    def _asked(self) -> Any:
+    def _untyped_api(self) -> Any:
         return self.api
 
 
--- a/beryllug/proofs/platform/outage_test.py
+++ b/beryllug/proofs/platform/outage_test.py
@@ -1,4 +1,4 @@
-"""The platform's store is away, or turns one router away."""
+"""The platform's store is unavailable, for all routers or for one."""
 
 import asyncio
 from unittest import main, mock
@@ -11,12 +11,12 @@
 
 
 class OutageTest(site_test.SiteCase):
-    """What holds without the store, and after its return."""
+    """Requests during an outage of the store and after it."""
 
-    async def test_serves_on(self) -> None:
-        """Requests are answered by what was known, as long as it lasts.
+    async def test_keeps_serving(self) -> None:
+        """Requests are served from known data during the outage.
 
-        The loss and the return are one log line each, with the count of
+        The loss and the recovery are logged in one line each, with the count of
         failed calls between them.
         """
         self.site.store_stand_in.put_faults(refuse=True)
@@ -30,11 +30,11 @@
         kinds = [line['kind'] for line in self.site.logged('store_lost')]
         self.assertEqual(len(kinds), len(set(kinds)))
 
-    async def test_lapsed_entries(self) -> None:
-        """All entries lapse in the outage; their servers serve on.
+    async def test_expired_entries(self) -> None:
+        """All entries expire in the outage; their servers are still used.
 
-        Taken for gone at once, every request would be refused until the
-        entries are back.
+        If they were dropped at once, every request would be refused until the
+        entries are written again.
         """
         self.site.store_stand_in.put_faults(refuse=True)
         await self.site.store_stand_in.settle()
@@ -46,21 +46,21 @@
         self.assertEqual((await self.ask(site_test.LOOKUP)).status, 200)
 
     async def test_no_table(self) -> None:
-        """A router that starts in an outage, alone, refuses as "not run"."""
+        """A lone router that starts in an outage refuses as "not run"."""
         alone = await self._start_alone()
         reply = await self.site.ask(alone, site_test.LOOKUP)
         self.assertEqual(reply.status, 503)
         self.assertIn(names.RETRY_AFTER, reply.headers)
 
-    async def test_held(self) -> None:
-        """A request comes a moment before the router has a route table.
+    async def test_waits_for_table(self) -> None:
+        """A request that arrives just before the route table waits for it.
 
-        All routers were killed in an outage of the store, and it is about to
-        return. Refused at once, the caller comes back once, seconds later, and
-        is late; the request waits for the table instead.
+        All routers were killed in an outage of the store, which is about to
+        end. A caller that is refused would retry seconds later and miss its
+        deadline.
         """
         alone = await self._start_alone()
-        with mock.patch.object(returning, 'held_s', _long):
+        with mock.patch.object(returning, 'held_s', _long_wait):
             asking = asyncio.create_task(self.site.ask(alone, site_test.LOOKUP))
             await asyncio.sleep(platform_site.POLL_S)
             self.site.store_stand_in.put_faults()
@@ -68,7 +68,7 @@
         self.assertEqual(reply.status, 200)
 
     async def test_from_peers(self) -> None:
-        """A router that starts in an outage learns all from a peer."""
+        """A router that starts in an outage gets all data from a peer."""
         self.site.store_stand_in.put_faults(refuse=True)
         await self.site.store_stand_in.settle()
         late = await self.site.add_router()
@@ -77,9 +77,9 @@
         self.assertEqual(reply.status, 200)
 
     async def test_keys_from_peers(self) -> None:
-        """A key is taken away while the store turns one router away.
+        """A key is revoked while the store refuses one router.
 
-        That router hears of it from a peer and refuses the key.
+        That router learns of it from a peer and refuses the key.
         """
         late = await self.site.add_router()
         await self.site.until_ready(late)
@@ -95,7 +95,7 @@
                 await asyncio.sleep(platform_site.POLL_S)
 
     async def test_compacted(self) -> None:
-        """The store drops its history; changes made meanwhile are found."""
+        """Changes made while the store compacts its history are found."""
         await self._cut_watches()
         self.site.put_table(platform_site.table(3))
         self.site.store_party.compact()
@@ -105,15 +105,15 @@
             ):
                 await asyncio.sleep(platform_site.POLL_S)
 
-    async def test_never_back(self) -> None:
-        """An older table, whoever brings it, changes nothing."""
+    async def test_older_table(self) -> None:
+        """An older table is ignored, whatever its source."""
         known = self.router.services.find('directory', directory.Directory)
         known.take_table_spec(platform_site.table(5), 'peer')
         known.take_table_spec(platform_site.table(4, tenants=[]), 'peer')
         self.assertEqual((await self.ask(site_test.LOOKUP)).status, 200)
 
     async def _start_alone(self) -> platform_site.Router:
-        """Stop all routers, and start one while the store is away."""
+        """Stop all routers and start one during an outage."""
         self.site.store_stand_in.put_faults(refuse=True)
         await self.site.store_stand_in.settle()
         for router in self.site.routers:
@@ -131,8 +131,8 @@
                 await asyncio.sleep(platform_site.POLL_S)
 
 
-def _long(left_s: float) -> float:
-    """Return seconds that a busy host does not use up."""
+def _long_wait(left_s: float) -> float:
+    """Return a wait that does not end early on a busy host."""
     return platform_site.TIMEOUT_S
 
 
--- a/beryllug/proofs/platform/process_test.py
+++ b/beryllug/proofs/platform/process_test.py
@@ -1,4 +1,4 @@
-"""Routers as processes: stopped, killed, frozen and given new settings."""
+"""Router processes: stopped, killed, frozen, and given new settings."""
 
 import asyncio
 import signal
@@ -16,7 +16,7 @@
 
 
 class ProcessTest(unittest.IsolatedAsyncioTestCase):
-    """Two processes over one store."""
+    """Two processes that use one store."""
 
     async def asyncSetUp(self) -> None:
         self.site = platform_site.Site()
@@ -37,11 +37,12 @@
         await self.site.close()
 
     async def test_stop(self) -> None:
-        """A planned stop cuts no stream off, and readiness fails first.
+        """A planned stop cuts no stream, and readiness fails first.
 
-        A stream of a second runs when the process is told to stop. Its
-        caller gets it to the end; the balancer learns at once; requests that
-        still come are answered; then the process ends by itself.
+        A one-second stream is running when the process is told to stop. The
+        stream is completed, the balancer sees the failing readiness check at
+        once, new requests are still answered, and then the process exits by
+        itself.
         """
         stream = asyncio.create_task(self._draft())
         await asyncio.sleep(EVENT_S * 3)
@@ -56,7 +57,7 @@
         self.assertEqual(await stopped, 0)
 
     async def test_kill(self) -> None:
-        """The other one serves on; one that starts again is soon ready."""
+        """The other process serves on; a restarted one is soon ready."""
         await self.running.kill(self.first.name)
         for _ in range(5):
             reply = await self.site.ask(self.other, LOOKUP)
@@ -65,10 +66,10 @@
         self.assertEqual((await self.site.ask(again, LOOKUP)).status, 200)
 
     async def test_frozen(self) -> None:
-        """A process that stood still is in force again, with what changed.
+        """A frozen process applies missed changes after it is thawed.
 
-        A key is taken away while it stands. Its first answers after that may
-        follow the old table; within two seconds none does.
+        A key is revoked while the process is frozen. Its first answers after
+        that may follow the old table, but none does two seconds later.
         """
         self.running.freeze(self.first.name)
         self.site.put_table(platform_site.table(2, tenants=[]))
@@ -79,7 +80,7 @@
         self.assertEqual(reply.status, HTTPStatus.UNAUTHORIZED)
 
     async def test_reload(self) -> None:
-        """Broken settings end nothing; a good file is taken with a line."""
+        """Invalid settings stop nothing; a valid file is reloaded."""
         self.running.rewrite(self.first.name, 'zone = a', 'zone = /')
         self.running.signal(self.first.name, signal.SIGHUP)
         await self._until_logged('settings_refused')
--- a/beryllug/proofs/platform/returns_test.py
+++ b/beryllug/proofs/platform/returns_test.py
@@ -1,4 +1,4 @@
-"""The platform's store returns from an older copy."""
+"""The platform's store is restored from an older copy."""
 
 import asyncio
 import time
@@ -14,11 +14,11 @@
 from beryllug.router import directory, trials
 from beryllug.standins import platform_site, platform_store
 
-FAR = 'b'
-# Seconds for which the store is away before it returns.
-AWAY_S = 0.3
-# Seconds in which all routers are current again.
-CURRENT_S = 1.0
+OTHER_ZONE = 'b'
+# Seconds for which the store is unavailable before it is restored.
+OUTAGE_S = 0.3
+# Seconds within which all routers are up to date again.
+CATCH_UP_S = 1.0
 UNAUTHORIZED = 401
 VERDICT = MappingProxyType({'state': 'rolled_back', 'target': 'v2'})
 ORDER = MappingProxyType(
@@ -27,7 +27,7 @@
 
 
 class ReturnsTest(site_test.SiteCase):
-    """Four routers, of which three follow the store."""
+    """Four routers, of which three watch the store."""
 
     routers = 4
 
@@ -37,12 +37,12 @@
             (platform_site.POOL, 'far-m'),
             (platform_site.DESK, 'far-d'),
         ):
-            await self.site.add_runner(service, instance, zone=FAR)
+            await self.site.add_runner(service, instance, zone=OTHER_ZONE)
         self.party = self.site.store_party
         await self._until(lambda known: len(self._listed(known)) == 6)
 
-    async def test_given_out_again(self) -> None:
-        """A watch goes on from a revision that was given out again."""
+    async def test_revisions_reused(self) -> None:
+        """Watches miss no change when the store reuses revisions."""
         copy = self.party.copy()
         for _ in range(4):
             self._relist('d1')
@@ -54,17 +54,17 @@
         await self._until(lambda known: 'd3' in self._listed(known))
 
     async def test_in_force(self) -> None:
-        """What was acknowledged before the return is forgotten with it."""
+        """Changes acknowledged before the restore stay in force."""
         copy = self.party.copy()
-        self.party.put(store.EVACUATIONS, FAR, {})
+        self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         self.site.put_table(platform_site.table(5, tenants=[]))
         self.site.list_runner(platform_site.DESK, 'd1', 'draining')
         self.party.drop(store.SERVERS, 'p1')
         await self._until(self._is_current)
-        await self._return(copy)
+        await self._restore_store(copy)
         for router in self.site.routers:
             known = _directory(router)
-            self.assertIn(FAR, known.zones.evacuated)
+            self.assertIn(OTHER_ZONE, known.zones.evacuated)
             assert known.table is not None
             self.assertEqual(known.table.version, 5)
             listed, _ = known.servers.usable(time.monotonic())
@@ -74,22 +74,22 @@
             self.assertEqual(reply.status, UNAUTHORIZED)
 
     async def test_written_again(self) -> None:
-        """What the operator and the servers write again is not taken."""
+        """Changes written again after the restore are applied."""
         copy = self.party.copy()
-        self.party.put(store.EVACUATIONS, FAR, {})
+        self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         self.site.list_runner(platform_site.DESK, 'd1', 'draining')
         await self._until(self._is_current)
-        await self._return(copy)
-        self.party.put(store.EVACUATIONS, FAR, {})
+        await self._restore_store(copy)
+        self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         self.site.list_runner(platform_site.DESK, 'd1', 'draining')
-        await self._until(lambda known: FAR in known.zones.stated)
-        self.party.drop(store.EVACUATIONS, FAR)
+        await self._until(lambda known: OTHER_ZONE in known.zones.stated)
+        self.party.drop(store.EVACUATIONS, OTHER_ZONE)
         self.site.list_runner(platform_site.DESK, 'd1')
         await self._until(lambda known: not known.zones.evacuated)
         await self._until(lambda known: 'd1' in self._usable(known))
 
-    async def test_missing(self) -> None:
-        """Servers that the copy lacks are dropped although they are there."""
+    async def test_live_servers_missing(self) -> None:
+        """Live servers that the copy lacks are still used."""
         self.party.drop(store.SERVERS, 'd2')
         self.party.drop(store.SERVERS, 'far-d')
         await self._until(lambda known: len(self._listed(known)) == 4)
@@ -97,7 +97,7 @@
         copy = self.party.copy()
         self.site.list_runner(platform_site.DESK, 'd2')
         await self._until(lambda known: 'd2' in self._listed(known))
-        await self._return(copy)
+        await self._restore_store(copy)
         for router in self.site.routers:
             reply = await self.site.ask(router, site_test.LOOKUP)
             self.assertEqual(reply.status, 200)
@@ -105,7 +105,10 @@
         await self._until(lambda known: 'd2' in self._listed(known))
 
     async def test_verdict(self) -> None:
-        """A verdict is gone from the store: a bad version is tried again."""
+        """A lost verdict is written again, once.
+
+        Otherwise the bad version would be tried again.
+        """
         self.party.put(store.ROLLOUTS, platform_site.POOL, dict(ORDER))
         copy = self.party.copy()
         revision = self.party.put(
@@ -113,20 +116,20 @@
         )
         await self._until(self._is_current)
         self.assertGreater(self.party.revision, revision - 1)
-        await self._return(copy)
+        await self._restore_store(copy)
         async with asyncio.timeout(platform_site.TIMEOUT_S):
             while self.party.status(store.ROLLOUTS, platform_site.POOL) is None:
                 await asyncio.sleep(platform_site.POLL_S)
         status = self.party.status(store.ROLLOUTS, platform_site.POOL)
         self.assertEqual(status, dict(VERDICT))
         written = self.party.calls['status']
-        await asyncio.sleep(CURRENT_S)
+        await asyncio.sleep(CATCH_UP_S)
         self.assertEqual(self.party.calls['status'], written)
         for phase in self._phases():
             self.assertIs(phase, canary_data.Phase.ROLLED_BACK)
 
     async def test_replaced_order(self) -> None:
-        """An order that was replaced is back, and its version tried again."""
+        """A replaced order that reappears is not carried out."""
         self.party.put(
             store.ROLLOUTS, platform_site.POOL, dict(ORDER), dict(VERDICT)
         )
@@ -140,7 +143,7 @@
             dict(VERDICT) | {'target': 'v3'},
         )
         await self._until(self._is_current)
-        await self._return(copy)
+        await self._restore_store(copy)
         for router in self.site.routers:
             rollouts = router.services.find('trials', trials.Trials).rollouts()
             targets = [each.order.target for each in rollouts]
@@ -151,61 +154,61 @@
             self.assertIs(phase, canary_data.Phase.ROLLED_BACK)
 
     async def test_started_after(self) -> None:
-        """A process that starts after a return believes the older copy."""
+        """A router started after the restore gets the newer state."""
         self.party.put(store.ROLLOUTS, platform_site.POOL, dict(ORDER))
         await self._until(self._is_current)
         copy = self.party.copy()
-        self.party.put(store.EVACUATIONS, FAR, {})
+        self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         self.site.list_runner(platform_site.DESK, 'd1', 'draining')
         self.party.drop(store.SERVERS, 'p1')
         later = dict(ORDER) | {'target': 'v3'}
         self.party.put(store.ROLLOUTS, platform_site.POOL, later)
         await self._until(self._is_current)
-        await self._return(copy)
+        await self._restore_store(copy)
         late = await self.site.add_router()
         await self.site.until_ready(late)
         known = _directory(late)
-        await asyncio.sleep(CURRENT_S)
-        self.assertEqual(known.zones.evacuated, {FAR})
+        await asyncio.sleep(CATCH_UP_S)
+        self.assertEqual(known.zones.evacuated, {OTHER_ZONE})
         self.assertTrue(self._usable(known).isdisjoint({'d1', 'p1'}))
         order = known.orders.orders[platform_site.POOL]
         self.assertEqual(order.spec['target'], 'v3')
 
     async def test_twice(self) -> None:
-        """Two returns one right after the other leave the routers apart."""
+        """All routers agree after two restores in quick succession."""
         copy = self.party.copy()
-        self.party.put(store.EVACUATIONS, FAR, {})
+        self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         await self._until(self._is_current)
         self.party.return_from(copy)
         late = await self.site.add_router()
-        self.party.put(store.EVACUATIONS, FAR, {})
+        self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         self.party.return_from(copy)
-        self.party.put(store.EVACUATIONS, FAR, {})
+        self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         await self.site.until_ready(late)
         await self._until(self._is_current)
-        await self._until(lambda known: FAR in known.zones.evacuated)
+        await self._until(lambda known: OTHER_ZONE in known.zones.evacuated)
 
     async def test_requests(self) -> None:
-        """Requests fail for the return itself, or the store is pressed."""
+        """A restore fails no request and does not overload the store."""
         copy = self.party.copy()
         for _ in range(4):
             self._relist('d1')
         await self._until(self._is_current)
-        asking = asyncio.create_task(self._ask_on())
+        asking = asyncio.create_task(self._ask_repeatedly())
         before = sum(self.party.calls.values())
-        await self._return(copy)
+        await self._restore_store(copy)
         await self._until(self._is_current)
         statuses = await asking
         self.assertEqual(statuses, {200})
-        # Three list four kinds each and watch them; some are cut off and list
-        # twice.
+        # Three routers list and watch four kinds each; some lose their watch
+        # and list twice.
         calls = sum(self.party.calls.values()) - before
         self.assertLess(calls, 3 * 4 * 5)
         noticed = {line['era'] for line in self.site.logged('store_returned')}
         self.assertEqual(noticed, {2})
 
-    async def _ask_on(self) -> set[int]:
-        until = time.monotonic() + 2 * CURRENT_S
+    async def _ask_repeatedly(self) -> set[int]:
+        until = time.monotonic() + 2 * CATCH_UP_S
         statuses = set()
         while time.monotonic() < until:
             for router in self.site.routers:
@@ -214,10 +217,10 @@
                     statuses.add(reply.status)
         return statuses
 
-    async def _return(self, copy: platform_store.Copy) -> None:
-        """Let the store be away, return, and be followed again."""
+    async def _restore_store(self, copy: platform_store.Copy) -> None:
+        """Stop the store, restore a copy, and wait for all routers."""
         self.site.store_stand_in.put_faults(refuse=True)
-        await asyncio.sleep(AWAY_S)
+        await asyncio.sleep(OUTAGE_S)
         self.party.return_from(copy)
         self.site.store_stand_in.put_faults()
         await self._until(
@@ -225,7 +228,7 @@
         )
 
     def _is_current(self, known: directory.Directory) -> bool:
-        """Tell whether a router knows the store as it is."""
+        """Return whether a router has the store's newest data."""
         rows = [
             (known.servers.revision, store.SERVERS),
             (known.orders.revision(), store.ROLLOUTS),
@@ -264,11 +267,11 @@
         ]
 
     async def _until(
-        self, holds: Callable[[directory.Directory], bool]
+        self, condition: Callable[[directory.Directory], bool]
     ) -> None:
         async with asyncio.timeout(platform_site.TIMEOUT_S):
             for router in self.site.routers:
-                while not holds(_directory(router)):
+                while not condition(_directory(router)):
                     await asyncio.sleep(platform_site.POLL_S)
 
 
--- a/beryllug/proofs/platform/rollout_test.py
+++ b/beryllug/proofs/platform/rollout_test.py
@@ -1,4 +1,4 @@
-"""Roll-outs over two routers: good ones end, bad ones are taken back."""
+"""Roll-outs over two routers: good ones complete, bad ones roll back."""
 
 import asyncio
 import unittest
@@ -13,24 +13,24 @@
 POLL_S = 0.02
 
 
-# Seconds of a slow roll-out and of a session: asked one by one on a busy host,
-# forty sessions come again after more than the usual five seconds, and are new
-# ones by then.
-SLOW_S = 600.0
+# Seconds of a slow roll-out and of a session: on a busy host, forty sequential
+# sessions take longer than the usual session timeout of five seconds, and
+# would count as new sessions.
+SLOW_ROLLOUT_S = 600.0
 LONG_SESSION_S = 120.0
 
 
 class RolloutTest(site_test.SiteCase):
-    """The pool is ordered from v1 to v2, in three seconds."""
+    """A roll-out of the pool from v1 to v2 within three seconds."""
 
     routers = 2
     settings = MappingProxyType({'session_s': LONG_SESSION_S})
 
     async def test_good(self) -> None:
-        """A good version gets all requests before the roll-out is complete.
+        """A good version gets all requests before the roll-out completes.
 
-        The platform stops the old servers at once then; a request that still
-        ran there would be cut.
+        The platform then stops the old servers at once, which would cut
+        requests that still run there.
         """
         await self._order(error_rate=0.0)
         await self._load_until(('complete', 'rolled_back'))
@@ -44,10 +44,10 @@
         self.assertEqual(len(self.runs('p1', 'p2')), before)
 
     async def test_bad(self) -> None:
-        """A version that fails half of its requests is taken back.
+        """A version that fails half of its requests is rolled back.
 
-        Its requests are answered by the old version all the same, and it
-        gets none after the verdict.
+        The old version answers those requests, and the bad one gets none after
+        the verdict.
         """
         await self._order(error_rate=0.5)
         replies = await self._load_until(('complete', 'rolled_back'))
@@ -63,11 +63,11 @@
         self.assertEqual(len(self.runs('n1', 'n2')), tried)
 
     async def test_sessions(self) -> None:
-        """In the first half no session leaves the version that it runs on."""
+        """In the first half every session stays on its version."""
         seen: dict[str, set[str]] = {}
         for number in range(20):
             await self._ask_session(f'old-{number}')
-        await self._order(error_rate=0.0, duration_s=SLOW_S)
+        await self._order(error_rate=0.0, duration_s=SLOW_ROLLOUT_S)
         for _ in range(3):
             for number in range(20):
                 for kind in ('old', 'new'):
@@ -79,14 +79,14 @@
             self.assertEqual(seen[f'old-{number}'], {'v1'})
 
     async def test_sessions_elsewhere(self) -> None:
-        """A session stays on its version when it comes by another router.
+        """A session stays on its version when it moves to another router.
 
-        It began at the first router before the order. The second one has
-        never seen it; drawn anew there, it would leave its version.
+        It began at the first router before the order. The second router does
+        not know the session and must not assign a version again.
         """
         for number in range(40):
             await self._ask_session(f'old-{number}')
-        await self._order(error_rate=0.0, duration_s=SLOW_S)
+        await self._order(error_rate=0.0, duration_s=SLOW_ROLLOUT_S)
         await asyncio.sleep(1.1)
         self.router = self.site.routers[1]
         for again in range(40):
--- a/beryllug/proofs/platform/server_leaving_test.py
+++ b/beryllug/proofs/platform/server_leaving_test.py
@@ -1,4 +1,4 @@
-"""Servers that say in their answers that they leave, before the store does."""
+"""Servers that announce in answers that they leave, before the store."""
 
 import asyncio
 import unittest
@@ -11,11 +11,11 @@
 
 DRAIN_S = 1.0
 MS = 1000
-# Seconds in which routers have sent requests to the servers they prefer.
-MET_S = 1.5
-PRESSED_S = 3.0
-# Seconds in which all routers have been told.
-TOLD_S = 1.0
+# Seconds within which routers have sent requests to preferred servers.
+WARM_UP_S = 1.5
+LOAD_S = 3.0
+# Seconds within which all routers have been informed.
+PROPAGATION_S = 1.0
 OK = 200
 UNAVAILABLE = 503
 SERVICES = MappingProxyType(
@@ -28,82 +28,85 @@
 
 
 class LeavingTest(site_test.SiteCase):
-    """Three routers, a server of each kind that leaves."""
+    """Three routers, and a leaving server of each kind."""
 
     routers = 3
     settings = MappingProxyType({'drain_ms': DRAIN_S * MS})
 
-    async def test_heard_in_answer(self) -> None:
-        """A server gets requests from a router that it told it leaves."""
+    async def test_told_in_answer(self) -> None:
+        """A router that is told in an answer stops sending."""
         for load in site_test.LOADS:
             with self.subTest(load.path):
-                await self.press(load, MET_S)
-                instance = self.busiest(*self._present(load))
-                await self._leaves(instance, SERVICES[load.path])
-                replies = await self.press(load, PRESSED_S)
+                await self.send_load(load, WARM_UP_S)
+                instance = self.busiest(*self._remaining(load))
+                await self._announce_leaving(instance, SERVICES[load.path])
+                replies = await self.send_load(load, LOAD_S)
                 self.assertEqual({each.status for each in replies}, {OK})
                 for router, came in self.arrivals(instance).items():
                     late = server_rules.after_leaving(came, DRAIN_S)
                     self.assertEqual(late, [], router)
 
     async def test_others_told(self) -> None:
-        """A router that was not told itself sends on to a leaving server."""
+        """Routers that were not told themselves stop sending, too."""
         load = site_test.LOADS[0]
-        await self.press(load, MET_S)
+        await self.send_load(load, WARM_UP_S)
         instance = self.busiest(*load.servers)
-        await self._leaves(instance, platform_site.DESK)
+        await self._announce_leaving(instance, platform_site.DESK)
         await self._tell_one(instance, load)
-        await asyncio.sleep(TOLD_S)
+        await asyncio.sleep(PROPAGATION_S)
         before = len(self.site.runners[instance].arrivals)
-        await self.press(load, MET_S)
+        await self.send_load(load, WARM_UP_S)
         self.assertEqual(len(self.site.runners[instance].arrivals), before)
 
     async def test_store_returns(self) -> None:
-        """The store returns from a copy by which the server is ready."""
+        """A leaving server gets no requests after a restore of the store.
+
+        The restored copy lists the server as ready.
+        """
         load = site_test.LOADS[0]
-        await self.press(load, MET_S)
+        await self.send_load(load, WARM_UP_S)
         copy = self.site.store_party.copy()
         instance = self.busiest(*load.servers)
-        await self._leaves(instance, platform_site.DESK)
-        await self.press(load, MET_S)
+        await self._announce_leaving(instance, platform_site.DESK)
+        await self.send_load(load, WARM_UP_S)
         self.site.list_runner(platform_site.DESK, instance, 'draining')
-        await asyncio.sleep(TOLD_S)
+        await asyncio.sleep(PROPAGATION_S)
         self.site.store_party.return_from(copy)
-        await asyncio.sleep(stamps.HELD_S + TOLD_S)
+        await asyncio.sleep(stamps.HELD_S + PROPAGATION_S)
         before = len(self.site.runners[instance].arrivals)
-        replies = await self.press(load, MET_S)
+        replies = await self.send_load(load, WARM_UP_S)
         self.assertEqual({each.status for each in replies}, {OK})
         self.assertEqual(len(self.site.runners[instance].arrivals), before)
 
     async def test_all_leave(self) -> None:
-        """Callers wait though all servers of their service leave."""
+        """If all servers leave, callers get 503 with Retry-After."""
         for load in site_test.LOADS[1:]:
             with self.subTest(load.path):
                 for instance in load.servers:
                     runner = self.site.runners[instance]
                     runner.states = runner.states._replace(is_leaving=True)
-                await self.press(load, MET_S)
-                replies = await self.press(load, MET_S)
+                await self.send_load(load, WARM_UP_S)
+                replies = await self.send_load(load, WARM_UP_S)
                 for reply in replies:
                     self.assertEqual(reply.status, UNAVAILABLE)
                     self.assertIn(names.RETRY_AFTER, reply.headers)
 
     async def _tell_one(self, instance: str, load: site_test.Load) -> None:
-        """Ask one router until the server has told it that it leaves."""
+        """Send requests to one router until the server tells it."""
         runner = self.site.runners[instance]
         async with asyncio.timeout(platform_site.TIMEOUT_S):
             while not any(each.answered.is_leaving for each in runner.arrivals):
                 await self.site.ask(self.router, load.path, load.method)
 
-    def _present(self, load: site_test.Load) -> list[str]:
-        """Return the servers that do not leave."""
+    def _remaining(self, load: site_test.Load) -> list[str]:
+        """Return the servers that are not leaving."""
         runners = self.site.runners
         return [
             each for each in load.servers if not runners[each].states.is_leaving
         ]
 
-    async def _leaves(self, instance: str, service: str) -> None:
-        """Let a server say that it leaves, with another one there for it."""
+    async def _announce_leaving(self, instance: str, service: str) -> None:
+        """Let a server announce that it leaves, and add another one."""
         runner = self.site.runners[instance]
         runner.states = runner.states._replace(is_leaving=True)
         await self.site.add_runner(service, f'{instance}-next')
--- a/beryllug/proofs/platform/silent_store_test.py
+++ b/beryllug/proofs/platform/silent_store_test.py
@@ -1,4 +1,4 @@
-"""The store falls silent for those who follow it, and serves the others."""
+"""The store stops answering the routers that watch it, but not others."""
 
 import asyncio
 import time
@@ -7,69 +7,69 @@
 from beryllug.soak import proxy
 from beryllug.standins import platform_site
 
-# Seconds in which a change is in force in all routers.
-IN_FORCE_S = 2.0
+# Seconds within which all routers apply a change.
+APPLY_S = 2.0
 ROUTERS = 6
-# Seconds in which the routers have settled who follows the store.
-SETTLED_S = 3.0
-CALM_S = 5.0
-# Calls a second of all routers, where nothing changes, and the part of a call
-# that one counts which may be answered by old data.
-MOST_CALLS_PER_S = 2.0
-STALE_PART = 0.1
+# Seconds within which the routers agree on who watches the store.
+SETTLE_S = 3.0
+IDLE_S = 5.0
+# Maximum calls per second of all routers without changes, and the weight of a
+# call that may be answered with stale data.
+MAX_CALLS_PER_S = 2.0
+STALE_CALL_WEIGHT = 0.1
 
 
 class SilentStoreTest(unittest.IsolatedAsyncioTestCase):
-    """Six routers, each with a way of its own to the store."""
+    """Six routers, each with a proxy of its own to the store."""
 
     async def asyncSetUp(self) -> None:
         self.site = platform_site.Site()
         await self.site.open()
-        self.ways: dict[str, proxy.Proxy] = {}
+        self.proxies: dict[str, proxy.Proxy] = {}
         for _ in range(ROUTERS):
-            way = proxy.Proxy(self.site.store_stand_in.address)
-            await way.start('127.0.0.1')
-            router = await self.site.add_router(store=way.address)
-            self.ways[router.name] = way
+            store_proxy = proxy.Proxy(self.site.store_stand_in.address)
+            await store_proxy.start('127.0.0.1')
+            router = await self.site.add_router(store=store_proxy.address)
+            self.proxies[router.name] = store_proxy
         for router in self.site.routers:
             await self.site.until_ready(router)
-        await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(SETTLE_S)
 
     async def asyncTearDown(self) -> None:
         await self.site.close()
-        for way in self.ways.values():
-            await way.stop()
+        for store_proxy in self.proxies.values():
+            await store_proxy.stop()
 
     async def test_table(self) -> None:
-        """A new route table is in force late, as all who follow are deaf."""
-        for version, is_all in ((2, False), (3, True)):
-            with self.subTest(is_all=is_all):
-                following = self._following()
-                self.assertTrue(following)
-                silenced = following if is_all else following[:1]
+        """A table is applied in time while watches get no answer."""
+        for version, are_all_silenced in ((2, False), (3, True)):
+            with self.subTest(are_all_silenced=are_all_silenced):
+                watching = self._watching()
+                self.assertTrue(watching)
+                silenced = watching if are_all_silenced else watching[:1]
                 for name in silenced:
-                    self.ways[name].link.is_cut_down = True
+                    self.proxies[name].link.is_cut_down = True
                 took_s = await self._put_table(version)
-                self.assertLess(took_s, IN_FORCE_S)
+                self.assertLess(took_s, APPLY_S)
                 for name in silenced:
-                    self.ways[name].link.is_cut_down = False
-                await asyncio.sleep(SETTLED_S)
+                    self.proxies[name].link.is_cut_down = False
+                await asyncio.sleep(SETTLE_S)
 
     async def test_old_connections(self) -> None:
-        """Connections that are open fall silent, and new ones work."""
-        for name in self._following():
-            self.ways[name].silence()
-        self.assertLess(await self._put_table(2), IN_FORCE_S)
+        """A table is applied in time when only old connections stall."""
+        for name in self._watching():
+            self.proxies[name].silence()
+        self.assertLess(await self._put_table(2), APPLY_S)
 
-    async def test_calm(self) -> None:
-        """To notice it costs calls of the store while nothing changes."""
+    async def test_idle(self) -> None:
+        """Detecting stalls costs few calls while nothing changes."""
         before = self._calls()
-        await asyncio.sleep(CALM_S)
+        await asyncio.sleep(IDLE_S)
         calls = self._calls() - before
-        self.assertLess(calls / CALM_S, MOST_CALLS_PER_S)
+        self.assertLess(calls / IDLE_S, MAX_CALLS_PER_S)
 
-    def _following(self) -> list[str]:
-        """Return the routers that follow the store."""
+    def _watching(self) -> list[str]:
+        """Return the routers that watch the store."""
         return [
             router.name
             for router in self.site.routers
@@ -77,7 +77,7 @@
         ]
 
     async def _put_table(self, version: int) -> float:
-        """Write a table; returns the seconds until it is in force in all."""
+        """Write a table; return the seconds until all routers apply it."""
         began = time.monotonic()
         self.site.put_table(platform_site.table(version))
         async with asyncio.timeout(platform_site.TIMEOUT_S):
@@ -89,10 +89,10 @@
         return time.monotonic() - began
 
     def _calls(self) -> float:
-        """Return the calls of the store by their price."""
+        """Return the number of store calls, weighted by their cost."""
         calls = self.site.store_party.calls
         stale = calls.get('stale', 0)
-        return sum(calls.values()) - stale * (1 - STALE_PART)
+        return sum(calls.values()) - stale * (1 - STALE_CALL_WEIGHT)
 
 
 if __name__ == '__main__':
--- a/beryllug/proofs/platform/site_test.py
+++ b/beryllug/proofs/platform/site_test.py
@@ -1,4 +1,4 @@
-"""What callers get on a calm day and when single things break."""
+"""Requests through a router, without faults and with single faults."""
 
 import asyncio
 import time
@@ -15,16 +15,16 @@
 REPORT = '/report/car'
 HOLD = '/hold/slot'
 LOOKUP = '/lookup/slot'
-LATE = 'the stream did not end in time'
+TIMEOUT_REASON = 'the stream did not end in time'
 BROKEN = http_data.BrokenError
-# Seconds between events, many times those between two looks at a server.
-SLOW_EVENT_S = 0.1
+# Seconds between events, many times the poll interval of the test.
+SLOW_EVENT_INTERVAL_S = 0.1
 # Seconds between two requests of all callers together.
-PAUSE_S = 0.06
+REQUEST_INTERVAL_S = 0.06
 
 
 class Load(NamedTuple):
-    """Requests of one kind, and the servers that they go to."""
+    """Requests of one kind, and the backend servers that receive them."""
 
     path: str
     method: str
@@ -39,10 +39,10 @@
 
 
 class SiteCase(unittest.IsolatedAsyncioTestCase):
-    """A site with two runners of the pool, two of the desk, one router."""
+    """A site with two model runners, two desk servers and one router."""
 
     routers = 1
-    # Settings of the routers beside the usual ones.
+    # Router settings in addition to the default ones.
     settings: Mapping[str, Any] = MappingProxyType({})
 
     async def asyncSetUp(self) -> None:
@@ -63,34 +63,36 @@
     async def ask(self, path: str, **options: Any) -> platform_site.Reply:
         return await self.site.ask(self.router, path, **options)
 
-    async def press(
-        self, load: Load, seconds: float, *, may_be_late: bool = False
+    async def send_load(
+        self, load: Load, seconds: float, *, may_time_out: bool = False
     ) -> list[platform_site.Reply]:
-        """Send requests to all routers in turn; returns the replies.
+        """Send requests to all routers in turn and return the replies.
 
         Args:
             load: The requests.
-            seconds: How long.
-            may_be_late: Streams may be cut at the end of their route's time.
+            seconds: How long to send.
+            may_time_out: Whether streams may be cut at their route's timeout.
         """
-        until = time.monotonic() + seconds
-        asking: list[asyncio.Task[platform_site.Reply]] = []
-        while time.monotonic() < until:
-            router = self.site.routers[len(asking) % self.routers]
-            asked = self.site.ask(router, load.path, load.method, b'')
-            asking.append(asyncio.create_task(asked))
-            await asyncio.sleep(PAUSE_S)
-        found = await asyncio.gather(*asking, return_exceptions=may_be_late)
-        broken = [each for each in found if isinstance(each, BaseException)]
+        deadline = time.monotonic() + seconds
+        tasks: list[asyncio.Task[platform_site.Reply]] = []
+        while time.monotonic() < deadline:
+            router = self.site.routers[len(tasks) % self.routers]
+            request = self.site.ask(router, load.path, load.method, b'')
+            tasks.append(asyncio.create_task(request))
+            await asyncio.sleep(REQUEST_INTERVAL_S)
+        outcomes = await asyncio.gather(*tasks, return_exceptions=may_time_out)
+        errors = [each for each in outcomes if isinstance(each, BaseException)]
         reasons = [line['reason'] for line in self.site.logged('cut_off')]
-        self.assertLessEqual({type(each) for each in broken}, {BROKEN}, broken)
-        self.assertLessEqual(len(broken), reasons.count(LATE), broken)
-        return [each for each in found if not isinstance(each, BaseException)]
+        self.assertLessEqual({type(each) for each in errors}, {BROKEN}, errors)
+        self.assertLessEqual(len(errors), reasons.count(TIMEOUT_REASON), errors)
+        return [
+            each for each in outcomes if not isinstance(each, BaseException)
+        ]
 
     def arrivals(
         self, instance: str
     ) -> dict[str, list[platform_runner.Arrival]]:
-        """Return what reached a server, by the router that sent it."""
+        """Return the requests that reached a server, by router."""
         found: dict[str, list[platform_runner.Arrival]] = {
             router.name: [] for router in self.site.routers
         }
@@ -99,13 +101,13 @@
         return found
 
     def busiest(self, *instances: str) -> str:
-        """Return the server that most requests have reached."""
+        """Return the server that received the most requests."""
         return max(
             instances, key=lambda name: len(self.site.runners[name].arrivals)
         )
 
     def runs(self, *instances: str) -> list[str]:
-        """Return the ids of the requests that ran on some servers."""
+        """Return the attempt ids of the requests run by some servers."""
         return [
             run.attempt_id
             for instance in instances
@@ -113,11 +115,11 @@
         ]
 
 
-class CalmTest(SiteCase):
-    """One request of each kind, and those that are refused."""
+class SingleRequestTest(SiteCase):
+    """One request of each kind, and requests that are refused."""
 
     async def test_kinds(self) -> None:
-        """Each kind is answered, with the server's own headers and body."""
+        """Each kind is answered with the server's headers and body."""
         table: tuple[tuple[str, str, bytes], ...] = (
             (LOOKUP, 'GET', b''),
             (HOLD, 'POST', b'{"slot":1}'),
@@ -131,7 +133,7 @@
                 self.assertIn(names.SEAL, reply.headers)
 
     async def test_refused(self) -> None:
-        """A wrong host, path or key is refused and runs nowhere."""
+        """A wrong host, path or key is refused, and nothing runs."""
         table: tuple[tuple[str, dict[str, str], int], ...] = (
             ('/none/', {}, 404),
             (LOOKUP, {'host': 'other.example'}, 404),
@@ -145,10 +147,10 @@
         self.assertEqual(self.runs('d1', 'd2'), [])
 
     async def test_forwarded_headers(self) -> None:
-        """The server gets the account, never the key nor what is ours to set.
+        """The server gets the account, but no key or reserved header.
 
-        A caller that could set them would reserve memory at a runner or go
-        on from the memory of another caller's request.
+        A caller that could set the reserved headers would reserve memory at a
+        runner or continue from the cached state of another caller's request.
         """
         forged = {
             names.TENANT: 'other',
@@ -173,11 +175,11 @@
                 self.assertNotIn(name, run.headers)
 
     async def test_too_late(self) -> None:
-        """Who has too little time left for any answer is refused at once.
+        """A request whose deadline is too short for any answer is refused.
 
-        A caller whose stream hung until it left comes back with hundredths of
-        a second. Sent on, it would hear nothing until its time is over, and
-        runners would read its prompt for nobody.
+        After a stream has hung, a caller may retry with hundredths of a second
+        left. If forwarded, the request times out and runners process its prompt
+        in vain.
         """
         for deadline_ms, tokens, status, runs in (
             ('5000', '900000,100', 503, 0),
@@ -192,7 +194,7 @@
                     self.assertEqual(self.runs('p1', 'p2'), [])
 
     async def test_larger_model(self) -> None:
-        """An unsure answer of the small model is dropped for the large one's.
+        """A low-confidence answer of the small model is replaced.
 
         The caller gets one whole answer, of one model.
         """
@@ -216,12 +218,12 @@
     """All runners refuse the larger model."""
 
     async def test_refused(self) -> None:
-        """A caller gets the small model's answer, and no "not run" that lies.
+        """The caller gets the small model's answer and no false "not run".
 
-        The small model's unsure answer is dropped and the large one asked,
-        which runners refuse, as full ones do. The request has run by then: 503
-        would promise that it has not. The small one is asked again, and its
-        answer goes out since no attempt is left.
+        The small model's low-confidence answer is discarded and the large model
+        asked, which runners refuse, as full ones do. The request has run by
+        then, and 503 would state that it has not. The small model is asked
+        again, and its answer is returned as no attempt is left.
         """
         for instance in ('p1', 'p2'):
             self.site.runners[instance].refused_model = 'large'
@@ -236,14 +238,14 @@
 
 
 class BrokenTest(SiteCase):
-    """A backend server breaks at some step of one request."""
+    """A backend server fails at some step of one request."""
 
     async def test_non_idempotent(self) -> None:
-        """A slot hold runs once at most, and "not run" is said only then.
+        """A hold runs at most once, and "not run" is stated only if true.
 
-        The caller sends a hold; its server breaks at some step. Where a byte
-        may have reached it, a second run could hold a second slot: the answer
-        promises nothing. Where none has, another server takes it.
+        The server of a hold fails at some step. If a byte may have reached it,
+        a second run could hold a second slot, so the answer states nothing
+        about execution. Otherwise another server runs the request.
         """
         table: tuple[tuple[dict[str, Any], int, int], ...] = (
             ({'refuse': True}, 200, 1),
@@ -253,13 +255,15 @@
             ({'drop_answer': True, 'hard_reset': True}, 502, 1),
             ({'reset_at_byte': 3}, 502, 1),
         )
-        for number, (broken, status, ran) in enumerate(table):
-            with self.subTest(broken):
-                reply, runs = await self._break(f'hold-{number}', broken, HOLD)
+        for number, (faults, status, ran) in enumerate(table):
+            with self.subTest(faults):
+                reply, runs = await self._ask_with_faults(
+                    f'hold-{number}', faults, HOLD
+                )
                 self.assertEqual((reply.status, runs), (status, ran))
 
     async def test_idempotent(self) -> None:
-        """A lookup is answered by the other server, whatever broke."""
+        """The other server answers a lookup after any fault."""
         table: tuple[dict[str, Any], ...] = (
             {'refuse': True},
             {'reset_before_run': True},
@@ -267,13 +271,15 @@
             {'reset_at_byte': 3, 'hard_reset': True},
             {'error_rate': 1.0},
         )
-        for number, broken in enumerate(table):
-            with self.subTest(broken):
-                reply, _ = await self._break(f'look-{number}', broken, LOOKUP)
+        for number, faults in enumerate(table):
+            with self.subTest(faults):
+                reply, _ = await self._ask_with_faults(
+                    f'look-{number}', faults, LOOKUP
+                )
                 self.assertEqual(reply.status, 200)
 
     async def test_declined(self) -> None:
-        """A server without room says that nothing ran; another one runs it."""
+        """A request that a full server declines runs on another one."""
         for instance in ('d1', 'd2'):
             await self._replace(instance, slots=0, queue=0)
         await self.site.add_runner(platform_site.DESK, 'd9')
@@ -282,7 +288,7 @@
         self.assertEqual(reply.status, 200)
 
     async def test_all_decline(self) -> None:
-        """No server has room: 503 with a time to come back, and none ran."""
+        """If all servers are full: 503 with Retry-After, nothing runs."""
         for instance in ('d1', 'd2'):
             await self._replace(instance, slots=0, queue=0)
         reply = await self.ask(LOOKUP)
@@ -290,7 +296,7 @@
         self.assertGreater(float(reply.headers[names.RETRY_AFTER]), 0)
         self.assertEqual(self.runs('d1', 'd2'), [])
 
-    async def test_not_the_servers(self) -> None:
+    async def test_unsealed(self) -> None:
         """A success without the server's seal never reaches a caller."""
         for instance in ('d1', 'd2'):
             self.site.runners[instance].is_sealed = False
@@ -298,10 +304,10 @@
         self.assertEqual((await self.ask(HOLD, method='POST')).status, 502)
 
     async def test_reused_address(self) -> None:
-        """An instance is gone and another service has its address.
+        """The address of a removed instance is used by another service.
 
-        The router still believes the old entry; the new instance refuses
-        what is meant for the old one, and a sound server answers.
+        The router still has the old entry. The new instance refuses requests
+        for the old one, and a healthy server answers.
         """
         address = self.site.stand_ins['p1'].address
         self.site.store_party.put(
@@ -321,17 +327,17 @@
             self.assertEqual((await self.ask(LOOKUP)).status, 200)
         self.assertEqual(self.runs('p1'), [])
 
-    async def _break(
-        self, attempt_id: str, broken: dict[str, Any], path: str
+    async def _ask_with_faults(
+        self, attempt_id: str, faults: dict[str, Any], path: str
     ) -> tuple[platform_site.Reply, int]:
-        """Send a request whose first server breaks; count its runs."""
+        """Send a request while servers have a fault; count its runs."""
         for instance in ('d1', 'd2'):
             stand_in = self.site.stand_ins[instance]
-            if path == LOOKUP or not broken.get('refuse'):
-                is_broken = path == HOLD or instance == 'd1'
+            if path == LOOKUP or not faults.get('refuse'):
+                is_faulty = path == HOLD or instance == 'd1'
             else:
-                is_broken = instance == 'd1'
-            stand_in.put_faults(**(broken if is_broken else {}))
+                is_faulty = instance == 'd1'
+            stand_in.put_faults(**(faults if is_faulty else {}))
             await stand_in.settle()
         reply = await self.ask(
             path,
@@ -362,23 +368,24 @@
     routers = 2
 
     async def test_refused(self) -> None:
-        """A hold crashes its server; its caller sends it again and again.
+        """A hold that crashes its server is refused after three crashes.
 
-        Each server's connections break, its entry is dropped, and another
-        one starts. Each of the first three sendings costs a server and gets
-        502. Then both routers refuse that hold as "not run"; others run.
+        On each crash the server's connections break, its entry is dropped and
+        another server starts. The first three attempts get 502 and cost a
+        server each. Then both routers refuse that hold as "not run", while
+        other requests run.
         """
         for number in range(3):
             instance = f'crashed-{number}'
-            await self._one_server(instance)
-            made = self.site.stand_ins[instance]
-            made.put_faults(drop_answer=True)
+            await self._replace_servers(instance)
+            crashing = self.site.stand_ins[instance]
+            crashing.put_faults(drop_answer=True)
             reply = await self._hold(self.site.routers[number % 2], b'bad')
             self.assertEqual(reply.status, 502)
             self.site.store_party.drop(store.SERVERS, instance)
             await self._until_dropped(instance)
-            made.put_faults(refuse=True)
-        await self._one_server('sound')
+            crashing.put_faults(refuse=True)
+        await self._replace_servers('sound')
         await asyncio.sleep(1)
         for router in self.site.routers:
             self.assertEqual((await self._hold(router, b'bad')).status, 503)
@@ -390,38 +397,42 @@
     ) -> platform_site.Reply:
         return await self.site.ask(router, HOLD, method='POST', body=body)
 
-    async def _one_server(self, instance: str) -> None:
-        """Leave one server to the service, in both routers' lists."""
+    async def _replace_servers(self, instance: str) -> None:
+        """Drain the others, so that both routers list one server."""
         for each in ('d1', 'd2'):
             self.site.list_runner(platform_site.DESK, each, 'draining')
         await self.site.add_runner(platform_site.DESK, instance)
         async with asyncio.timeout(platform_site.TIMEOUT_S):
-            while len(self._named('server_listed', instance)) < self.routers:
+            while (
+                len(self._logged_for('server_listed', instance)) < self.routers
+            ):
                 await asyncio.sleep(platform_site.POLL_S)
 
     async def _until_dropped(self, instance: str) -> None:
         async with asyncio.timeout(platform_site.TIMEOUT_S):
-            while len(self._named('server_dropped', instance)) < self.routers:
+            while (
+                len(self._logged_for('server_dropped', instance)) < self.routers
+            ):
                 await asyncio.sleep(platform_site.POLL_S)
 
-    def _named(self, event: str, instance: str) -> list[Any]:
+    def _logged_for(self, event: str, instance: str) -> list[Any]:
         logged = self.site.logged(event)
         return [line for line in logged if line['instance'] == instance]
 
 
 class StreamTest(SiteCase):
-    """Streams that break off, hang, or lose their caller."""
+    """Streams that break, stall, or lose their caller."""
 
     async def test_resumed(self) -> None:
-        """A stream breaks within its third event and goes on elsewhere.
+        """A stream that breaks within its third event resumes elsewhere.
 
-        The caller gets each event once, none in part, and a proper end; the
-        second server is asked for what comes after the last whole event.
+        The caller gets each event once, none partially, and a proper end. The
+        second server is asked for the events after the last complete one.
         """
         for instance in ('p1', 'p2'):
             runner = self.site.runners[instance]
             runner.cut_after = 3
-            runner.cfg = runner.cfg._replace(event_s=SLOW_EVENT_S)
+            runner.cfg = runner.cfg._replace(event_s=SLOW_EVENT_INTERVAL_S)
         task = asyncio.create_task(self.ask(DRAFT, method='POST'))
         while not self.runs('p1', 'p2'):
             await asyncio.sleep(platform_site.POLL_S)
@@ -434,7 +445,7 @@
         self.assertNotIn(b'ha', reply.body.replace(b'data', b''))
 
     async def test_not_resumable(self) -> None:
-        """A stream that may not go on elsewhere is cut, never ended well."""
+        """A stream that is not resumable is cut, not ended normally."""
         for instance in ('p1', 'p2'):
             self.site.runners[instance].cut_after = 3
         with self.assertRaises(Exception):
@@ -442,10 +453,10 @@
         self.assertEqual(len(self.runs('p1', 'p2')), 1)
 
     async def test_caller_leaves(self) -> None:
-        """A caller closes its connection; the server stops working for it.
+        """A server stops working for a caller that has disconnected.
 
-        The server sees its connection close within half a second and does
-        not end the run.
+        The server sees its connection close within half a second and does not
+        finish the run.
         """
         for instance in ('p1', 'p2'):
             self.site.runners[instance].stall_after = 2
@@ -460,7 +471,7 @@
                 await asyncio.sleep(platform_site.POLL_S)
 
     async def test_timeout(self) -> None:
-        """A stream that stands still is cut at its route's timeout."""
+        """A stalled stream is cut at its route's timeout."""
         document = platform_site.table(2)
         for route in document['routes']:
             route['timeout_ms'] = 300
@@ -471,7 +482,7 @@
         with self.assertRaises(Exception):
             await self.ask(REPORT, method='POST')
         reasons = [line['reason'] for line in self.site.logged('cut_off')]
-        self.assertEqual(reasons, [LATE])
+        self.assertEqual(reasons, [TIMEOUT_REASON])
 
     async def _until_table(self, version: int) -> None:
         async with asyncio.timeout(platform_site.TIMEOUT_S):
--- a/beryllug/proofs/platform/swarm_test.py
+++ b/beryllug/proofs/platform/swarm_test.py
@@ -1,4 +1,4 @@
-"""Tests of how one kind of objects in the platform's store is followed."""
+"""Tests of how one kind of object in the platform's store is watched."""
 
 import asyncio
 from unittest import IsolatedAsyncioTestCase, main, mock
@@ -10,11 +10,11 @@
 from beryllug.standins import platform_store
 
 SERVERS = 'servers'
-SWARM = 40
+SERVER_COUNT = 40
 GATHER_S = 0.05
 
 
-class SwarmTest(IsolatedAsyncioTestCase):
+class ManyServersTest(IsolatedAsyncioTestCase):
     """Many servers start in the same second."""
 
     async def asyncSetUp(self) -> None:
@@ -28,17 +28,18 @@
         self.addAsyncCleanup(client.close)
         self.seen: list[str] = []
         follower = store_watch.Follower(
-            self._take_list, self._take_changes, _pass_over
+            self._take_list, self._take_changes, _ignore_call
         )
         self.watch = store_watch.StoreWatch(
             self.api, SERVERS, follower, log_lines.LineWriter(1)
         )
 
-    async def test_swarm(self) -> None:
-        """The first is known at once, all are, and the calls are few.
+    async def test_many_servers(self) -> None:
+        """All servers become known, the first at once, in few calls.
 
-        With a call for each entry, three followers make as many in the second
-        in which a zone comes back as in a calm minute.
+        With one call per entry, three watching processes would make as many
+        calls in the second in which a zone recovers as in a minute without
+        changes.
         """
         with mock.patch.object(store_watch, 'GATHER_S', GATHER_S):
             self.watch.start()
@@ -46,12 +47,14 @@
             await self._until(0)
             self.party.put(SERVERS, 'i-0', {})
             await self._until(1)
-            for number in range(1, SWARM):
+            for number in range(1, SERVER_COUNT):
                 self.party.put(SERVERS, f'i-{number}', {})
-                await asyncio.sleep(GATHER_S / SWARM)
-            await self._until(SWARM)
-        self.assertEqual(self.seen, [f'i-{each}' for each in range(SWARM)])
-        self.assertLess(self.api.calls['watch'], SWARM / 4)
+                await asyncio.sleep(GATHER_S / SERVER_COUNT)
+            await self._until(SERVER_COUNT)
+        self.assertEqual(
+            self.seen, [f'i-{each}' for each in range(SERVER_COUNT)]
+        )
+        self.assertLess(self.api.calls['watch'], SERVER_COUNT / 4)
 
     async def _until(self, count: int) -> None:
         async with asyncio.timeout(5):
@@ -65,8 +68,8 @@
         self.seen.extend(each.stored.name for each in changes.changes)
 
 
-def _pass_over(is_reached: bool, now: float) -> None:
-    """Note nothing of a call."""
+def _ignore_call(is_reached: bool, now: float) -> None:
+    """Ignore the result of a call."""
 
 
 if __name__ == '__main__':
--- a/beryllug/proofs/platform/watch_model_test.py
+++ b/beryllug/proofs/platform/watch_model_test.py
@@ -1,8 +1,8 @@
 """The list of servers against a model of the store, its outages and gaps.
 
-Any series of servers that start, leave and crash, of outages in which entries
-lapse, of history that is dropped and of answers that are lost, in virtual
-time. What must hold at each step is stated by the model, which knows the truth.
+In virtual time, servers start, leave and crash, entries expire in outages,
+history is compacted and answers are lost. The model knows the true state and
+checks invariants after each step.
 """
 
 import asyncio
@@ -20,12 +20,12 @@
 
 DRAIN_S = 2.0
 DOUBT_S = 1.5
-# Seconds after its return in which the store has the lapsed entries again.
-BACK_S = 2.0
+# Seconds after an outage within which expired entries are written again.
+REWRITE_S = 2.0
 CALL_S = 0.004
-# Seconds in which a change is known here while the store answers: the longest
-# pause between two tries, a call, and the pause that the model makes.
-KNOWN_S = 1.7
+# Seconds within which a change is known while the store answers: the longest
+# pause between two attempts, a call, and the pause of the model.
+PROPAGATION_S = 1.7
 POLL_S = 0.02
 STEP_S = 0.25
 
@@ -37,18 +37,18 @@
 
 
 class _Store:
-    """The store as its page tells it, for one kind; it holds the truth."""
+    """A model of the store for one kind of object, as documented."""
 
     def __init__(self) -> None:
         self.states: dict[str, str] = {}
         self.is_down = False
-        self.loses = 0
+        self.lost_answers = 0
         self._revision = 1
         self._history: list[_Event] = []
-        self._oldest = 1
+        self._compacted_upto = 1
 
     def put(self, name: str, state: str | None) -> None:
-        """Write an entry, or remove it."""
+        """Write or remove an entry."""
         if state is None:
             self.states.pop(name, None)
         else:
@@ -57,13 +57,13 @@
         self._history.append(_Event(self._revision, name, state))
 
     def compact(self) -> None:
-        """Drop the history; watches that wait are cut."""
+        """Drop the history; pending watches fail."""
         self._history.clear()
-        self._oldest = self._revision
+        self._compacted_upto = self._revision
 
     async def list_page(self, kind: str, after: str = '') -> store_data.Page:
         """List all entries, in one page."""
-        await self._reach()
+        await self._call()
         found = tuple(
             _stored(name, self._revision, state)
             for name, state in self.states.items()
@@ -75,8 +75,8 @@
         loop = asyncio.get_running_loop()
         until = loop.time() + wait_s
         while True:
-            await self._reach()
-            if after < self._oldest:
+            await self._call()
+            if after < self._compacted_upto:
                 raise object_data.CompactedError('history is gone')
             changes = tuple(
                 store_data.Change(
@@ -90,24 +90,24 @@
                 return store_data.Changes(changes, self._revision)
             await asyncio.sleep(POLL_S)
 
-    async def _reach(self) -> None:
+    async def _call(self) -> None:
         await asyncio.sleep(CALL_S)
         if self.is_down:
             raise object_data.UnavailableError('down')
-        if self.loses:
-            self.loses -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             raise object_data.UncertainError('the answer was lost')
 
 
 class _World:
-    """Servers, the store, and a process that follows it."""
+    """Servers, the store, and a process that watches it."""
 
     def __init__(self, seed: int) -> None:
         self.store = _Store()
         self.alive: set[str] = set()
         self.leaves_at: dict[str, float] = {}
-        self.calm_since = 0.0
-        lines = log_lines.LineWriter(_NOWHERE)
+        self.healthy_since = 0.0
+        lines = log_lines.LineWriter(_LOG_FD)
         self.listed = server_list.ServerList(DOUBT_S, lines)
         api: Any = self.store
         follower = store_watch.Follower(
@@ -121,77 +121,80 @@
         self._number = 0
 
     def start(self) -> None:
-        """Begin with three servers."""
+        """Start with three servers."""
         for _ in range(3):
             self.add()
         self._watch.start()
 
     async def stop(self) -> None:
-        """Stop to follow."""
+        """Stop watching."""
         await self._watch.stop()
 
     def add(self) -> None:
-        """A server starts."""
+        """Start a server."""
         self._number += 1
         name = f's{self._number}'
         self.alive.add(name)
         self.store.put(name, 'ready')
 
     def drain(self) -> None:
-        """A server says that it leaves, and its entry goes later."""
-        name = self._one()
+        """Let a server announce that it leaves."""
+        name = self._choose_server()
         if name and not self.store.is_down:
             self.store.put(name, 'draining')
             self.leaves_at[name] = self.now()
             self.alive.discard(name)
 
     def crash(self) -> None:
-        """A server is gone, and its entry with it."""
-        name = self._one()
+        """Remove a server together with its entry."""
+        name = self._choose_server()
         if name and not self.store.is_down:
             self.store.put(name, None)
             self.alive.discard(name)
 
     def forget(self) -> None:
-        """The store drops its history."""
+        """Compact the store's history."""
         self.store.compact()
 
     def lose(self) -> None:
-        """The next answers of the store are lost."""
-        self.store.loses = 2
-        self.calm_since = self.now()
+        """Lose the next answers of the store."""
+        self.store.lost_answers = 2
+        self.healthy_since = self.now()
 
     def down(self) -> None:
-        """The store goes away, and all entries lapse meanwhile."""
+        """Make the store unavailable and let all entries expire."""
         if not self.store.is_down:
             self.store.is_down = True
             for name in list(self.store.states):
                 self.store.put(name, None)
 
     def up(self) -> None:
-        """The store is back; the servers that live write anew, within 2 s."""
+        """Make the store available; servers rewrite entries within 2 s."""
         if self.store.is_down:
             self.store.is_down = False
-            self.calm_since = self.now()
+            self.healthy_since = self.now()
             loop = asyncio.get_running_loop()
             for name in self.alive:
-                after_s = self._rng.uniform(0, BACK_S)
+                after_s = self._rng.uniform(0, REWRITE_S)
                 loop.call_later(after_s, self._write_again, name)
 
     def now(self) -> float:
-        """Return the present second."""
+        """Return the current time in seconds."""
         return asyncio.get_running_loop().time()
 
     def usable(self) -> set[str]:
-        """Return the servers that the process would send work to."""
+        """Return the servers that the process would send requests to."""
         listed, doubted = self.listed.usable(self.now())
         return {server.instance for server in (*listed, *doubted)}
 
-    def is_calm(self, for_s: float) -> bool:
-        """Tell whether the store was well for a while."""
-        return not self.store.is_down and self.now() >= self.calm_since + for_s
+    def is_healthy(self, duration_s: float) -> bool:
+        """Return whether the store has worked for some seconds."""
+        return (
+            not self.store.is_down
+            and self.now() >= self.healthy_since + duration_s
+        )
 
-    def _one(self) -> str | None:
+    def _choose_server(self) -> str | None:
         ready = sorted(self.alive)
         return self._rng.choice(ready) if len(ready) > 1 else None
 
@@ -200,9 +203,9 @@
             self.store.put(name, 'ready')
 
 
-_NOWHERE = 1
-# Found by chance: the second outage begins before the lapsed entries are back,
-# and servers that live were forgotten in it.
+_LOG_FD = 1
+# Regression: the second outage begins before the expired entries are written
+# again, and live servers were dropped in it.
 TWO_OUTAGES = 'down up add add add add add down add add add add'.split()
 STEPS = ('add', 'drain', 'crash', 'forget', 'lose', 'down', 'up', 'wait')
 
@@ -217,20 +220,20 @@
         strategies.integers(0, 1000),
     )
     def test_series(self, steps: Sequence[str], seed: int) -> None:
-        """No sound server is lost in an outage, no leaving one gets work."""
+        """Outages lose no live server; leaving ones get no work."""
         asyncio.run(self._play(steps, seed))
 
     async def _play(self, steps: Sequence[str], seed: int) -> None:
         world = _World(seed)
         world.start()
-        await asyncio.sleep(KNOWN_S)
+        await asyncio.sleep(PROPAGATION_S)
         for step in steps:
             if step != 'wait':
                 getattr(world, step)()
             await asyncio.sleep(STEP_S)
             self._check(world)
         world.up()
-        await asyncio.sleep(BACK_S + DOUBT_S + 2 * KNOWN_S)
+        await asyncio.sleep(REWRITE_S + DOUBT_S + 2 * PROPAGATION_S)
         self.assertEqual(world.usable(), world.alive)
         await world.stop()
 
@@ -241,10 +244,10 @@
             for name, at in world.leaves_at.items()
             if world.now() > at + DRAIN_S
         ]
-        if world.is_calm(KNOWN_S):
+        if world.is_healthy(PROPAGATION_S):
             self.assertEqual(usable & set(left), set())
-        if world.store.is_down or not world.is_calm(BACK_S):
-            # The newest may not have been seen before the outage.
+        if world.store.is_down or not world.is_healthy(REWRITE_S):
+            # The newest may not have been listed before the outage.
             known = world.alive & world.ever_usable
             self.assertEqual(known - usable, set())
         world.ever_usable |= usable
