--- a/beryllug/proofs/platform/evacuation_test.py
+++ b/beryllug/proofs/platform/evacuation_test.py
@@ -90,7 +90,7 @@
                 self.assertIn(names.RETRY_AFTER, reply.headers)
         self.assertEqual(self._runs_in_zone() + len(self.runs('far-d')), 0)
 
-    async def test_reopened(self) -> None:
+    async def test_taken_back(self) -> None:
         """The reopened zone takes requests, its servers as cold ones.
 
         They may have become cold meanwhile, and report it only with the next
--- a/beryllug/proofs/platform/outage_test.py
+++ b/beryllug/proofs/platform/outage_test.py
@@ -52,7 +52,7 @@
         self.assertEqual(reply.status, 503)
         self.assertIn(names.RETRY_AFTER, reply.headers)
 
-    async def test_waits_for_table(self) -> None:
+    async def test_held(self) -> None:
         """A request that arrives just before the route table waits for it.
 
         All routers were killed in an outage of the store, which is about to
--- a/beryllug/soak/__init__.py
+++ b/beryllug/soak/__init__.py
@@ -1,7 +1,8 @@
-"""A randomized fault soak of the role `router` over real processes.
+"""A randomized fault-injection test of the role `router`.
 
-A seed draws a series of faults, which may overlap. Callers go on meanwhile,
-and what they and the backend servers saw is held against the promises. Faults
-come from outside the processes: signals, proxies between them and the other
-parties, and the switches of these parties.
+Router processes run under a random series of faults, which may overlap and is
+determined by a seed. Callers send requests throughout, and the observations of
+callers and backend servers are checked against the guarantees. Faults are
+injected from outside the processes: by signals, by proxies between them and
+other components, and by the fault switches of the stand-ins.
 """
--- a/beryllug/soak/callers.py
+++ b/beryllug/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections until the process behind is gone."""
+"""Callers that keep a connection until it fails or its router closes it."""
 
 import asyncio
 import random
@@ -9,59 +9,65 @@
 from beryllug.soak import seen, site
 from beryllug.standins import platform_site
 
-PATIENCE_S = 3.0
-# Seconds after which a request hangs: far beyond its own time, so that a busy
-# machine alone does not bring it there.
-HANGS_S = 12.0
-PAUSE_S = 0.03
-ASKED_EVERY_S = 0.3
-MISSES = 2
-LEAVES = 0.06
-LEAVES_WITHIN_S = 0.4
-REVOKED_KEY_PART = 0.2
-POSTED = b'{"slot":7}'
+DEADLINE_S = 3.0
+# Seconds after which a request counts as hanging: far beyond its deadline, so
+# that a busy machine alone does not cause it.
+HANG_S = 12.0
+MAX_PAUSE_S = 0.03
+CHECK_INTERVAL_S = 0.3
+MAX_MISSES = 2
+DISCONNECT_FRACTION = 0.06
+MAX_DISCONNECT_S = 0.4
+REVOKED_KEY_FRACTION = 0.2
+POST_BODY = b'{"slot":7}'
 # Path, method and body of each kind of request.
 KINDS = (
     ('/lookup/slot', 'GET', b''),
-    ('/hold/slot', 'POST', POSTED),
-    ('/draft/roster', 'POST', POSTED),
-    ('/report/car', 'POST', POSTED),
+    ('/hold/slot', 'POST', POST_BODY),
+    ('/draft/roster', 'POST', POST_BODY),
+    ('/report/car', 'POST', POST_BODY),
 )
 
 
 class Balancer:
-    """Which routers get new connections: those not missed twice."""
+    """Selects routers that have not failed two readiness checks in a row."""
 
-    def __init__(self, made: site.SoakSite) -> None:
-        """Begin with all routers."""
-        self._site = made.site
-        self._misses = {router.name: 0 for router in made.site.routers}
+    def __init__(self, deployment: site.SoakSite) -> None:
+        """Start with all routers."""
+        self._site = deployment.site
+        self._misses = {router.name: 0 for router in deployment.site.routers}
 
     def choose(self, rng: random.Random) -> platform_site.Router:
-        """Return a router for a new connection; any where none is ready."""
+        """Return a router for a new connection; any if none is ready."""
         routers = self._site.routers
-        ready = [each for each in routers if self._misses[each.name] < MISSES]
+        ready = [
+            each for each in routers if self._misses[each.name] < MAX_MISSES
+        ]
         return rng.choice(ready or routers)
 
     async def run(self) -> None:
-        """Ask all routers again and again."""
+        """Check the readiness of all routers periodically."""
         while True:
             for router in self._site.routers:
                 is_ready = await self._site.is_ready(router)
                 missed = 0 if is_ready else self._misses[router.name] + 1
                 self._misses[router.name] = missed
-            await asyncio.sleep(ASKED_EVERY_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
 
 class Caller:
-    """One caller with connections of its own."""
+    """A caller with connections of its own."""
 
     def __init__(
-        self, name: str, made: site.SoakSite, balancer: Balancer, seed: int
+        self,
+        name: str,
+        deployment: site.SoakSite,
+        balancer: Balancer,
+        seed: int,
     ) -> None:
-        """Begin without a connection."""
+        """Start without a connection."""
         self._name = name
-        self._made = made
+        self._deployment = deployment
         self._balancer = balancer
         self._rng = random.Random(f'{seed}/{name}')
         self._client = http_client.HttpClient()
@@ -69,27 +75,27 @@
         self._count = 0
 
     async def run(self) -> None:
-        """Send one request after the other."""
+        """Send one request after another."""
         try:
             while True:
-                await self._one()
-                await asyncio.sleep(PAUSE_S * self._rng.random())
+                await self._send_next()
+                await asyncio.sleep(MAX_PAUSE_S * self._rng.random())
         finally:
             await self._client.close()
 
-    def sent(
+    def new_request(
         self, router: platform_site.Router, path: str, body: bytes
     ) -> seen.Sent:
         """Return the next request, not yet sent."""
         self._count += 1
         attempt_id = f'{self._name}-{self._count:05}'
-        self._made.seen.routers[attempt_id] = router.name
-        is_second = self._rng.random() < REVOKED_KEY_PART
+        self._deployment.seen.routers[attempt_id] = router.name
+        is_revoked_key = self._rng.random() < REVOKED_KEY_FRACTION
         return seen.Sent(
             attempt_id=attempt_id,
             path=path,
             body=body,
-            key=site.REVOKED_KEY if is_second else platform_site.KEY,
+            key=site.REVOKED_KEY if is_revoked_key else platform_site.KEY,
             router=router.name,
             began_at=time.monotonic(),
             ended_at=0,
@@ -98,17 +104,17 @@
     async def send(
         self, router: platform_site.Router, sent: seen.Sent, method: str
     ) -> seen.Sent:
-        """Send a request and return what came of it."""
+        """Send a request and return its result."""
         headers = platform_site.caller_headers(sent.path, sent.attempt_id) | {
             names.AUTHORIZATION: f'Bearer {sent.key}',
-            names.DEADLINE: f'{PATIENCE_S * 1000:.0f}',
+            names.DEADLINE: f'{DEADLINE_S * 1000:.0f}',
         }
         outgoing = http_data.Outgoing(method, sent.path, headers, sent.body)
         failure = ''
         is_unsent = False
         try:
             incoming, answer = await self._client.call(
-                router.cfg.listen, outgoing, HANGS_S
+                router.cfg.listen, outgoing, HANG_S
             )
         except http_data.NotSentError as exc:
             failure = str(exc)
@@ -126,19 +132,19 @@
             answer=answer,
         )
 
-    async def _one(self) -> None:
+    async def _send_next(self) -> None:
         if self._router is None:
             self._router = self._balancer.choose(self._rng)
         path, method, body = self._rng.choice(KINDS)
-        sent = self.sent(self._router, path, body)
-        leaves_s = None
-        if self._rng.random() < LEAVES:
-            leaves_s = LEAVES_WITHIN_S * self._rng.random()
+        sent = self.new_request(self._router, path, body)
+        disconnect_after_s = None
+        if self._rng.random() < DISCONNECT_FRACTION:
+            disconnect_after_s = MAX_DISCONNECT_S * self._rng.random()
         try:
-            async with asyncio.timeout(leaves_s):
-                ended = await self.send(self._router, sent, method)
+            async with asyncio.timeout(disconnect_after_s):
+                result = await self.send(self._router, sent, method)
         except TimeoutError:
             return
-        self._made.seen.sent.append(ended)
-        if ended.failure or ended.headers.get('connection') == 'close':
+        self._deployment.seen.sent.append(result)
+        if result.failure or result.headers.get('connection') == 'close':
             self._router = None
--- a/beryllug/soak/checks.py
+++ b/beryllug/soak/checks.py
@@ -1,7 +1,8 @@
-"""The promises, held against what callers and backend servers saw.
+"""The guarantees, checked against what callers and backend servers observed.
 
-Each check takes all that was seen and names each breach. Where a promise has
-a bound in time, it is checked only where nothing was wrong around it.
+Each check takes all observations and yields a message per violation. A
+guarantee with a time bound is only checked where no fault occurred around that
+time.
 """
 
 import itertools
@@ -13,246 +14,263 @@
 from beryllug.soak import callers, seen, site
 from beryllug.standins import platform_site, server_rules
 
-ONCE = ('/hold/', '/report/')
-PROMISES = frozenset((408, 421, 429, 503))
-DENIALS = frozenset((400, 401, 403, 404, 413, 431))
-ANSWERED = HTTPStatus.OK
-# Seconds in which a change of the table or of a server's entry is in force,
-# and one for a busy machine.
-IN_FORCE_S = 3.0
-# Seconds before a request in which a trouble may still have its effect.
-BEFORE_S = 3.0
-# Requests in a second at a cold server, by its rate: these times it, and some.
-COLD_OVER = 1.5
+NON_IDEMPOTENT = ('/hold/', '/report/')
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+PERMANENT_ERRORS = frozenset((400, 401, 403, 404, 413, 431))
+SUCCESS = HTTPStatus.OK
+# Seconds within which a change of the table or of a server's entry applies,
+# plus one for a busy machine.
+APPLY_S = 3.0
+# Seconds before a request within which a fault may still affect it.
+AFTERMATH_S = 3.0
+# Maximum requests in a second at a cold server: factor and slack over its rate.
+COLD_FACTOR = 1.5
 COLD_SLACK = 5
-# Requests in some seconds at a server that names a limit, likewise.
-LIMIT_S = 4.0
-LIMIT_OVER = 1.5
+# Maximum requests in a window at a limited server: window, factor and slack.
+LIMIT_WINDOW_S = 4.0
+LIMIT_FACTOR = 1.5
 LIMIT_SLACK = 5
 STORE = 'store'
 SERVERS = 'servers'
 STREAMS = ('/draft/', '/report/')
 COMPLETE = 'complete'
 ROLLED_BACK = 'rolled_back'
-# Bounds of the settings that a run leaves as they are, with those requests
-# that were on their way as the version was taken back.
+# Default settings of the routers; the slack includes requests that were in
+# flight when the version was rolled back.
 TRIAL_SHARE = 0.1
 TRIAL_SLACK = 24
 EVENT = re.compile(rb'id: (\d+)\ndata: (\S+) (\d+)\n\n')
 
 
-def at_most_once(found: seen.Seen) -> Iterator[str]:
-    """A hold or a report that may not be resumed runs once at most."""
-    for sent in found.sent:
-        runs = found.runs.get(sent.attempt_id, ())
-        if sent.path.startswith(ONCE) and len(runs) > 1:
+def at_most_once(observed: seen.Observations) -> Iterator[str]:
+    """A hold or a non-resumable report runs at most once."""
+    for sent in observed.sent:
+        runs = observed.runs.get(sent.attempt_id, ())
+        if sent.path.startswith(NON_IDEMPOTENT) and len(runs) > 1:
             where = [run.instance for run in runs]
             yield f'{sent.attempt_id} ran {len(runs)} times, on {where}'
 
 
-def not_run_is_true(found: seen.Seen) -> Iterator[str]:
-    """What is said not to have run has not run."""
-    for sent in found.sent:
-        is_once = sent.path.startswith(ONCE)
+def not_run_is_true(observed: seen.Observations) -> Iterator[str]:
+    """A non-idempotent request reported as "not run" has not run."""
+    for sent in observed.sent:
+        is_non_idempotent = sent.path.startswith(NON_IDEMPOTENT)
         if (
-            is_once
-            and sent.status in PROMISES
-            and sent.attempt_id in found.runs
+            is_non_idempotent
+            and sent.status in NOT_RUN_STATUSES
+            and sent.attempt_id in observed.runs
         ):
-            yield f'{sent.attempt_id} got {sent.status} and ran'
+            yield f'{sent.attempt_id} got {sent.status} but ran'
 
 
-def whole_own_answer(found: seen.Seen) -> Iterator[str]:
-    """An answer is the whole one of the server, to this very request."""
-    for sent in found.sent:
-        if sent.status != ANSWERED:
+def whole_own_answer(observed: seen.Observations) -> Iterator[str]:
+    """A success is a server's complete answer to this very request."""
+    for sent in observed.sent:
+        if sent.status != SUCCESS:
             continue
         seal = sent.headers.get(names.SEAL, '')
         if not seal.endswith(f'.{sent.attempt_id}'):
-            yield f'{sent.attempt_id} has the seal {seal!r}'
-        if not _is_whole(sent):
-            yield f'{sent.attempt_id} is not whole: {sent.answer!r}'
+            yield f'{sent.attempt_id} has the wrong seal {seal!r}'
+        if not _is_complete(sent):
+            yield f'{sent.attempt_id} is incomplete: {sent.answer!r}'
 
 
-def own_headers(found: seen.Seen) -> Iterator[str]:
+def own_headers(observed: seen.Observations) -> Iterator[str]:
     """A server gets the account of the key, and never the key."""
-    for runs in found.runs.values():
+    for runs in observed.runs.values():
         for run in runs:
             if run.account != platform_site.ACCOUNT:
-                yield f'{run.attempt_id} came as {run.account!r}'
+                yield f'{run.attempt_id} had the account {run.account!r}'
             if names.AUTHORIZATION in run.headers:
-                yield f'{run.attempt_id} came with its key'
+                yield f'{run.attempt_id} was forwarded with its key'
 
 
-def not_denied(found: seen.Seen) -> Iterator[str]:
-    """A proper request of a key in force is never refused for good."""
-    for sent in found.sent:
-        if sent.status in DENIALS and sent.key == platform_site.KEY:
-            yield f'{sent.attempt_id} got {sent.status} of {sent.router}'
+def not_denied(observed: seen.Observations) -> Iterator[str]:
+    """A valid request with a valid key never gets a permanent error."""
+    for sent in observed.sent:
+        if sent.status in PERMANENT_ERRORS and sent.key == platform_site.KEY:
+            yield f'{sent.attempt_id} got {sent.status} from {sent.router}'
 
 
-def revoked(found: seen.Seen) -> Iterator[str]:
-    """A key that was taken away is refused soon."""
-    if found.revoked_at is None:
+def revoked(observed: seen.Observations) -> Iterator[str]:
+    """A revoked key is refused within seconds."""
+    if observed.revoked_at is None:
         return
-    for sent in found.sent:
-        is_late = sent.began_at > found.revoked_at + IN_FORCE_S
+    for sent in observed.sent:
+        is_late = sent.began_at > observed.revoked_at + APPLY_S
         if (
             sent.key != site.REVOKED_KEY
-            or sent.status != ANSWERED
+            or sent.status != SUCCESS
             or not is_late
         ):
             continue
-        whats = frozenset((sent.router, STORE))
-        since = found.revoked_at - BEFORE_S
-        if not found.is_troubled(whats, since, sent.began_at):
-            yield f'{sent.attempt_id} was answered on a revoked key'
+        components = frozenset((sent.router, STORE))
+        since = observed.revoked_at - AFTERMATH_S
+        if not observed.had_fault(components, since, sent.began_at):
+            yield f'{sent.attempt_id} was answered with a revoked key'
 
 
-def drained(found: seen.Seen) -> Iterator[str]:
-    """A server that leaves gets no new request after a while."""
-    routers = frozenset(sent.router for sent in found.sent) | {STORE}
-    for runs in found.runs.values():
+def drained(observed: seen.Observations) -> Iterator[str]:
+    """A draining server soon gets no new requests."""
+    routers = frozenset(sent.router for sent in observed.sent) | {STORE}
+    for runs in observed.runs.values():
         for run in runs:
-            left_at = found.left_at.get(run.instance)
-            if left_at is None or run.at < left_at + IN_FORCE_S:
+            draining_since = observed.draining_since.get(run.instance)
+            if draining_since is None or run.at < draining_since + APPLY_S:
                 continue
-            if not found.is_troubled(routers, left_at - BEFORE_S, run.at):
-                yield f'{run.attempt_id} came to {run.instance}, which leaves'
-
-
-def evacuated(found: seen.Seen) -> Iterator[str]:
-    """No request comes to a zone that is evacuated, after a while."""
-    routers = frozenset(sent.router for sent in found.sent) | {STORE}
-    for closed in found.closed:
-        since = closed.began_at + IN_FORCE_S
-        for run in itertools.chain.from_iterable(found.runs.values()):
-            is_there = found.zones.get(run.instance) == closed.zone
+            if not observed.had_fault(
+                routers, draining_since - AFTERMATH_S, run.at
+            ):
+                yield f'{run.attempt_id} reached draining {run.instance}'
+
+
+def evacuated(observed: seen.Observations) -> Iterator[str]:
+    """An evacuated zone soon gets no new requests."""
+    routers = frozenset(sent.router for sent in observed.sent) | {STORE}
+    for closed in observed.closed:
+        since = closed.began_at + APPLY_S
+        for run in itertools.chain.from_iterable(observed.runs.values()):
+            is_there = observed.zones.get(run.instance) == closed.zone
             if not is_there or not since <= run.at < closed.ended_at:
                 continue
-            before = closed.began_at - BEFORE_S
-            if not found.is_troubled(routers, before, run.at):
-                yield f'{run.attempt_id} came to {run.instance}, evacuated'
+            before = closed.began_at - AFTERMATH_S
+            if not observed.had_fault(routers, before, run.at):
+                yield f'{run.attempt_id} reached evacuated {run.instance}'
 
 
-def cold(found: seen.Seen) -> Iterator[str]:
-    """A server that has just started gets no more than it bears."""
-    most = site.COLD_PER_S * COLD_OVER + COLD_SLACK
-    for instance, until in found.cold_until.items():
+def cold(observed: seen.Observations) -> Iterator[str]:
+    """A server that has just started gets no more than it can serve."""
+    maximum = site.COLD_PER_S * COLD_FACTOR + COLD_SLACK
+    for instance, until in observed.cold_until.items():
         times = sorted(
             run.at
-            for run in itertools.chain.from_iterable(found.runs.values())
+            for run in itertools.chain.from_iterable(observed.runs.values())
             if run.instance == instance and run.at < until
         )
         for at in times:
             count = sum(at <= each <= at + 1 for each in times)
-            if count > most:
-                yield f'{instance} got {count} requests in a second, cold'
+            if count > maximum:
+                yield f'cold {instance} got {count} requests in a second'
                 break
 
 
-def limited(found: seen.Seen) -> Iterator[str]:
-    """A server that names a limit gets no more from all routers together.
+def limited(observed: seen.Observations) -> Iterator[str]:
+    """All routers together stay within the limit of a server.
 
-    A router that was restarted, frozen or cut off a moment before counts for
-    nothing.
+    Requests of a router that was restarted, frozen or cut off just before are
+    not counted.
     """
-    for instance, came in found.limited.items():
-        since = came[0].at + BEFORE_S if came else 0
+    for instance, received in observed.limited.items():
+        since = received[0].at + AFTERMATH_S if received else 0
         times = [
             each.at
-            for each in came
-            if each.at >= since and not _is_excused(found, each)
+            for each in received
+            if each.at >= since and not _is_excused(observed, each)
         ]
         for at in times:
-            count = sum(at <= each < at + LIMIT_S for each in times)
-            most = LIMIT_OVER * site.LIMIT_PER_S * LIMIT_S + LIMIT_SLACK
-            if count > most:
-                yield f'{instance} got {count} requests, at its limit'
+            count = sum(at <= each < at + LIMIT_WINDOW_S for each in times)
+            maximum = (
+                LIMIT_FACTOR * site.LIMIT_PER_S * LIMIT_WINDOW_S + LIMIT_SLACK
+            )
+            if count > maximum:
+                yield f'limited {instance} got {count} requests'
                 break
 
 
-def left_alone(found: seen.Seen) -> Iterator[str]:
+def left_alone(observed: seen.Observations) -> Iterator[str]:
     """No router sends requests to a server that told it that it leaves.
 
-    Nothing but a restart or a freeze of that router is an excuse.
+    The only exceptions are restarts and freezes of that router.
     """
-    for (instance, router), came in found.arrivals.items():
-        whats = frozenset((freeze_of(router), restart_of(router)))
-        for breach in server_rules.after_leaving(came, IN_FORCE_S):
-            if not found.is_troubled(whats, breach.said_at, breach.at):
-                yield f'{breach.attempt_id} came to {instance}, which left'
-
-
-def backed_off(found: seen.Seen) -> Iterator[str]:
-    """No router sends much to a server that refused it for a while."""
-    for (instance, router), came in found.arrivals.items():
-        whats = frozenset((router, restart_of(router)))
-        for breach in server_rules.during_backoff(came):
-            if not found.is_troubled(whats, breach.said_at, breach.at):
-                yield f'{breach.attempt_id} came too soon to {instance}'
-
-
-def not_cut(found: seen.Seen) -> Iterator[str]:
-    """No request breaks off but by a kill, a freeze, a server or its link.
-
-    A planned stop and a reload cut nothing. A request that crosses the close
-    of a kept connection and is not passed on may be sent again.
+    for (instance, router), received in observed.arrivals.items():
+        components = frozenset((freeze_of(router), restart_of(router)))
+        for violation in server_rules.after_leaving(received, APPLY_S):
+            if not observed.had_fault(
+                components, violation.said_at, violation.at
+            ):
+                yield f'{violation.attempt_id} reached leaving {instance}'
+
+
+def backed_off(observed: seen.Observations) -> Iterator[str]:
+    """Routers respect the backoff of a server that refused a request."""
+    for (instance, router), received in observed.arrivals.items():
+        components = frozenset((router, restart_of(router)))
+        for violation in server_rules.during_backoff(received):
+            if not observed.had_fault(
+                components, violation.said_at, violation.at
+            ):
+                yield f'{violation.attempt_id} reached {instance} too soon'
+
+
+def not_cut(observed: seen.Observations) -> Iterator[str]:
+    """Only a fault of its router, or of any server, cuts a request.
+
+    A planned stop and a reload cut nothing. A request that crosses the close of
+    a kept-alive connection and is not forwarded may be sent again.
     """
-    for sent in found.sent:
+    for sent in observed.sent:
         if not sent.failure or sent.is_unsent:
             continue
-        if sent.attempt_id not in found.runs and 'timeout' not in sent.failure:
+        if (
+            sent.attempt_id not in observed.runs
+            and 'timeout' not in sent.failure
+        ):
             continue
-        whats = frozenset((sent.router, SERVERS))
-        since = sent.began_at - BEFORE_S
-        if not found.is_troubled(whats, since, sent.ended_at):
+        components = frozenset((sent.router, SERVERS))
+        since = sent.began_at - AFTERMATH_S
+        if not observed.had_fault(components, since, sent.ended_at):
             yield f'{sent.attempt_id} was cut by {sent.router}: {sent.failure}'
 
 
-def answered_in_time(found: seen.Seen) -> Iterator[str]:
-    """No request hangs, unless its router stood still or was killed."""
-    for sent in found.sent:
-        if sent.ended_at - sent.began_at < callers.HANGS_S:
+def answered_in_time(observed: seen.Observations) -> Iterator[str]:
+    """No request hangs, unless its router had a fault."""
+    for sent in observed.sent:
+        if sent.ended_at - sent.began_at < callers.HANG_S:
             continue
-        whats = frozenset((sent.router,))
-        if not found.is_troubled(whats, sent.began_at, sent.ended_at):
+        components = frozenset((sent.router,))
+        if not observed.had_fault(components, sent.began_at, sent.ended_at):
             yield f'{sent.attempt_id} hung at {sent.router}'
 
 
-def rolled_out(found: seen.Seen) -> Iterator[str]:
-    """A bad version is never completed, and gets no more than its share."""
-    ordered = found.ordered
-    if ordered is None or not ordered.is_bad:
+def rolled_out(observed: seen.Observations) -> Iterator[str]:
+    """A bad version never completes, and gets no more than its share."""
+    rollout_result = observed.rollout_result
+    if rollout_result is None or not rollout_result.is_bad:
         return
-    if ordered.state == COMPLETE:
+    if rollout_result.state == COMPLETE:
         yield 'a bad version was completed'
     tried = sum(
-        run.instance in ordered.instances
-        for runs in found.runs.values()
+        run.instance in rollout_result.instances
+        for runs in observed.runs.values()
         for run in runs
     )
     asked = sum(
         sent.path.startswith(STREAMS)
-        and ordered.began_at <= sent.began_at <= ordered.ended_at
-        for sent in found.sent
+        and rollout_result.began_at <= sent.began_at <= rollout_result.ended_at
+        for sent in observed.sent
     )
-    most = TRIAL_SHARE * asked + TRIAL_SLACK
-    if tried > most:
+    maximum = TRIAL_SHARE * asked + TRIAL_SLACK
+    if tried > maximum:
         yield f'a bad version got {tried} requests of {asked}'
 
 
-def rolled_out_good(found: seen.Seen) -> Iterator[str]:
-    """A good version is not taken back while nothing else is wrong."""
-    ordered = found.ordered
-    if ordered is None or ordered.is_bad or ordered.state != ROLLED_BACK:
+def rolled_out_good(observed: seen.Observations) -> Iterator[str]:
+    """A good version is not rolled back while nothing else fails."""
+    rollout_result = observed.rollout_result
+    if (
+        rollout_result is None
+        or rollout_result.is_bad
+        or rollout_result.state != ROLLED_BACK
+    ):
         return
-    whats = frozenset((SERVERS, STORE))
-    if not found.is_troubled(whats, ordered.began_at, ordered.ended_at):
-        yield 'a good version was taken back'
+    components = frozenset((SERVERS, STORE))
+    if not observed.had_fault(
+        components, rollout_result.began_at, rollout_result.ended_at
+    ):
+        yield 'a good version was rolled back'
 
 
-CHECKS: tuple[Callable[[seen.Seen], Iterator[str]], ...] = (
+CHECKS: tuple[Callable[[seen.Observations], Iterator[str]], ...] = (
     at_most_once,
     not_run_is_true,
     whole_own_answer,
@@ -272,37 +290,39 @@
 )
 
 
-def breaches(found: seen.Seen) -> list[str]:
-    """Return all breaches, each with the name of its check."""
+def violations(observed: seen.Observations) -> list[str]:
+    """Return all violations, each with the name of its check."""
     return [
-        f'{check.__name__}: {breach}'
+        f'{check.__name__}: {violation}'
         for check in CHECKS
-        for breach in check(found)
+        for violation in check(observed)
     ]
 
 
 def restart_of(router: str) -> str:
-    """Return what names the restarts of a router among the troubles."""
+    """Return the component name for restarts of a router."""
     return f'{router} restarts'
 
 
 def freeze_of(router: str) -> str:
-    """Return what names the freezes of a router among the troubles."""
+    """Return the component name for freezes of a router."""
     return f'{router} freezes'
 
 
-def _is_excused(found: seen.Seen, came: seen.Came) -> bool:
-    whats = frozenset((came.router, restart_of(came.router)))
-    return found.is_troubled(whats, came.at - BEFORE_S, came.at)
+def _is_excused(
+    observed: seen.Observations, arrival: seen.LimitedArrival
+) -> bool:
+    components = frozenset((arrival.router, restart_of(arrival.router)))
+    return observed.had_fault(components, arrival.at - AFTERMATH_S, arrival.at)
 
 
-def _is_whole(sent: seen.Sent) -> bool:
+def _is_complete(sent: seen.Sent) -> bool:
     if sent.path.startswith(('/lookup', '/hold')):
         method = 'POST' if sent.body else 'GET'
         return sent.answer == f'{method} {sent.path}'.encode() + sent.body
     events = EVENT.findall(sent.answer)
     numbers = [int(number) for number, _, _ in events]
     models = {model for _, model, _ in events}
-    are_all = numbers == list(range(1, site.EVENTS + 1))
+    has_all_events = numbers == list(range(1, site.EVENTS + 1))
     rest = EVENT.sub(b'', sent.answer)
-    return are_all and len(models) == 1 and not rest
+    return has_all_events and len(models) == 1 and not rest
--- a/beryllug/soak/inject.py
+++ b/beryllug/soak/inject.py
@@ -1,4 +1,4 @@
-"""Brings about one fault of a plan, and its end."""
+"""Injects a fault of a plan, and ends it."""
 
 import asyncio
 import contextlib
@@ -15,62 +15,64 @@
 )
 
 Kind = plan.Kind
-# Seconds that a process is gone before it starts again.
+# Seconds that a process is down before it is restarted.
 RESTART_S = 0.3
-# Seconds that a server which leaves goes on, beyond what it owes.
-LINGER_S = 1.5
-# Seconds between a copy of the store and its loss, and from its return until
-# operator and servers have written again.
-COPY_S = 1.5
-REWRITTEN_S = 1.0
+# Seconds that a leaving server runs beyond the time that it must.
+EXTRA_RUN_S = 1.5
+# Seconds between a copy of the store and its outage, and from its restore until
+# operator and servers rewrite their data.
+COPY_AGE_S = 1.5
+REWRITE_DELAY_S = 1.0
 DELAY_S = 0.08
 SLOW_S = 0.3
-SHARE = 0.4
-# Seconds for which a server that refuses wants nothing.
+ERROR_RATE = 0.4
+# Backoff in seconds that a refusing server asks for.
 BACKOFF_S = 2.0
-# What servers state for a while.
-LIMITED = platform_runner.Statement(limit_per_s=site.LIMIT_PER_S)
-REFUSING = platform_runner.Statement(retry_after_s=BACKOFF_S)
-# A roll-out: seconds in which it is to be done, its version, and the share
-# of a bad one's answers that fail.
+# Statements in the answers of servers.
+LIMIT_STATEMENT = platform_runner.Statement(limit_per_s=site.LIMIT_PER_S)
+BACKOFF_STATEMENT = platform_runner.Statement(retry_after_s=BACKOFF_S)
+# A roll-out: its duration in seconds, its version, and the fraction of answers
+# of a bad version that are errors.
 ROLLOUT = 'rollout'
 ROLLOUT_S = 10
 VERSION = 'v2'
-BAD_SHARE = 0.5
+BAD_ERROR_RATE = 0.5
 
 
 class Injector:
     """Injects the faults of a plan into a deployment."""
 
-    def __init__(self, made: site.SoakSite) -> None:
-        """Begin with nothing wrong."""
-        self._made = made
+    def __init__(self, deployment: site.SoakSite) -> None:
+        """Start without faults."""
+        self._deployment = deployment
         self._busy: set[str] = set()
 
     async def inject(self, fault: plan.Fault) -> None:
-        """Bring a fault about, and end it."""
-        for kinds, hit in (
-            (plan.OF_ROUTERS, self._hit_router),
-            (plan.OF_LINKS, self._hit_way),
-            (plan.OF_STORE, self._hit_store),
+        """Inject a fault, wait for its duration, and end it."""
+        for kinds, inject_fault in (
+            (plan.ROUTER_FAULTS, self._inject_router),
+            (plan.STORE_LINK_FAULTS, self._inject_store_link),
+            (plan.STORE_FAULTS, self._inject_store),
             (plan.ROLLOUTS, self._roll_out),
-            (plan.CHANGES, self._change),
-            (plan.OF_ZONES, self._evacuate),
-            (plan.OF_SERVERS, self._hit_server),
+            (plan.TABLE_CHANGES, self._change),
+            (plan.ZONE_FAULTS, self._evacuate),
+            (plan.SERVER_FAULTS, self._inject_server),
         ):
             if fault.kind in kinds:
-                await hit(fault)
+                await inject_fault(fault)
 
     @contextlib.asynccontextmanager
-    async def _trouble(self, *whats: str) -> AsyncIterator[None]:
+    async def _record_fault(self, *components: str) -> AsyncIterator[None]:
         began_at = time.monotonic()
         try:
             yield
         finally:
-            self._made.note(whats, began_at, time.monotonic())
+            self._deployment.record_fault(
+                components, began_at, time.monotonic()
+            )
 
-    async def _hit_router(self, fault: plan.Fault) -> None:
-        router = self._made.site.routers[fault.target]
+    async def _inject_router(self, fault: plan.Fault) -> None:
+        router = self._deployment.site.routers[fault.target]
         if router.name in self._busy:
             return
         self._busy.add(router.name)
@@ -82,91 +84,95 @@
     async def _signal(
         self, fault: plan.Fault, router: platform_site.Router
     ) -> None:
-        running = self._made.running
+        running = self._deployment.running
         match fault.kind:
             case Kind.RELOAD:
                 running.signal(router.name, signal.SIGHUP)
             case Kind.FREEZE:
                 freeze = checks.freeze_of(router.name)
-                async with self._trouble(router.name, freeze):
+                async with self._record_fault(router.name, freeze):
                     running.freeze(router.name)
                     await asyncio.sleep(fault.for_s)
                     running.thaw(router.name)
             case Kind.STOP:
                 await running.terminate(router.name)
-                await self._start_again(router)
+                await self._restart(router)
             case _:
-                async with self._trouble(router.name):
+                async with self._record_fault(router.name):
                     await running.kill(router.name)
-                    await self._start_again(router)
+                    await self._restart(router)
 
-    async def _start_again(self, router: platform_site.Router) -> None:
-        async with self._trouble(checks.restart_of(router.name)):
+    async def _restart(self, router: platform_site.Router) -> None:
+        async with self._record_fault(checks.restart_of(router.name)):
             await asyncio.sleep(RESTART_S)
-            await self._made.site.respawn(self._made.running, router)
+            await self._deployment.site.respawn(
+                self._deployment.running, router
+            )
             await asyncio.sleep(RESTART_S)
 
-    async def _hit_way(self, fault: plan.Fault) -> None:
-        way = self._made.store_ways[fault.target]
-        router = self._made.site.routers[fault.target]
-        async with self._trouble(router.name):
+    async def _inject_store_link(self, fault: plan.Fault) -> None:
+        store_proxy = self._deployment.store_proxies[fault.target]
+        router = self._deployment.site.routers[fault.target]
+        async with self._record_fault(router.name):
             match fault.kind:
                 case Kind.STORE_SILENT:
-                    way.silence()
+                    store_proxy.silence()
                 case Kind.STORE_HALF_CUT:
-                    way.link.is_cut_down = True
+                    store_proxy.link.is_cut_down = True
                 case _:
-                    way.link.is_cut_up = True
-                    way.link.is_cut_down = True
+                    store_proxy.link.is_cut_up = True
+                    store_proxy.link.is_cut_down = True
             await asyncio.sleep(fault.for_s)
-            way.link.is_cut_up = False
-            way.link.is_cut_down = False
+            store_proxy.link.is_cut_up = False
+            store_proxy.link.is_cut_down = False
 
-    async def _hit_store(self, fault: plan.Fault) -> None:
-        async with self._trouble(checks.STORE):
+    async def _inject_store(self, fault: plan.Fault) -> None:
+        async with self._record_fault(checks.STORE):
             match fault.kind:
                 case Kind.STORE_FORGETS:
-                    self._made.site.store_party.compact()
+                    self._deployment.site.store_party.compact()
                 case Kind.STORE_RETURNS:
-                    await _return_store(self._made)
+                    await _restore_store(self._deployment)
                 case Kind.STORE_DOWN:
-                    self._made.put_store_faults(refuse=True)
+                    self._deployment.put_store_faults(refuse=True)
                 case Kind.STORE_SLOW:
-                    self._made.put_store_faults(answer_delay_s=SLOW_S)
+                    self._deployment.put_store_faults(answer_delay_s=SLOW_S)
                 case _:
-                    self._made.put_store_faults(drop_answer=True)
+                    self._deployment.put_store_faults(drop_answer=True)
             await asyncio.sleep(fault.for_s)
-            self._made.put_store_faults()
+            self._deployment.put_store_faults()
 
     async def _change(self, fault: plan.Fault) -> None:
-        made = self._made
-        if fault.kind is Kind.KEY and made.seen.revoked_at is None:
-            made.seen.revoked_at = time.monotonic()
-        made.put_table()
+        deployment = self._deployment
+        if fault.kind is Kind.KEY and deployment.seen.revoked_at is None:
+            deployment.seen.revoked_at = time.monotonic()
+        deployment.put_table()
 
     async def _roll_out(self, fault: plan.Fault) -> None:
-        """Order a new version of the model runners; once in a run."""
+        """Order a new version of the model runners, once per run."""
         if ROLLOUT in self._busy:
             return
         self._busy.add(ROLLOUT)
-        made = self._made
+        deployment = self._deployment
         is_bad = fault.kind is Kind.BAD_VERSION
-        error_rate = BAD_SHARE if is_bad else 0
+        error_rate = BAD_ERROR_RATE if is_bad else 0
         instances = [
-            await made.add_server(0, version=VERSION, error_rate=error_rate)
+            await deployment.add_server(
+                0, version=VERSION, error_rate=error_rate
+            )
             for _ in range(2)
         ]
         began_at = time.monotonic()
-        service = made.service(0)
+        service = deployment.service(0)
         order = {
             'service': service,
             'target': VERSION,
             'duration_s': ROLLOUT_S,
         }
-        made.site.store_party.put(store.ROLLOUTS, service, order)
+        deployment.site.store_party.put(store.ROLLOUTS, service, order)
         await asyncio.sleep(ROLLOUT_S)
-        status = made.site.store_party.status(store.ROLLOUTS, service)
-        made.seen.ordered = seen.Ordered(
+        status = deployment.site.store_party.status(store.ROLLOUTS, service)
+        deployment.seen.rollout_result = seen.RolloutResult(
             is_bad,
             began_at,
             time.monotonic(),
@@ -174,145 +180,157 @@
             frozenset(instances),
         )
 
-    async def _hit_server(self, fault: plan.Fault) -> None:
-        instance = self._made.present[fault.target]
+    async def _inject_server(self, fault: plan.Fault) -> None:
+        instance = self._deployment.present[fault.target]
         if instance in self._busy:
             return
         self._busy.add(instance)
         try:
             match fault.kind:
                 case Kind.SERVER_LEAVES:
-                    self._made.put_entry(fault.target, instance, 'draining')
-                    self._made.seen.left_at[instance] = time.monotonic()
+                    self._deployment.put_entry(
+                        fault.target, instance, 'draining'
+                    )
+                    self._deployment.seen.draining_since[instance] = (
+                        time.monotonic()
+                    )
                     await self._leave(fault.target, instance)
                 case Kind.SERVER_STATES_LEAVING:
                     await self._leave(fault.target, instance)
                 case Kind.SERVER_COLD:
-                    await self._return_cold(fault.target, instance)
+                    await self._replace_by_cold(fault.target, instance)
                 case Kind.SERVER_LIMITED:
-                    # Longer than it takes to be known.
-                    seconds = checks.IN_FORCE_S + checks.LIMIT_S + fault.for_s
-                    await self._state(instance, seconds, LIMITED)
+                    # Longer than it takes to propagate.
+                    seconds = (
+                        checks.APPLY_S + checks.LIMIT_WINDOW_S + fault.for_s
+                    )
+                    await self._make_statement(
+                        instance, seconds, LIMIT_STATEMENT
+                    )
                 case Kind.SERVER_BACKS_OFF:
-                    await self._state(instance, fault.for_s, REFUSING)
+                    await self._make_statement(
+                        instance, fault.for_s, BACKOFF_STATEMENT
+                    )
                 case _:
-                    await self._break(fault, instance)
+                    await self._break_server(fault, instance)
         finally:
             self._busy.discard(instance)
 
     async def _leave(self, number: int, instance: str) -> None:
-        """Let a server say that it leaves; its entry may still say ready."""
-        made = self._made
-        runner = made.site.runners[instance]
+        """Let a server announce that it leaves; its entry may be ready."""
+        deployment = self._deployment
+        runner = deployment.site.runners[instance]
         runner.states = runner.states._replace(is_leaving=True)
-        made.present[number] = await made.add_server(number)
-        await asyncio.sleep(checks.IN_FORCE_S + LINGER_S)
-        made.site.store_party.drop(store.SERVERS, instance)
-        await asyncio.sleep(LINGER_S)
-        # Requests that still run there have had all of their time.
-        async with self._trouble(checks.SERVERS):
-            made.put_faults(instance, refuse=True)
+        deployment.present[number] = await deployment.add_server(number)
+        await asyncio.sleep(checks.APPLY_S + EXTRA_RUN_S)
+        deployment.site.store_party.drop(store.SERVERS, instance)
+        await asyncio.sleep(EXTRA_RUN_S)
+        # Requests that still run there are past their deadlines.
+        async with self._record_fault(checks.SERVERS):
+            deployment.put_faults(instance, refuse=True)
 
-    async def _state(
+    async def _make_statement(
         self,
         instance: str,
         seconds: float,
         states: platform_runner.Statement,
     ) -> None:
-        """Let a server's answers state something of it for a while."""
-        runner = self._made.site.runners[instance]
+        """Let a server's answers state something for some seconds."""
+        runner = self._deployment.site.runners[instance]
         runner.states = states
         await asyncio.sleep(seconds)
         runner.states = platform_runner.Statement()
 
-    async def _return_cold(self, number: int, instance: str) -> None:
-        """Let a server crash; another one is there for it at once, cold."""
-        made = self._made
-        async with self._trouble(checks.SERVERS):
-            made.put_faults(instance, refuse=True)
-            made.server_ways[instance].reset()
-            made.site.store_party.drop(store.SERVERS, instance)
-            made.present[number] = await made.add_server(
+    async def _replace_by_cold(self, number: int, instance: str) -> None:
+        """Crash a server and replace it at once by a cold one."""
+        deployment = self._deployment
+        async with self._record_fault(checks.SERVERS):
+            deployment.put_faults(instance, refuse=True)
+            deployment.server_proxies[instance].reset()
+            deployment.site.store_party.drop(store.SERVERS, instance)
+            deployment.present[number] = await deployment.add_server(
                 number, cold_s=site.COLD_S
             )
             await asyncio.sleep(RESTART_S)
 
     async def _evacuate(self, fault: plan.Fault) -> None:
-        """Have a zone evacuated, for longer than it takes to be in force."""
-        made = self._made
+        """Evacuate a zone for longer than the order takes to apply."""
+        deployment = self._deployment
         zone = site.ZONES[-1]
         if zone in self._busy:
             return
         self._busy.add(zone)
         began_at = time.monotonic()
-        made.site.store_party.put(store.EVACUATIONS, zone, {})
-        await asyncio.sleep(checks.IN_FORCE_S + fault.for_s)
+        deployment.site.store_party.put(store.EVACUATIONS, zone, {})
+        await asyncio.sleep(checks.APPLY_S + fault.for_s)
         ended_at = time.monotonic()
-        made.site.store_party.drop(store.EVACUATIONS, zone)
-        made.seen.closed.append(seen.Closed(zone, began_at, ended_at))
+        deployment.site.store_party.drop(store.EVACUATIONS, zone)
+        deployment.seen.closed.append(seen.Evacuation(zone, began_at, ended_at))
         self._busy.discard(zone)
 
-    async def _break(self, fault: plan.Fault, instance: str) -> None:
-        made = self._made
-        way = made.server_ways[instance]
-        async with self._trouble(checks.SERVERS):
+    async def _break_server(self, fault: plan.Fault, instance: str) -> None:
+        deployment = self._deployment
+        server_proxy = deployment.server_proxies[instance]
+        async with self._record_fault(checks.SERVERS):
             match fault.kind:
                 case Kind.SERVER_CRASH:
-                    made.site.stand_ins[instance].crash()
-                    way.reset()
+                    deployment.site.stand_ins[instance].crash()
+                    server_proxy.reset()
                 case Kind.SERVER_RESETS:
-                    made.put_faults(instance, reset_before_run=True, times=4)
+                    deployment.put_faults(
+                        instance, reset_before_run=True, times=4
+                    )
                 case Kind.SERVER_LOSES:
-                    made.put_faults(instance, drop_answer=True, times=4)
+                    deployment.put_faults(instance, drop_answer=True, times=4)
                 case Kind.SERVER_FAILS:
-                    made.put_faults(instance, error_rate=SHARE)
+                    deployment.put_faults(instance, error_rate=ERROR_RATE)
                 case Kind.SERVER_SLOW:
-                    made.put_faults(instance, delay_s=SLOW_S)
+                    deployment.put_faults(instance, delay_s=SLOW_S)
                 case Kind.SERVER_CUT:
-                    way.link.is_cut_down = True
+                    server_proxy.link.is_cut_down = True
                 case Kind.SERVER_SILENT:
-                    way.silence()
+                    server_proxy.silence()
                 case _:
-                    way.link.delay_s = DELAY_S
+                    server_proxy.link.delay_s = DELAY_S
             await asyncio.sleep(fault.for_s)
-            made.put_faults(instance)
-            way.link.is_cut_down = False
-            way.link.delay_s = 0
+            deployment.put_faults(instance)
+            server_proxy.link.is_cut_down = False
+            server_proxy.link.delay_s = 0
 
 
-async def _return_store(made: site.SoakSite) -> None:
-    """Let the store return from a copy, and be written again later."""
-    party = made.site.store_party
+async def _restore_store(deployment: site.SoakSite) -> None:
+    """Restore the store from a copy, and rewrite newer data later."""
+    party = deployment.site.store_party
     copy = party.copy()
-    await asyncio.sleep(COPY_S)
-    made.put_store_faults(refuse=True)
+    await asyncio.sleep(COPY_AGE_S)
+    deployment.put_store_faults(refuse=True)
     await asyncio.sleep(RESTART_S)
     written = party.copy()
     party.return_from(copy)
-    made.put_store_faults()
-    await asyncio.sleep(REWRITTEN_S)
-    _write_again(party, written, copy.revision)
+    deployment.put_store_faults()
+    await asyncio.sleep(REWRITE_DELAY_S)
+    _rewrite(party, written, copy.revision)
 
 
-def _write_again(
+def _rewrite(
     party: platform_store.PlatformStore,
     before: platform_store.Copy,
-    returned_at: int,
+    restored_revision: int,
 ) -> None:
-    """Write what operator and servers had written before a return.
+    """Rewrite what operator and servers had written before a restore.
 
-    What they have written or removed since stands.
+    Objects that they have written or removed since then are left alone.
 
     Args:
         party: The store.
-        before: What it held before.
-        returned_at: Revision that it returned to.
+        before: Its content before the restore.
+        restored_revision: Revision that was restored.
     """
     present = party.copy().stored
     since = {
         (each.kind, each.name)
         for each in party.history
-        if each.revision > returned_at
+        if each.revision > restored_revision
     }
     for key in sorted((before.stored.keys() | present.keys()) - since):
         shown = before.stored.get(key)
--- a/beryllug/soak/plan.py
+++ b/beryllug/soak/plan.py
@@ -1,19 +1,20 @@
-"""The series of faults that a seed draws."""
+"""The series of faults that is determined by a seed."""
 
 import random
 from enum import StrEnum
 from typing import NamedTuple
 
-# Seconds in which faults begin, and the longest that one lasts.
-LENGTH_S = 8.0
-LEAST_S = 0.3
-MOST_S = 3.0
-FEWEST = 6
-MOST = 14
+# Seconds within which faults begin, the shortest and longest duration of a
+# fault, and the smallest and largest number of faults.
+LAST_START_S = 8.0
+MIN_DURATION_S = 0.3
+MAX_DURATION_S = 3.0
+MIN_FAULTS = 6
+MAX_FAULTS = 14
 
 
 class Kind(StrEnum):
-    """What happens; to a router, its path to the store, or a server."""
+    """What happens to a router, its connection to the store, or a server."""
 
     STOP = 'stop'
     KILL = 'kill'
@@ -47,10 +48,12 @@
     ZONE_EVACUATED = 'zone_evacuated'
 
 
-# Faults of routers, of the store for one router, and of servers.
-OF_ROUTERS = frozenset((Kind.STOP, Kind.KILL, Kind.FREEZE, Kind.RELOAD))
-OF_LINKS = frozenset((Kind.STORE_CUT, Kind.STORE_HALF_CUT, Kind.STORE_SILENT))
-OF_STORE = frozenset(
+# Faults of routers, and of the connection of one router to the store.
+ROUTER_FAULTS = frozenset((Kind.STOP, Kind.KILL, Kind.FREEZE, Kind.RELOAD))
+STORE_LINK_FAULTS = frozenset(
+    (Kind.STORE_CUT, Kind.STORE_HALF_CUT, Kind.STORE_SILENT)
+)
+STORE_FAULTS = frozenset(
     (
         Kind.STORE_DOWN,
         Kind.STORE_SLOW,
@@ -60,20 +63,22 @@
     )
 )
 ROLLOUTS = frozenset((Kind.GOOD_VERSION, Kind.BAD_VERSION))
-CHANGES = frozenset((Kind.TABLE, Kind.KEY))
-OF_ZONES = frozenset((Kind.ZONE_EVACUATED,))
-OF_ALL = OF_STORE | ROLLOUTS | CHANGES | OF_ZONES
-OF_SERVERS = frozenset(Kind) - OF_ROUTERS - OF_LINKS - OF_ALL
+TABLE_CHANGES = frozenset((Kind.TABLE, Kind.KEY))
+ZONE_FAULTS = frozenset((Kind.ZONE_EVACUATED,))
+UNTARGETED_FAULTS = STORE_FAULTS | ROLLOUTS | TABLE_CHANGES | ZONE_FAULTS
+SERVER_FAULTS = (
+    frozenset(Kind) - ROUTER_FAULTS - STORE_LINK_FAULTS - UNTARGETED_FAULTS
+)
 
 
 class Fault(NamedTuple):
     """One fault.
 
     Attributes:
-        at_s: Seconds after the begin.
+        at_s: Seconds after the start of the run.
         kind: What happens.
-        target: Number of the router or server that it hits.
-        for_s: How long it lasts, where it does.
+        target: Number of the router or server that is affected.
+        for_s: Its duration in seconds, if it has one.
     """
 
     at_s: float
@@ -83,7 +88,7 @@
 
 
 class Sizes(NamedTuple):
-    """How many routers and backend servers there are."""
+    """Numbers of routers and backend servers."""
 
     routers: int = 3
     models: int = 3
@@ -96,20 +101,23 @@
 
 
 def draw(seed: int, sizes: Sizes) -> tuple[Fault, ...]:
-    """Return the faults of a seed, in their order."""
+    """Return the faults of a seed, ordered by time."""
     rng = random.Random(seed)
-    faults = [_draw_one(rng, sizes) for _ in range(rng.randint(FEWEST, MOST))]
+    faults = [
+        _draw_one(rng, sizes)
+        for _ in range(rng.randint(MIN_FAULTS, MAX_FAULTS))
+    ]
     return tuple(sorted(faults))
 
 
 def _draw_one(rng: random.Random, sizes: Sizes) -> Fault:
     kind = rng.choice(list(Kind))
     targets = sizes.servers
-    if kind in OF_ROUTERS | OF_LINKS:
+    if kind in ROUTER_FAULTS | STORE_LINK_FAULTS:
         targets = sizes.routers
     return Fault(
-        round(rng.uniform(0, LENGTH_S), 2),
+        round(rng.uniform(0, LAST_START_S), 2),
         kind,
-        0 if kind in OF_ALL else rng.randrange(targets),
-        round(rng.uniform(LEAST_S, MOST_S), 2),
+        0 if kind in UNTARGETED_FAULTS else rng.randrange(targets),
+        round(rng.uniform(MIN_DURATION_S, MAX_DURATION_S), 2),
     )
--- a/beryllug/soak/proxy.py
+++ b/beryllug/soak/proxy.py
@@ -1,11 +1,11 @@
-"""A proxy on loopback whose connections can be delayed, silenced and reset."""
+"""A loopback proxy whose connections can be delayed, stalled and reset."""
 
 import asyncio
 import contextlib
 from dataclasses import dataclass, field
 
 CHUNK = 65536
-# Seconds between two looks at whether a link that is cut is whole again.
+# Interval at which a connection that is held back checks its link.
 POLL_S = 0.01
 
 
@@ -14,9 +14,9 @@
     """What a proxy does to its connections.
 
     Attributes:
-        delay_s: Seconds that bytes take longer, in each direction.
-        is_cut_up: Whether bytes to the server are held up.
-        is_cut_down: Whether bytes from the server are held up.
+        delay_s: Seconds by which bytes are delayed, in each direction.
+        is_cut_up: Whether bytes to the server are held back.
+        is_cut_down: Whether bytes from the server are held back.
     """
 
     delay_s: float = 0.0
@@ -26,22 +26,22 @@
 
 @dataclass(slots=True, eq=False)
 class _Pair:
-    """Both sides of a connection; a silent one passes nothing more on."""
+    """Both sides of a connection; a silent pair forwards nothing more."""
 
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     is_silent: bool = False
 
 
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
     Attributes:
-        address: Where it listens, as ``ip:port``.
-        link: What it does to connections now.
+        address: The address on which it listens, as ``ip:port``.
+        link: What it currently does to connections.
     """
 
     def __init__(self, target: str) -> None:
-        """Make a proxy to a target; `start` opens it."""
+        """Create a proxy to a target; `start` opens it."""
         self.address = ''
         self.link = Link()
         self._target = target
@@ -50,7 +50,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str) -> str:
-        """Listen and return the address."""
+        """Listen, and return the address."""
         self._server = await asyncio.start_server(self._accept, host, 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f'{host}:{port}'
@@ -66,12 +66,12 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def reset(self) -> None:
-        """Cut all present connections."""
+        """Reset all current connections."""
         for pair in list(self._pairs):
             _abort(pair)
 
     def silence(self) -> None:
-        """Let all present connections pass nothing more, without a reset."""
+        """Stall all current connections without a reset."""
         for pair in self._pairs:
             pair.is_silent = True
 
@@ -88,34 +88,40 @@
         pair = _Pair([writer])
         self._pairs.add(pair)
         try:
-            await self._join(pair, reader, writer)
+            await self._forward_both(pair, reader, writer)
         except OSError:
-            # The server refuses, or one side broke off: so does the other.
+            # If the server refuses or one side fails, the other is closed, too.
             return
         finally:
             _abort(pair)
             self._pairs.discard(pair)
 
-    async def _join(
+    async def _forward_both(
         self,
         pair: _Pair,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         host, _, port = self._target.rpartition(':')
-        far_reader, far_writer = await asyncio.open_connection(host, int(port))
-        pair.writers.append(far_writer)
-        ways = (
-            asyncio.create_task(self._pass(pair, reader, far_writer, True)),
-            asyncio.create_task(self._pass(pair, far_reader, writer, False)),
+        server_reader, server_writer = await asyncio.open_connection(
+            host, int(port)
+        )
+        pair.writers.append(server_writer)
+        directions = (
+            asyncio.create_task(
+                self._forward(pair, reader, server_writer, True)
+            ),
+            asyncio.create_task(
+                self._forward(pair, server_reader, writer, False)
+            ),
         )
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_EXCEPTION)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_EXCEPTION)
         finally:
-            for way in ways:
-                way.cancel()
+            for direction in directions:
+                direction.cancel()
 
-    async def _pass(
+    async def _forward(
         self,
         pair: _Pair,
         reader: asyncio.StreamReader,
--- a/beryllug/soak/seen.py
+++ b/beryllug/soak/seen.py
@@ -1,4 +1,4 @@
-"""What callers, servers and the soak itself saw, for the checks."""
+"""Observations of callers, servers and the soak itself, for the checks."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,21 +8,21 @@
 
 
 class Sent(NamedTuple):
-    """A request of a caller, and what came of it.
+    """A request of a caller, and its result.
 
     Attributes:
-        attempt_id: Its id.
-        path: Its path, which names its route.
+        attempt_id: Its attempt id.
+        path: Its path, which identifies the route.
         body: Its body.
-        key: Key that it carried.
-        router: Name of the router that took it.
-        began_at: Monotonic second at which it was sent.
-        ended_at: Second at which its answer was whole, or it failed.
-        status: Status of its answer; 0 without a whole one.
+        key: The API key that it carried.
+        router: Name of the router that received it.
+        began_at: Monotonic time at which it was sent.
+        ended_at: Monotonic time at which its answer was complete or it failed.
+        status: Status of its answer; 0 without a complete one.
         headers: Headers of its answer.
         answer: Body of its answer.
-        failure: Why there is no whole answer, or empty.
-        is_unsent: Whether no byte of it can have gone out.
+        failure: Why there is no complete answer, or empty.
+        is_unsent: Whether certainly no byte of it was sent.
     """
 
     attempt_id: str
@@ -39,16 +39,16 @@
     is_unsent: bool = False
 
 
-class Span(NamedTuple):
-    """A time in which something was wrong; `what` names whom it hit."""
+class FaultPeriod(NamedTuple):
+    """A period of a fault; `component` names the affected component."""
 
-    what: str
+    component: str
     began_at: float
     ended_at: float
 
 
-class Ran(NamedTuple):
-    """A request that began to run at a server."""
+class Run(NamedTuple):
+    """A request that started to run at a server."""
 
     attempt_id: str
     instance: str
@@ -57,13 +57,13 @@
     headers: Mapping[str, str]
 
 
-class Came(NamedTuple):
-    """A request that reached a server which names a limit.
+class LimitedArrival(NamedTuple):
+    """A request that reached a server which stated a limit.
 
     Attributes:
-        at: Monotonic second.
+        at: Monotonic time.
         router: Name of the router that sent it.
-        per_s: The limit, in requests a second.
+        per_s: The limit, in requests per second.
     """
 
     at: float
@@ -71,15 +71,15 @@
     per_s: float
 
 
-class Ordered(NamedTuple):
-    """A roll-out that was ordered, and what became of it.
+class RolloutResult(NamedTuple):
+    """A roll-out that was ordered, and its result.
 
     Attributes:
-        is_bad: Whether half of the new version's answers fail.
-        began_at: Second of the order.
-        ended_at: Second at which its time was over.
-        state: What the routers wrote of it; empty where nothing.
-        instances: The new version's servers.
+        is_bad: Whether half of the new version's answers are errors.
+        began_at: Time of the order.
+        ended_at: Time at which its duration was over.
+        state: The state that the routers wrote; empty if none.
+        instances: Servers of the new version.
     """
 
     is_bad: bool
@@ -89,8 +89,8 @@
     instances: frozenset[str]
 
 
-class Closed(NamedTuple):
-    """A zone that was evacuated, from the order until it was taken back."""
+class Evacuation(NamedTuple):
+    """A zone that was evacuated, from the order until its removal."""
 
     zone: str
     began_at: float
@@ -98,47 +98,47 @@
 
 
 @dataclass(slots=True)
-class Seen:
-    """All that a run saw.
+class Observations:
+    """All observations of a run.
 
     Attributes:
         sent: Requests of callers.
-        spans: Troubles with their times.
-        revoked_at: When the second key was taken away, or None.
-        left_at: When servers were listed as leaving, by instance.
+        fault_periods: Periods of faults.
+        revoked_at: When the second key was revoked, or None.
+        draining_since: When servers were listed as draining, by instance.
         runs: Runs at the servers, by attempt id.
-        ordered: The roll-out, if there was one.
+        rollout_result: The roll-out, if there was one.
         closed: Zones that were evacuated.
         zones: Zones of all servers, by instance.
-        cold_until: When cold servers are warm again, by instance.
-        routers: Router that took each request, by attempt id.
-        limited: Requests that reached servers while they named a limit, by
+        cold_until: When the cold start of servers ends, by instance.
+        routers: Router that received each request, by attempt id.
+        limited: Requests that reached servers while they stated a limit, by
             instance.
         arrivals: Requests that reached each server, by instance and router.
     """
 
     sent: list[Sent] = field(default_factory=list)
-    spans: list[Span] = field(default_factory=list)
+    fault_periods: list[FaultPeriod] = field(default_factory=list)
     revoked_at: float | None = None
-    left_at: dict[str, float] = field(default_factory=dict)
-    runs: dict[str, list[Ran]] = field(default_factory=dict)
-    ordered: Ordered | None = None
-    closed: list[Closed] = field(default_factory=list)
+    draining_since: dict[str, float] = field(default_factory=dict)
+    runs: dict[str, list[Run]] = field(default_factory=dict)
+    rollout_result: RolloutResult | None = None
+    closed: list[Evacuation] = field(default_factory=list)
     zones: dict[str, str] = field(default_factory=dict)
     cold_until: dict[str, float] = field(default_factory=dict)
     routers: dict[str, str] = field(default_factory=dict)
-    limited: dict[str, list[Came]] = field(default_factory=dict)
+    limited: dict[str, list[LimitedArrival]] = field(default_factory=dict)
     arrivals: dict[tuple[str, str], list[platform_runner.Arrival]] = field(
         default_factory=dict
     )
 
-    def is_troubled(
-        self, whats: frozenset[str], began_at: float, ended_at: float
+    def had_fault(
+        self, components: frozenset[str], began_at: float, ended_at: float
     ) -> bool:
-        """Tell whether one of some parties was in trouble within a time."""
+        """Return whether a fault of some components overlaps a period."""
         return any(
-            span.what in whats
+            span.component in components
             and span.began_at <= ended_at
             and began_at <= span.ended_at
-            for span in self.spans
+            for span in self.fault_periods
         )
--- a/beryllug/soak/soak_test.py
+++ b/beryllug/soak/soak_test.py
@@ -1,4 +1,4 @@
-"""The soak in CI: two seeds, those that ever failed, and its own size."""
+"""Runs the soak in CI: two seeds and past failures; checks its size."""
 
 import asyncio
 import unittest
@@ -8,25 +8,25 @@
 
 PACKAGE = Path(__file__).resolve().parents[1]
 SEEDS = (1, 2)
-# Seeds that have failed, each with a line on the cause.
-FAILED: tuple[tuple[int, str], ...] = ()
-MOST_PART = 0.1
+# Seeds that have failed, each with its cause.
+FAILED_SEEDS: tuple[tuple[int, str], ...] = ()
+MAX_CODE_FRACTION = 0.1
 
 
 class SoakTest(unittest.TestCase):
-    """Real processes under a drawn series of faults."""
+    """Real processes under a random series of faults."""
 
     def test_seeds(self) -> None:
-        """No promise is broken, and all is well again afterwards."""
-        for seed in (*SEEDS, *(seed for seed, _ in FAILED)):
+        """All guarantees hold, and the site recovers afterwards."""
+        for seed in (*SEEDS, *(seed for seed, _ in FAILED_SEEDS)):
             with self.subTest(seed):
                 result = asyncio.run(run.run_seed(seed, plan.Sizes()))
                 print(result.line())  # noqa: WPS421
-                self.assertEqual(result.breaches, [], result.faults)
+                self.assertEqual(result.violations, [], result.faults)
                 self.assertGreater(result.answered, result.sent / 2)
 
     def test_drawn(self) -> None:
-        """A seed draws the same faults again; many draw all kinds."""
+        """A seed determines its faults; many seeds cover all kinds."""
         sizes = plan.Sizes()
         self.assertEqual(plan.draw(7, sizes), plan.draw(7, sizes))
         kinds = {
@@ -35,12 +35,12 @@
         self.assertEqual(kinds, set(plan.Kind))
 
     def test_size(self) -> None:
-        """The soak stays a small part of the code."""
-        soak = _lines(PACKAGE / 'soak')
-        self.assertLess(soak, MOST_PART * _lines(PACKAGE))
+        """The soak stays under a tenth of the code."""
+        soak_lines = _count_lines(PACKAGE / 'soak')
+        self.assertLess(soak_lines, MAX_CODE_FRACTION * _count_lines(PACKAGE))
 
 
-def _lines(folder: Path) -> int:
+def _count_lines(folder: Path) -> int:
     return sum(
         len(path.read_text(encoding='utf-8').splitlines())
         for path in folder.rglob('*.py')
