--- a/beryllug/soak/checks.py
+++ b/beryllug/soak/checks.py
@@ -72,7 +72,7 @@
         if not seal.endswith(f'.{sent.attempt_id}'):
             yield f'{sent.attempt_id} has the wrong seal {seal!r}'
         if not _is_complete(sent):
-            yield f'{sent.attempt_id} is incomplete: {sent.answer!r}'
+            yield f'{sent.attempt_id} is not whole: {sent.answer!r}'
 
 
 def own_headers(observed: seen.Observations) -> Iterator[str]:
@@ -80,16 +80,16 @@
     for runs in observed.runs.values():
         for run in runs:
             if run.account != platform_site.ACCOUNT:
-                yield f'{run.attempt_id} had the account {run.account!r}'
+                yield f'{run.attempt_id} came as {run.account!r}'
             if names.AUTHORIZATION in run.headers:
-                yield f'{run.attempt_id} was forwarded with its key'
+                yield f'{run.attempt_id} came with its key'
 
 
 def not_denied(observed: seen.Observations) -> Iterator[str]:
     """A valid request with a valid key never gets a permanent error."""
     for sent in observed.sent:
         if sent.status in PERMANENT_ERRORS and sent.key == platform_site.KEY:
-            yield f'{sent.attempt_id} got {sent.status} from {sent.router}'
+            yield f'{sent.attempt_id} got {sent.status} of {sent.router}'
 
 
 def revoked(observed: seen.Observations) -> Iterator[str]:
@@ -107,7 +107,7 @@
         components = frozenset((sent.router, STORE))
         since = observed.revoked_at - AFTERMATH_S
         if not observed.had_fault(components, since, sent.began_at):
-            yield f'{sent.attempt_id} was answered with a revoked key'
+            yield f'{sent.attempt_id} was answered on a revoked key'
 
 
 def drained(observed: seen.Observations) -> Iterator[str]:
@@ -121,7 +121,7 @@
             if not observed.had_fault(
                 routers, draining_since - AFTERMATH_S, run.at
             ):
-                yield f'{run.attempt_id} reached draining {run.instance}'
+                yield f'{run.attempt_id} came to {run.instance} although it drains'
 
 
 def evacuated(observed: seen.Observations) -> Iterator[str]:
@@ -135,7 +135,7 @@
                 continue
             before = closed.began_at - AFTERMATH_S
             if not observed.had_fault(routers, before, run.at):
-                yield f'{run.attempt_id} reached evacuated {run.instance}'
+                yield f'{run.attempt_id} came to {run.instance}, which is evacuated'
 
 
 def cold(observed: seen.Observations) -> Iterator[str]:
@@ -173,7 +173,7 @@
                 LIMIT_FACTOR * site.LIMIT_PER_S * LIMIT_WINDOW_S + LIMIT_SLACK
             )
             if count > maximum:
-                yield f'limited {instance} got {count} requests'
+                yield f'{instance} got {count} requests, at its limit'
                 break
 
 
@@ -188,7 +188,7 @@
             if not observed.had_fault(
                 components, violation.said_at, violation.at
             ):
-                yield f'{violation.attempt_id} reached leaving {instance}'
+                yield f'{violation.attempt_id} came to {instance}, which left'
 
 
 def backed_off(observed: seen.Observations) -> Iterator[str]:
@@ -199,7 +199,7 @@
             if not observed.had_fault(
                 components, violation.said_at, violation.at
             ):
-                yield f'{violation.attempt_id} reached {instance} too soon'
+                yield f'{violation.attempt_id} came too soon to {instance}'
 
 
 def not_cut(observed: seen.Observations) -> Iterator[str]:
