--- a/beryllug/soak/checks.py
+++ b/beryllug/soak/checks.py
@@ -121,7 +121,7 @@
             if not observed.had_fault(
                 routers, draining_since - AFTERMATH_S, run.at
             ):
-                yield f'{run.attempt_id} came to {run.instance} although it drains'
+                yield f'{run.attempt_id} came to {run.instance} as it drains'
 
 
 def evacuated(observed: seen.Observations) -> Iterator[str]:
@@ -135,7 +135,7 @@
                 continue
             before = closed.began_at - AFTERMATH_S
             if not observed.had_fault(routers, before, run.at):
-                yield f'{run.attempt_id} came to {run.instance}, which is evacuated'
+                yield f'{run.attempt_id} came to evacuated {run.instance}'
 
 
 def cold(observed: seen.Observations) -> Iterator[str]:
