--- a/beryllug/soak/inject.py
+++ b/beryllug/soak/inject.py
@@ -53,7 +53,7 @@
             (plan.ROUTER_FAULTS, self._inject_router),
             (plan.STORE_LINK_FAULTS, self._inject_store_link),
             (plan.STORE_FAULTS, self._inject_store),
-            (plan.ROLLOUTS, self._roll_out),
+            (plan.ROLLOUT_FAULTS, self._roll_out),
             (plan.TABLE_CHANGES, self._change),
             (plan.ZONE_FAULTS, self._evacuate),
             (plan.SERVER_FAULTS, self._inject_server),
