--- a/beryllug/proofs/platform/server_backoff_test.py
+++ b/beryllug/proofs/platform/server_backoff_test.py
@@ -21,7 +21,7 @@
     routers = 3
 
     async def test_respected(self) -> None:
-        """Routers send nothing during a backoff; others serve."""
+        """Routers send next to nothing in a backoff; others serve."""
         for load in site_test.LOADS:
             with self.subTest(load.path):
                 await self.send_load(load, WARM_UP_S)
--- a/beryllug/proofs/platform/server_limit_test.py
+++ b/beryllug/proofs/platform/server_limit_test.py
@@ -73,7 +73,7 @@
                     self.assertIn(names.RETRY_AFTER, reply.headers)
 
     async def test_end(self) -> None:
-        """A server gets full load after it has withdrawn its limit."""
+        """A server gets its share again after it withdraws its limit."""
         load = site_test.LOADS[0]
         await self._set_limit(load.servers, 1)
         await self.send_load(load, LOAD_S)
--- a/beryllug/proofs/platform/site_test.py
+++ b/beryllug/proofs/platform/site_test.py
@@ -453,10 +453,10 @@
         self.assertEqual(len(self.runs('p1', 'p2')), 1)
 
     async def test_caller_leaves(self) -> None:
-        """A server stops working for a caller that has disconnected.
+        """The router notices within half a second that a caller disconnects.
 
-        The server sees its connection close within half a second and does not
-        finish the run.
+        It then closes its connection, so that the server does not finish the
+        run.
         """
         for instance in ('p1', 'p2'):
             self.site.runners[instance].stall_after = 2
