--- a/beryllug/bench/__init__.py
+++ b/beryllug/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Benchmarks whose bounds are ratios and counts.
+"""Benchmarks with bounds on ratios and counts.
 
-The same seed gives the same figures.
+Simulated benchmarks are deterministic for a given seed.
 """
--- a/beryllug/bench/__main__.py
+++ b/beryllug/bench/__main__.py
@@ -1,11 +1,11 @@
-"""Run every benchmark, print one table, fail on a broken bound.
+"""Run the benchmarks, print their tables and fail on a violated bound.
 
 A benchmark is a module of this package whose name ends in ``_bench`` and
-which has ``run(report)`` that returns its broken bounds. Names given on the
-command line choose some of them: ``python -m beryllug.bench cascade retry``.
+which has ``run(report)``, returning the violated bounds. Arguments select
+benchmarks by name: ``python -m beryllug.bench cascade retry``.
 
-Benchmarks on a virtual clock run beside each other in a few processes. All
-others measure real time and run one by one after them.
+Benchmarks on a virtual clock run in parallel in a few processes. The others
+measure real time and run one at a time afterwards.
 """
 
 import importlib
@@ -18,7 +18,7 @@
 
 PACKAGE = 'beryllug.bench'
 SUFFIX = '_bench'
-VIRTUAL = frozenset(
+VIRTUAL_CLOCK = frozenset(
     ('cascade_bench', 'latency_bench', 'overload_bench', 'rollout_bench')
 )
 PROCESSES = 3
@@ -27,7 +27,7 @@
 def main(chosen: Sequence[str]) -> int:
     """Run the chosen benchmarks, or all, and return the exit code."""
     broken: list[str] = []
-    for lines, failed in _tables(names(chosen)):
+    for lines, failed in _run_all(module_names(chosen)):
         sys.stdout.write('\n'.join(lines))
         sys.stdout.write('\n')
         sys.stdout.flush()
@@ -40,8 +40,8 @@
     return 0
 
 
-def names(chosen: Sequence[str]) -> list[str]:
-    """Return the names of the benchmark modules, in order."""
+def module_names(chosen: Sequence[str]) -> list[str]:
+    """Return the sorted names of the chosen benchmark modules, or of all."""
     package = importlib.import_module(PACKAGE)
     found = sorted(
         module.name
@@ -55,19 +55,19 @@
 
 
 def run_one(name: str) -> tuple[list[str], list[str]]:
-    """Run a benchmark; returns its table and its broken bounds."""
+    """Run a benchmark and return its table and its violated bounds."""
     module = importlib.import_module(f'{PACKAGE}.{name}')
     figures = report.Report()
     failed: list[str] = module.run(figures)
     return figures.lines(), failed
 
 
-def _tables(found: list[str]) -> Iterator[tuple[list[str], list[str]]]:
-    beside = [name for name in found if name in VIRTUAL]
+def _run_all(found: list[str]) -> Iterator[tuple[list[str], list[str]]]:
+    parallel = [name for name in found if name in VIRTUAL_CLOCK]
     with futures.ProcessPoolExecutor(PROCESSES) as executor:
-        yield from executor.map(run_one, beside)
+        yield from executor.map(run_one, parallel)
     for name in found:
-        if name not in VIRTUAL:
+        if name not in VIRTUAL_CLOCK:
             yield run_one(name)
 
 
--- a/beryllug/bench/bounds_test.py
+++ b/beryllug/bench/bounds_test.py
@@ -1,7 +1,7 @@
-"""A short form of the bench's bounds, on small loads.
+"""Benchmark bounds on small loads.
 
-The full bounds stand in bounds.json and are checked by ``make bench``; these
-few run in seconds and catch a policy that was broken outright.
+The full bounds are in ``bounds.json`` and are checked by ``make bench``. These
+tests run in seconds and detect gross regressions of a policy.
 """
 
 import unittest
@@ -22,15 +22,15 @@
 URGENT = frozenset(('lookup', 'hold', 'question'))
 
 
-def _seen(plan: replay.Run) -> recorder.Recorder:
-    return replay.replay(plan).seen
+def _replay(plan: replay.Run) -> recorder.Recorder:
+    return replay.replay(plan).recording
 
 
 class BoundsTest(unittest.TestCase):
-    """The policy beats its baselines, even on a small load."""
+    """The policy meets loose bounds on a small load."""
 
     def setUp(self) -> None:
-        """Take the first deployment."""
+        """Plan a run of the first deployment at capacity."""
         self.plan = replay.Run(
             deployments.load()[0],
             latency_bench.LEAST_COST,
@@ -39,54 +39,54 @@
         )
 
     def test_same_seeds(self) -> None:
-        """The same seeds give the same figures to the last digit."""
-        runs = [recorder.total([_seen(self.plan)]) for _ in range(2)]
+        """The same seeds give exactly the same figures."""
+        runs = [recorder.total([_replay(self.plan)]) for _ in range(2)]
         self.assertEqual(runs[0], runs[1])
 
     def test_latency(self) -> None:
-        """Questions reach their first token sooner than by round robin."""
+        """Questions get their first token sooner than with round robin."""
         _, policy = latency_bench.BASELINES[0]
         question = frozenset(('question',))
         ours, theirs = (
-            recorder.percentile_ms([_seen(plan)], 95, question)
+            recorder.percentile_ms([_replay(plan)], 95, question)
             for plan in (self.plan, self.plan._replace(policy=policy))
         )
         self.assertLess(ours, 0.9 * theirs)
 
     def test_overload(self) -> None:
-        """At three times capacity the goodput does not collapse."""
+        """Goodput does not collapse at three times capacity."""
         good = [
-            recorder.total([_seen(self.plan._replace(load=load))]).good
+            recorder.total([_replay(self.plan._replace(load=load))]).good
             for load in (1.0, 3.0)
         ]
         self.assertGreater(good[1], 0.9 * good[0])
 
     def test_refusals(self) -> None:
-        """Above capacity requests are refused at once, never late."""
-        counts = recorder.total([_seen(self.plan._replace(load=2.0))], URGENT)
+        """Urgent requests above capacity are refused immediately."""
+        counts = recorder.total([_replay(self.plan._replace(load=2.0))], URGENT)
         self.assertGreater(counts.refused, 0)
         self.assertEqual(counts.longest_refusal_s, 0)
 
     def test_slow_server(self) -> None:
-        """One server ten times slower spoils few answers."""
+        """One server ten times slower delays few answers past their target."""
         slow = self.plan._replace(
             load=0.5, disturb=latency_bench.slow_server, warm_up=35.0
         )
-        counts = recorder.total([_seen(slow)], URGENT)
+        counts = recorder.total([_replay(slow)], URGENT)
         self.assertGreater(counts.good, 0.97 * counts.offered)
 
     def test_outage(self) -> None:
-        """Attempts stay near one a request through a full outage."""
+        """Attempts per request stay near one in a full outage."""
         down = self.plan._replace(
             load=0.8,
             disturb=overload_bench.outage,
             warm_up=overload_bench.OUTAGE_AT,
         )
-        counts = recorder.total([_seen(down)])
+        counts = recorder.total([_replay(down)])
         self.assertLess(counts.attempts, 1.1 * counts.tried)
 
     def test_cascade(self) -> None:
-        """A cascade costs less than the large model at the same share."""
+        """A cascade costs less than the large model at equal quality."""
         strong = quality_run.replay(
             quality_run.Plan(cascade_bench.STRONG, 600)
         )[0]
@@ -98,7 +98,7 @@
         self.assertGreater(learnt.good, 0.99 * target * learnt.answers)
 
     def test_cascade_without_ratings(self) -> None:
-        """Without the rating service the share of good answers is held."""
+        """The share of good answers holds without the rating service."""
         outcomes = [
             quality_run.replay(
                 quality_run.Plan(
@@ -111,10 +111,10 @@
 
 
 class DeclaredBoundsTest(unittest.TestCase):
-    """The declared bounds can be read and belong to figures."""
+    """The declared bounds are well formed."""
 
     def test_readable(self) -> None:
-        """Each bound limits something."""
+        """Each entry has a lower or an upper bound."""
         for section, bounds in report.declared_bounds().items():
             for name, bound in bounds.items():
                 with self.subTest(section=section, name=name):
--- a/beryllug/bench/clock.py
+++ b/beryllug/bench/clock.py
@@ -1,7 +1,8 @@
-"""A virtual clock: one heap of events, no threads and no real time.
+"""A virtual clock for discrete-event simulation.
 
-Events at the same second run in the order in which they were planned, so the
-same seeds give the same figures to the last digit.
+It uses one heap of events, no threads and no real time. Events due at the
+same time run in the order in which they were scheduled, so the same seeds
+give exactly the same figures.
 """
 
 import heapq
@@ -13,23 +14,25 @@
 
 
 class Clock:
-    """Runs planned calls in the order of their virtual seconds."""
+    """Runs scheduled callbacks in the order of virtual time."""
 
     def __init__(self) -> None:
-        """Start at second zero with nothing planned."""
+        """Start at time zero with nothing scheduled."""
         self.now = 0.0
         self._events: list[Event] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
 
-    def after(
-        self, delay_s: float, call: Callable[..., None], *args: Any
+    def call_later(
+        self, delay_s: float, callback: Callable[..., None], *args: Any
     ) -> None:
-        """Plan a call so many seconds from now."""
-        number = next(self._numbers)
-        heapq.heappush(self._events, (self.now + delay_s, number, call, args))
+        """Schedule a callback after a delay."""
+        order = next(self._sequence)
+        heapq.heappush(
+            self._events, (self.now + delay_s, order, callback, args)
+        )
 
     def run(self, until: float) -> None:
-        """Run events up to a second, then stand at it."""
+        """Run the events due until a time, then set the clock to it."""
         while self._events and self._events[0][0] <= until:
             event = heapq.heappop(self._events)
             self.now = event[0]
--- a/beryllug/bench/config_bench.py
+++ b/beryllug/bench/config_bench.py
@@ -1,8 +1,8 @@
-"""Configuration: how fast a change is in force, and what it costs.
+"""Propagation time and cost of configuration changes.
 
 Eight control processes follow a slow platform while documents are applied,
-answers of the platform are lost and processes are replaced. Times are shown
-without bounds; counts and ratios have them.
+platform responses are dropped and processes are replaced. Only counts and
+ratios have bounds; times have none.
 """
 
 import asyncio
@@ -18,72 +18,73 @@
 from beryllug.drivers import rpc_peers
 
 
-class _Nobody:
-    """No other process."""
+class _NoMembers:
+    """An empty membership."""
 
     def everyone(self) -> tuple[str, ...]:
-        """Return nobody."""
+        """Return no members."""
         return ()
 
     def partners(self) -> tuple[str, ...]:
-        """Return nobody."""
+        """Return no members."""
         return ()
 
     def children(self) -> tuple[str, ...]:
-        """Return nobody."""
+        """Return no members."""
         return ()
 
 
 class Arrangement(NamedTuple):
-    """Who watches the platform, and the bounds for it.
+    """Number of processes that watch the platform, and its bounds.
 
     Attributes:
         title: Its name.
-        watchers: How many watch; 0 means all.
-        most_calls: Most platform calls of all controls a change.
-        most_idle: Most platform calls of all controls a second without one.
+        watchers: Number of watching processes; 0 means all.
+        max_calls: Most platform calls of all control processes per change.
+        max_idle_calls_per_s: Most platform calls of all control processes per
+            second while nothing changes.
     """
 
     title: str
     watchers: int
-    most_calls: float
-    most_idle: float
+    max_calls: float
+    max_idle_calls_per_s: float
 
 
 NODES = 8
-FEW = 2
+FEW_WATCHERS = 2
 APPLIES = 60
 REPLACE_EVERY = 20
-LOSE_EVERY = 10
+DROP_EVERY = 10
 DELAY_S = 0.02
 IDLE_S = 4.0
 ACCOUNTS = 2000
-US = 1000000
+US_PER_S = 1000000
 MS = 1000
 WRITE_ROOT = 'PUT /v1/objects/beryllug/config/root'
-MOST_CALLS_ALL = 20
-MOST_CALLS_FEW = 6
-MOST_IDLE_ALL = 3
-MOST_IDLE_FEW = 0.8
+MAX_CALLS_ALL = 20
+MAX_CALLS_FEW = 6
+MAX_IDLE_ALL = 3
+MAX_IDLE_FEW = 0.8
 ARRANGEMENTS = (
-    Arrangement('all watch', 0, MOST_CALLS_ALL, MOST_IDLE_ALL),
-    Arrangement('2 watch', FEW, MOST_CALLS_FEW, MOST_IDLE_FEW),
+    Arrangement('all watch', 0, MAX_CALLS_ALL, MAX_IDLE_ALL),
+    Arrangement('2 watch', FEW_WATCHERS, MAX_CALLS_FEW, MAX_IDLE_FEW),
 )
-MOST_PART_OF_BYTES = 0.03
-MOST_PART_OF_TIME = 0.1
-MOST_PUSH_BYTES = 500
+MAX_BYTES_FRACTION = 0.03
+MAX_TIME_FRACTION = 0.1
+MAX_PUSH_BYTES = 500
 
 
 def run(figures: report.Report) -> list[str]:
-    """Measure; return the broken bounds."""
+    """Run the benchmark and return its violated bounds."""
     for plan in ARRANGEMENTS:
-        asyncio.run(_follow(figures, plan))
-    _split(figures)
+        asyncio.run(_measure_fleet(figures, plan))
+    _measure_parts(figures)
     return figures.broken()
 
 
-async def _follow(figures: report.Report, plan: Arrangement) -> None:
-    """Measure a fleet in which all or some processes watch."""
+async def _measure_fleet(figures: report.Report, plan: Arrangement) -> None:
+    """Measure a fleet in which all or some processes watch the platform."""
     figures.section(f'configuration, {NODES} controls, {plan.title}')
     fleet = config_fleet.ConfigFleet(NODES, plan.watchers, DELAY_S)
     await fleet.start()
@@ -104,32 +105,34 @@
     for number in range(1, APPLIES + 1):
         if number % REPLACE_EVERY == 0:
             await _replace(fleet, number)
-        _lose(fleet, number)
+        _drop_some_answers(fleet, number)
         before = fleet.calls()
-        took_s = await fleet.apply(_numbered(number))
+        elapsed_s = await fleet.apply(_numbered(number))
         calls += fleet.calls() - before
-        times.record_value(int(took_s * US))
-    _times(figures, times)
-    figures.bound('steps to a lower revision', fleet.reverts, most=0)
+        times.record_value(int(elapsed_s * US_PER_S))
+    _latencies(figures, times)
+    figures.bound(
+        'steps to a lower revision', fleet.revision_regressions, upper=0
+    )
     revisions = {node.view.revision for node in fleet.nodes.values()}
     doubled = max(revisions) - APPLIES
-    figures.bound('applies that took effect twice', doubled, most=0)
-    each = calls / APPLIES
+    figures.bound('applies that took effect twice', doubled, upper=0)
+    per_change = calls / APPLIES
     figures.bound(
-        'platform calls of all controls a change', each, plan.most_calls
+        'platform calls of all controls a change', per_change, plan.max_calls
     )
 
 
 async def _replace(fleet: config_fleet.ConfigFleet, number: int) -> None:
-    """Replace one process, another each time."""
+    """Restart one process, a different one each time."""
     name = f'control-{number // REPLACE_EVERY % NODES}'
     await fleet.stop_node(name)
     await fleet.start_node(name)
 
 
-def _lose(fleet: config_fleet.ConfigFleet, number: int) -> None:
-    """Let the answer to an apply be lost now and then."""
-    if number % LOSE_EVERY == 0:
+def _drop_some_answers(fleet: config_fleet.ConfigFleet, number: int) -> None:
+    """Drop the platform's response to every tenth apply."""
+    if number % DROP_EVERY == 0:
         fleet.platform.put_faults(
             delay_s=DELAY_S, drop_answer=True, only=WRITE_ROOT, times=1
         )
@@ -137,7 +140,7 @@
         fleet.platform.put_faults(delay_s=DELAY_S)
 
 
-def _times(figures: report.Report, times: histogram.HdrHistogram) -> None:
+def _latencies(figures: report.Report, times: histogram.HdrHistogram) -> None:
     for percent in (50, 95, 100):
         milliseconds = times.get_value_at_percentile(percent) / MS
         name = f'accepted until in force on the last, p{percent}, ms'
@@ -149,20 +152,20 @@
     fleet: config_fleet.ConfigFleet,
     plan: Arrangement,
 ) -> None:
-    """Count calls while nothing changes."""
+    """Measure the rate of platform calls while nothing changes."""
     before = fleet.calls()
     began = time.monotonic()
     await asyncio.sleep(IDLE_S)
     idle_s = time.monotonic() - began
     rate = (fleet.calls() - before) / idle_s
-    # A control that watches has one call open, renewed after a third of the
-    # cut-off time, and reads the session keys once a minute.
+    # A watching control process keeps one call open, renewed after a third
+    # of the cut-off time, and reads the session keys once a minute.
     name = 'platform calls of all controls a second, idle'
-    figures.bound(name, rate, plan.most_idle)
+    figures.bound(name, rate, plan.max_idle_calls_per_s)
 
 
-def _split(figures: report.Report) -> None:
-    """Measure what one changed account of many moves."""
+def _measure_parts(figures: report.Report) -> None:
+    """Measure the cost of changing one account of many."""
     figures.section(f'configuration, one of {ACCOUNTS} accounts changed')
     old = _parts(_large(1))
     new = _parts(_large(2))
@@ -172,9 +175,9 @@
     figures.figure('parts', len(new))
     figures.figure('bytes of the document', whole)
     figures.bound(
-        'bytes that move, of the whole', moved / whole, MOST_PART_OF_BYTES
+        'bytes that move, of the whole', moved / whole, MAX_BYTES_FRACTION
     )
-    figures.bound('bytes of a push', _push_bytes(old, new), MOST_PUSH_BYTES)
+    figures.bound('bytes of a push', _push_bytes(old, new), MAX_PUSH_BYTES)
     empty = config_state.Held()
     began = time.process_time()
     held = config_state.hold(1, old, empty)
@@ -187,15 +190,15 @@
     figures.bound(
         'time to take the change, of the whole',
         change_s / whole_s,
-        MOST_PART_OF_TIME,
+        MAX_TIME_FRACTION,
     )
 
 
 def _push_bytes(old: dict[str, bytes], new: dict[str, bytes]) -> int:
-    """Return the size of the message that brings the change to a peer."""
+    """Return the size of the message that sends the change to a peer."""
     holder = config_holder.ConfigHolder()
     calls = rpc_peers.Peers(config_fleet.KEYS)
-    push = view_push.ViewPush(holder, calls, _Nobody(), '127.0.0.1:1')
+    push = view_push.ViewPush(holder, calls, _NoMembers(), '127.0.0.1:1')
     before = config_state.hold(1, old, holder.held)
     holder.take(config_state.hold(2, new, before), 'platform')
     push.spread(before)
@@ -212,7 +215,7 @@
 
 
 def _large(weight: int) -> config_data.Document:
-    """Return a document in which one account's weight is given."""
+    """Return a large document with the given weight for one account."""
     ref = config_data.VersionRef('m', '*')
     accounts = [
         config_data.Account(f'account-{number:05}', (f'{number:064x}',), (ref,))
--- a/beryllug/bench/config_fleet.py
+++ b/beryllug/bench/config_fleet.py
@@ -1,7 +1,7 @@
-"""Control processes' configuration services in one process, for measuring.
+"""Configuration services of several control processes in one process.
 
-They talk over real sockets: HTTP to a stand-in of the object API, gRPC to one
-another. What is left out are the other services of a control process.
+They use real sockets: HTTP to a stand-in of the object API, gRPC to one
+another. The other services of a control process are left out.
 """
 
 import asyncio
@@ -33,10 +33,10 @@
 
 
 class Members:
-    """All control processes, live and of one zone."""
+    """A fixed membership: every control process is live and in one zone."""
 
     def __init__(self, addresses: dict[str, str]) -> None:
-        """Keep the addresses by name."""
+        """Store the addresses by name."""
         self._addresses = addresses
 
     def live(self, now: float) -> tuple[str, ...]:
@@ -44,16 +44,16 @@
         return tuple(self._addresses)
 
     def address_of(self, member: str) -> str | None:
-        """Return a member's address."""
+        """Return the address of a member, or None."""
         return self._addresses.get(member)
 
     def zone_of(self, member: str) -> str | None:
-        """Return the zone."""
+        """Return the zone of a member."""
         return ZONE
 
 
 class Node(NamedTuple):
-    """One process's services."""
+    """The services of one control process."""
 
     view: config.Config
     api: object_api.HttpObjectApi
@@ -63,26 +63,26 @@
 
 
 class ConfigFleet:
-    """Some control processes around one platform.
+    """Several control processes that share one platform.
 
     Attributes:
         platform: The stand-in of the object API.
         nodes: The processes by name.
-        reverts: How often a process went to a lower revision, or a new one
-            started below what was in force everywhere.
+        revision_regressions: How often a process went to a lower revision, or
+            started below the revision in force on all processes.
     """
 
     def __init__(self, count: int, watchers: int, delay_s: float) -> None:
-        """Make a fleet.
+        """Make a fleet without starting it.
 
         Args:
-            count: How many processes.
-            watchers: How many of them watch the platform; 0 means all.
-            delay_s: How long the platform takes for each call.
+            count: Number of processes.
+            watchers: Number of processes that watch the platform; 0 means all.
+            delay_s: Response time of the platform.
         """
         self.platform = platform.stand_in(UNBOUNDED)
         self.nodes: dict[str, Node] = {}
-        self.reverts = 0
+        self.revision_regressions = 0
         self._watchers = watchers
         self._delay_s = delay_s
         self._addresses = dict(
@@ -104,19 +104,19 @@
         await asyncio.gather(*map(self.start_node, self._addresses))
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all processes and the platform."""
         await asyncio.gather(*map(self.stop_node, list(self.nodes)))
         await self._client.close()
         await self.platform.stop()
 
     async def start_node(self, name: str) -> None:
-        """Start one process; it must not start below what is in force."""
+        """Start one process; count a start below the revision in force."""
         node = self._make(name)
         self.nodes[name] = node
-        self._guard(node.view)
+        self._count_regressions(node.view)
         await node.view.start()
         await node.server.start(self._addresses[name])
-        self.reverts += node.view.revision < self._revision
+        self.revision_regressions += node.view.revision < self._revision
 
     async def stop_node(self, name: str) -> None:
         """Stop one process."""
@@ -127,9 +127,9 @@
         await node.client.close()
 
     async def apply(self, document: config_data.Document) -> float:
-        """Apply a document; return the time until it is in force everywhere.
+        """Apply a document and return its propagation time.
 
-        The time runs from the accepted apply to the last of the processes.
+        The time runs from acceptance until the last process has the revision.
         """
         api = object_api.HttpObjectApi(
             self._client, self.platform.address, PLATFORM_S
@@ -140,19 +140,19 @@
         outcome = await store.apply(req, time.time())
         revision = outcome.unwrap()
         accepted_at = time.perf_counter()
-        await self._reach(revision)
+        await self._wait_for_revision(revision)
         self._revision = revision
         return time.perf_counter() - accepted_at
 
     def calls(self) -> int:
-        """Return how many calls the processes made of the platform."""
+        """Return the number of platform calls of all running processes."""
         return sum(
             count.calls
             for node in self.nodes.values()
             for count in node.api.counts.values()
         )
 
-    async def _reach(self, revision: int) -> None:
+    async def _wait_for_revision(self, revision: int) -> None:
         async with asyncio.timeout(DEADLINE_S):
             while any(
                 node.view.revision < revision for node in self.nodes.values()
@@ -180,19 +180,19 @@
         view.serve(server)
         return Node(view, api, client, calls, server)
 
-    def _guard(self, view: config.Config) -> None:
-        """Count each step of a process to a lower revision."""
+    def _count_regressions(self, view: config.Config) -> None:
+        """Count the changes of a process to a lower revision."""
         seen = [0]
 
-        def check() -> None:  # noqa: WPS430 the state of one process
-            self.reverts += view.revision < seen[0]
+        def compare_revision() -> None:  # noqa: WPS430 the state of one process
+            self.revision_regressions += view.revision < seen[0]
             seen[0] = view.revision
 
-        view.listen(check)
+        view.listen(compare_revision)
 
 
 def _free_addresses(count: int) -> list[str]:
-    """Find free ports, all at once so that they differ."""
+    """Find free ports, bound simultaneously so that they differ."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
         return [_bind(free) for free in sockets]
--- a/beryllug/bench/daemon_bench.py
+++ b/beryllug/bench/daemon_bench.py
@@ -1,8 +1,8 @@
-"""What an entry process itself costs, beside a bare pass-through.
+"""Cost of an entry process relative to a minimal pass-through proxy.
 
-Both forward the same requests to the same model engines in one run. Processor
-time is read from the operating system for the forwarding process alone, so
-the load's own cost does not count. Bounds are ratios of the two.
+Both forward the same requests to the same model engine in one run. Processor
+time is read from the operating system for the forwarding process only, so the
+cost of the load generator does not count. Bounds are ratios of the two.
 """
 
 import asyncio
@@ -27,30 +27,30 @@
 ENTRY = 'entry-0'
 ENGINE = 'runners-large-0'
 SLOTS = 512
-SHORT = 8
+SHORT_ANSWER_TOKENS = 8
 UTIME = 11
 STIME = 12
-PERCENTS = (50, 99)
-WARM = 200
+PERCENTILES = (50, 99)
+WARM_UP_REQUESTS = 200
 REQUESTS = 1500
 STREAMS = 60
 EVENTS = 500
 TOKEN_S = 0.004
-AT_ONCE = 24
+CONCURRENT_CALLERS = 24
 LATENCY_REQUESTS = 300
 OPEN_STREAMS = 150
-MICRO = 1000000
+US_PER_S = 1000000
 KIB = 1024
-MOST_PER_REQUEST = 2.0
-MOST_PER_EVENT = 1.5
-LONGEST_US = 10000000
-DIGITS = 3
-TICKS = os.sysconf('SC_CLK_TCK')
-PAGE = os.sysconf('SC_PAGE_SIZE')
+MAX_PER_REQUEST_RATIO = 2.0
+MAX_PER_EVENT_RATIO = 1.5
+MAX_US = 10000000
+SIGNIFICANT_DIGITS = 3
+TICKS_PER_S = os.sysconf('SC_CLK_TCK')
+PAGE_BYTES = os.sysconf('SC_PAGE_SIZE')
 
 
-class Way(NamedTuple):
-    """A way to the engines: a name, an address and its process."""
+class Endpoint(NamedTuple):
+    """An address that reaches the engine, with its name and process id."""
 
     name: str
     address: str
@@ -58,51 +58,53 @@
 
 
 class Cost(NamedTuple):
-    """Processor time in microseconds."""
+    """Processor time per unit of work, in microseconds."""
 
     per_request: float
     per_event: float
 
 
 def run(figures: report.Report) -> list[str]:
-    """Measure, and return the broken bounds."""
+    """Run the benchmark and return its violated bounds."""
     asyncio.run(_run(figures))
     return figures.broken()
 
 
 async def _run(figures: report.Report) -> None:
-    fleet = harness.Fleet(_plan())
+    fleet = harness.Fleet(_fleet_plan())
     await fleet.start()
-    floor = await _passthrough(fleet)
+    baseline = await _passthrough(fleet)
     try:
-        await _measure(figures, fleet, floor.pid)
+        await _measure(figures, fleet, baseline.pid)
     finally:
-        floor.terminate()
-        await floor.wait()
+        baseline.terminate()
+        await baseline.wait()
     await fleet.stop()
 
 
 async def _measure(
-    figures: report.Report, fleet: harness.Fleet, floor_pid: int
+    figures: report.Report, fleet: harness.Fleet, baseline_pid: int
 ) -> None:
-    bare = Way('pass-through', fleet.hosts[1].callers, floor_pid)
-    entry = Way('entry', fleet.hosts[0].callers, fleet.processes.pid(ENTRY))
-    direct = Way('direct', fleet.servers[ENGINE].address, 0)
+    passthrough = Endpoint('pass-through', fleet.hosts[1].callers, baseline_pid)
+    entry = Endpoint(
+        'entry', fleet.hosts[0].callers, fleet.processes.pid(ENTRY)
+    )
+    direct = Endpoint('direct', fleet.servers[ENGINE].address, 0)
     figures.section('daemon: processor time, entry beside pass-through')
-    await _costs(figures, bare, entry)
+    await _costs(figures, passthrough, entry)
     figures.section('daemon: latency of a whole chat, one at a time')
-    for way in (direct, bare, entry):
-        await _latency(figures, way)
+    for endpoint in (direct, passthrough, entry):
+        await _latency(figures, endpoint)
     figures.section('daemon: memory')
     await _memory(figures, entry)
 
 
-def _plan() -> harness.Plan:
-    """Return one host before one engine that answers at once."""
-    quick = engine_worker.EngineCfg(
+def _fleet_plan() -> harness.Plan:
+    """Plan one host with one engine that has ample slots."""
+    engine_cfg = engine_worker.EngineCfg(
         concurrency=SLOTS, queue=SLOTS, token_s=TOKEN_S
     )
-    servers = (harness.ServerPlan(ENGINE, sample.LARGE, 'zone-1', quick),)
+    servers = (harness.ServerPlan(ENGINE, sample.LARGE, 'zone-1', engine_cfg),)
     declared = sample.document()
     pools = tuple(pool._replace(concurrency=SLOTS) for pool in declared.pools)
     document = declared._replace(pools=pools, rollouts=())
@@ -121,106 +123,115 @@
     )
     probe = http_data.Outgoing('GET', '/', {})
 
-    async def answers() -> bool:  # noqa: WPS430
+    async def is_answering() -> bool:  # noqa: WPS430
         try:
             await fleet.client.call(listen.callers, probe)
         except http_data.NotSentError:
             return False
         return True
 
-    await harness.wait_for(answers, harness.READY_S)
+    await harness.wait_for(is_answering, harness.READY_S)
     return started
 
 
-async def _costs(figures: report.Report, bare: Way, entry: Way) -> None:
-    floor = await _cost(bare)
-    ours = await _cost(entry)
-    for way, cost in ((bare, floor), (entry, ours)):
-        figures.figure(f'{way.name}: us a request', cost.per_request)
-        figures.figure(f'{way.name}: us a forwarded event', cost.per_event)
+async def _costs(
+    figures: report.Report, passthrough: Endpoint, entry: Endpoint
+) -> None:
+    baseline = await _cost(passthrough)
+    entry_cost = await _cost(entry)
+    for endpoint, cost in ((passthrough, baseline), (entry, entry_cost)):
+        figures.figure(f'{endpoint.name}: us a request', cost.per_request)
+        figures.figure(f'{endpoint.name}: us a forwarded event', cost.per_event)
     figures.figure(
-        'entry: requests a second and core', MICRO / ours.per_request
+        'entry: requests a second and core', US_PER_S / entry_cost.per_request
+    )
+    figures.figure(
+        'entry: events a second and core', US_PER_S / entry_cost.per_event
     )
-    figures.figure('entry: events a second and core', MICRO / ours.per_event)
     figures.bound(
         'per request, of the pass-through',
-        ours.per_request / floor.per_request,
-        MOST_PER_REQUEST,
+        entry_cost.per_request / baseline.per_request,
+        MAX_PER_REQUEST_RATIO,
     )
     figures.bound(
         'per forwarded event, of the pass-through',
-        ours.per_event / floor.per_event,
-        MOST_PER_EVENT,
+        entry_cost.per_event / baseline.per_event,
+        MAX_PER_EVENT_RATIO,
     )
 
 
-async def _cost(way: Way) -> Cost:
-    await _send(way, WARM, stream=False)
-    before = _cpu_us(way.pid)
-    await _send(way, REQUESTS, stream=False)
-    per_request = (_cpu_us(way.pid) - before) / REQUESTS
-    before = _cpu_us(way.pid)
-    await _send(way, STREAMS, stream=True)
-    spent = _cpu_us(way.pid) - before - STREAMS * per_request
+async def _cost(endpoint: Endpoint) -> Cost:
+    await _send(endpoint, WARM_UP_REQUESTS, stream=False)
+    before = _cpu_us(endpoint.pid)
+    await _send(endpoint, REQUESTS, stream=False)
+    per_request = (_cpu_us(endpoint.pid) - before) / REQUESTS
+    before = _cpu_us(endpoint.pid)
+    await _send(endpoint, STREAMS, stream=True)
+    spent = _cpu_us(endpoint.pid) - before - STREAMS * per_request
     return Cost(per_request, spent / (STREAMS * EVENTS))
 
 
-async def _send(way: Way, count: int, stream: bool) -> None:
+async def _send(endpoint: Endpoint, count: int, stream: bool) -> None:
     left = iter(range(count))
 
     async def work() -> None:  # noqa: WPS430
-        who = caller.Caller(sample.LARGE_KEY)
+        chat_client = caller.Caller(sample.LARGE_KEY)
         for number in left:
-            tokens = EVENTS if stream else SHORT
-            reply = await who.chat(
-                way.address,
+            tokens = EVENTS if stream else SHORT_ANSWER_TOKENS
+            reply = await chat_client.chat(
+                endpoint.address,
                 'desk-large',
                 f'{number}',
                 stream=stream,
                 max_tokens=tokens,
             )
             assert reply.status == harness.OK, reply
-        await who.close()
+        await chat_client.close()
 
-    await asyncio.gather(*(work() for _ in range(AT_ONCE)))
+    await asyncio.gather(*(work() for _ in range(CONCURRENT_CALLERS)))
 
 
-async def _latency(figures: report.Report, way: Way) -> None:
-    who = caller.Caller(sample.LARGE_KEY)
-    taken = histogram.HdrHistogram(1, LONGEST_US, DIGITS)
+async def _latency(figures: report.Report, endpoint: Endpoint) -> None:
+    chat_client = caller.Caller(sample.LARGE_KEY)
+    latencies = histogram.HdrHistogram(1, MAX_US, SIGNIFICANT_DIGITS)
     for number in range(LATENCY_REQUESTS):
         began = time.perf_counter()
-        await who.chat(way.address, 'desk-large', f'{number}', max_tokens=SHORT)
-        taken.record_value(round((time.perf_counter() - began) * MICRO))
-    await who.close()
-    for percent in PERCENTS:
+        await chat_client.chat(
+            endpoint.address,
+            'desk-large',
+            f'{number}',
+            max_tokens=SHORT_ANSWER_TOKENS,
+        )
+        latencies.record_value(round((time.perf_counter() - began) * US_PER_S))
+    await chat_client.close()
+    for percent in PERCENTILES:
         figures.figure(
-            f'{way.name}: p{percent}, us',
-            taken.get_value_at_percentile(percent),
+            f'{endpoint.name}: p{percent}, us',
+            latencies.get_value_at_percentile(percent),
         )
 
 
-async def _memory(figures: report.Report, way: Way) -> None:
-    before = _rss(way.pid)
+async def _memory(figures: report.Report, endpoint: Endpoint) -> None:
+    before = _rss(endpoint.pid)
     figures.figure('entry: resident MB', before / KIB / KIB)
     opened = [
-        asyncio.create_task(_send(way, 1, stream=True))
+        asyncio.create_task(_send(endpoint, 1, stream=True))
         for _ in range(OPEN_STREAMS)
     ]
     await asyncio.sleep(EVENTS * TOKEN_S / 2)
-    grown = _rss(way.pid) - before
+    growth = _rss(endpoint.pid) - before
     await asyncio.gather(*opened)
-    figures.figure('entry: KB an open stream', grown / KIB / OPEN_STREAMS)
+    figures.figure('entry: KB an open stream', growth / KIB / OPEN_STREAMS)
 
 
 def _cpu_us(pid: int) -> float:
     """Return the processor time of a process, in microseconds."""
     stat = Path(f'/proc/{pid}/stat').read_text(encoding='ascii')
     fields = stat.rpartition(')')[2].split()
-    return (int(fields[UTIME]) + int(fields[STIME])) * MICRO / TICKS
+    return (int(fields[UTIME]) + int(fields[STIME])) * US_PER_S / TICKS_PER_S
 
 
 def _rss(pid: int) -> int:
     """Return the resident memory of a process, in bytes."""
     fields = Path(f'/proc/{pid}/statm').read_text(encoding='ascii').split()
-    return int(fields[1]) * PAGE
+    return int(fields[1]) * PAGE_BYTES
--- a/beryllug/bench/deployments.py
+++ b/beryllug/bench/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments: servers, zones, kinds of request and targets."""
+"""The benchmark deployments: servers, zones, request kinds and targets."""
 
 import pathlib
 from typing import NamedTuple, TypedDict
@@ -15,7 +15,7 @@
 MODEL = config_data.VersionRef('chat', 'v1')
 WEIGHT_SCALE = 20
 URGENT = frozenset(('lookup', 'hold', 'question'))
-DECLARED = pathlib.Path(__file__).with_name('deployments.json')
+DEPLOYMENTS_PATH = pathlib.Path(__file__).with_name('deployments.json')
 
 
 class Deployment(NamedTuple):
@@ -23,8 +23,8 @@
 
     Attributes:
         name: Its name.
-        kinds: What its load is made of.
-        view: The view that its entries have.
+        kinds: The kinds of request in its load.
+        view: The configuration view of its entry hosts.
         zones: Its availability zones.
     """
 
@@ -35,7 +35,7 @@
 
 
 class _Shape(TypedDict):
-    """One deployment as it is declared."""
+    """One deployment in ``deployments.json``."""
 
     zones: int
     runners: int
@@ -44,7 +44,7 @@
 
 
 class _Declared(TypedDict):
-    """The declared deployments and the targets of their classes."""
+    """The content of ``deployments.json``."""
 
     targets: tuple[config_data.Targets, ...]
     deployments: dict[str, _Shape]
@@ -52,7 +52,9 @@
 
 def load() -> tuple[Deployment, ...]:
     """Return the declared deployments."""
-    declared = msgspec.json.decode(DECLARED.read_bytes(), type=_Declared)
+    declared = msgspec.json.decode(
+        DEPLOYMENTS_PATH.read_bytes(), type=_Declared
+    )
     return tuple(
         _deployment(name, shape, declared['targets'])
         for name, shape in declared['deployments'].items()
@@ -60,9 +62,9 @@
 
 
 def capacity(deployment: Deployment) -> float:
-    """Return the requests a second at which the first pool is full.
+    """Return the requests per second that saturate the first pool.
 
-    Every slot busy, each batch full, every session's prefix cached.
+    This assumes full batches and that every session's prefix is cached.
     """
     rates = []
     for pool in deployment.view.document.pools:
@@ -71,21 +73,21 @@
             for server in deployment.view.servers
             if server.pool == pool.name
         ]
-        used_s = sum(
-            kind.part * _slot_s(kind)
+        busy_s = sum(
+            kind.fraction * _slot_s(kind)
             for kind in deployment.kinds
             if kind.pool == pool.name
         )
-        rates.append(len(servers) * pool.concurrency / used_s)
+        rates.append(len(servers) * pool.concurrency / busy_s)
     return min(rates)
 
 
 def _slot_s(kind: workload.Kind) -> float:
     if kind.plain:
-        return kind.tokens_out * engine.PLAIN_UNIT_S
+        return kind.tokens_out * engine.PLAIN_TOKEN_S
     prefill_s = workload.TURN_TOKENS * engine.PREFILL_TOKEN_S
-    alone_s = prefill_s + kind.tokens_out * engine.TOKEN_S
-    return alone_s * (1 + engine.BATCH_SLOWDOWN)
+    unbatched_s = prefill_s + kind.tokens_out * engine.TOKEN_S
+    return unbatched_s * (1 + engine.BATCH_SLOWDOWN)
 
 
 def _deployment(
@@ -121,9 +123,9 @@
             (),
             (MODEL,),
             services=(workload.PLAIN,),
-            weight=max(round(part * WEIGHT_SCALE), 1),
+            weight=max(round(fraction * WEIGHT_SCALE), 1),
         )
-        for number, part in enumerate(workload.account_parts())
+        for number, fraction in enumerate(workload.account_shares())
     )
 
 
--- a/beryllug/bench/engine.py
+++ b/beryllug/bench/engine.py
@@ -1,8 +1,8 @@
-"""A small queueing fake of a backend server.
+"""A queueing model of a backend server.
 
-It batches continuously up to its slots, keeps prompt prefixes in a limited
-cache, honours priorities in its queue and reports its load with a lag. What
-it leaves out is everything that no decision of the router reads.
+It models continuous batching up to a number of slots, a bounded prompt prefix
+cache and a priority queue. It leaves out whatever does not affect the
+decisions of the router.
 """
 
 import heapq
@@ -18,22 +18,23 @@
 TOKEN_S = 0.01
 PREFILL_TOKEN_S = 0.00025
 BATCH_SLOWDOWN = 1.0
-PLAIN_UNIT_S = 0.001
+PLAIN_TOKEN_S = 0.001
 REFUSE_S = 0.001
 
 
 class Job(NamedTuple):
-    """One attempt at a backend server.
+    """One attempt of a request on a backend server.
 
     Attributes:
         priority: Lower goes first in the queue.
-        tokens_in: Tokens of the prompt; 0 for a plain service.
-        tokens_out: Tokens of the answer, or milliseconds of a plain call.
-        prefixes: Cacheable beginnings of the prompt with their tokens, the
+        tokens_in: Prompt tokens; 0 for a plain service.
+        tokens_out: Tokens of the answer, or duration of a plain call in
+            milliseconds.
+        prefixes: Cacheable prompt prefixes with their lengths in tokens,
             longest first.
-        first: Called at the first token.
-        done: Called at the end.
-        failed: Called when it fails, with how.
+        first: Called on the first token.
+        done: Called when the answer is complete.
+        failed: Called with the kind of failure when the attempt fails.
     """
 
     priority: int
@@ -51,44 +52,45 @@
 
     Attributes:
         clock: The virtual clock.
-        slots: Requests in its batch at once.
-        cached: Most prefixes in its cache.
-        pace: Factor on all of its times; 10 for a server ten times slower.
+        slots: Most requests in the batch.
+        cache_size: Most prefixes in the cache.
+        slowdown: Factor on all service times; 10 is ten times slower.
         up: False while it refuses connections.
         running: Jobs in the batch.
-        queue: Jobs that wait.
-        cache: Cached prefixes, the least lately used first.
-        prefilled: Prompt tokens that it computed.
-        prompted: Prompt tokens that it was sent.
-        served: Jobs that it finished.
+        queue: Waiting jobs by priority, then order of arrival.
+        cache: Cached prefixes, least recently used first.
+        job_numbers: Numbers of the jobs, in order of arrival.
+        computed_tokens: Prompt tokens that were not cached.
+        prompt_tokens_sent: Prompt tokens of all started jobs.
+        served: Completed jobs.
     """
 
     clock: clock.Clock
     slots: int
-    cached: int
-    pace: float = 1.0
+    cache_size: int
+    slowdown: float = 1.0
     up: bool = True
     running: dict[int, Job] = field(default_factory=dict)
     queue: list[tuple[int, int, Job]] = field(default_factory=list)
     cache: OrderedDict[str, int] = field(default_factory=OrderedDict)
-    numbers: 'itertools.count[int]' = field(default_factory=itertools.count)
-    prefilled: int = 0
-    prompted: int = 0
+    job_numbers: 'itertools.count[int]' = field(default_factory=itertools.count)
+    computed_tokens: int = 0
+    prompt_tokens_sent: int = 0
     served: int = 0
 
 
 def submit(engine: Engine, job: Job) -> None:
-    """Take a job: run it, queue it, or refuse the connection."""
+    """Run a job, queue it, or refuse the connection."""
     if not engine.up:
-        engine.clock.after(REFUSE_S, job.failed, retry.Failure.NOT_SENT)
+        engine.clock.call_later(REFUSE_S, job.failed, retry.Failure.NOT_SENT)
         return
-    number = next(engine.numbers)
+    number = next(engine.job_numbers)
     heapq.heappush(engine.queue, (job.priority, number, job))
-    _fill(engine)
+    _start_queued(engine)
 
 
 def crash(engine: Engine) -> None:
-    """Lose every job and refuse connections from now on."""
+    """Fail every job and refuse connections until restarted."""
     engine.up = False
     lost = [*engine.running.values(), *(item[2] for item in engine.queue)]
     engine.running.clear()
@@ -99,30 +101,30 @@
 
 
 def restart(engine: Engine) -> None:
-    """Take jobs again, with an empty cache."""
+    """Accept jobs again; the cache is empty after a crash."""
     engine.up = True
 
 
-def _fill(engine: Engine) -> None:
+def _start_queued(engine: Engine) -> None:
     while engine.queue and len(engine.running) < engine.slots:
         _, number, job = heapq.heappop(engine.queue)
         engine.running[number] = job
         first_s, rest_s = _times(engine, job)
-        engine.clock.after(first_s, _first, engine, number)
-        engine.clock.after(first_s + rest_s, _done, engine, number)
+        engine.clock.call_later(first_s, _first_token, engine, number)
+        engine.clock.call_later(first_s + rest_s, _done, engine, number)
 
 
 def _times(engine: Engine, job: Job) -> tuple[float, float]:
-    """Return seconds to the first token, and from it to the end."""
+    """Return the seconds to the first token and from there to the end."""
     if not job.tokens_in:
-        return job.tokens_out * PLAIN_UNIT_S * engine.pace, 0
-    crowd = 1 + BATCH_SLOWDOWN * len(engine.running) / engine.slots
-    pace = crowd * engine.pace
+        return job.tokens_out * PLAIN_TOKEN_S * engine.slowdown, 0
+    batch_factor = 1 + BATCH_SLOWDOWN * len(engine.running) / engine.slots
+    slowdown = batch_factor * engine.slowdown
     prefill = _uncached(engine, job)
-    engine.prefilled += prefill
-    engine.prompted += job.tokens_in
-    first_s = (prefill * PREFILL_TOKEN_S + TOKEN_S) * pace
-    return first_s, (job.tokens_out - 1) * TOKEN_S * pace
+    engine.computed_tokens += prefill
+    engine.prompt_tokens_sent += job.tokens_in
+    first_s = (prefill * PREFILL_TOKEN_S + TOKEN_S) * slowdown
+    return first_s, (job.tokens_out - 1) * TOKEN_S * slowdown
 
 
 def _uncached(engine: Engine, job: Job) -> int:
@@ -130,12 +132,12 @@
     for prefix, tokens in job.prefixes:
         engine.cache[prefix] = tokens
         engine.cache.move_to_end(prefix)
-    while len(engine.cache) > engine.cached:
+    while len(engine.cache) > engine.cache_size:
         engine.cache.popitem(last=False)
     return job.tokens_in - max(hits, default=0)
 
 
-def _first(engine: Engine, number: int) -> None:
+def _first_token(engine: Engine, number: int) -> None:
     job = engine.running.get(number)
     if job is not None:
         job.first()
@@ -146,4 +148,4 @@
     if job is not None:
         engine.served += 1
         job.done()
-        _fill(engine)
+        _start_queued(engine)
--- a/beryllug/bench/journal_world.py
+++ b/beryllug/bench/journal_world.py
@@ -1,7 +1,7 @@
-"""One control process that owns every shard, over a store in memory.
+"""A control process that owns every shard, on an in-memory object store.
 
-The store answers after a few milliseconds, as the platform does, and counts
-its calls. No sockets are opened: what is measured is the journal.
+The store responds after a few milliseconds, like the platform, and counts its
+calls. No sockets are opened, so only the journal is measured.
 """
 
 import asyncio
@@ -31,93 +31,93 @@
 
 
 class MemoryApi:
-    """The object API over a store in memory; implements `ObjectApi`.
+    """An in-memory implementation of `ObjectApi` with a fixed delay.
 
     Attributes:
-        calls: Calls by kind.
-        sent: Bytes written.
+        calls: Number of calls by kind.
+        bytes_written: Bytes written.
     """
 
     def __init__(self) -> None:
         """Make an empty store."""
         self.calls: Counter[str] = Counter()
-        self.sent = 0
+        self.bytes_written = 0
         self._store = object_store.ObjectStore()
 
     async def read(self, key: str) -> object_data.Object | None:
         """Read an object."""
-        await self._take('read')
+        await self._count_call('read')
         return self._store.read(key)
 
     async def list_keys(self, prefix: str) -> object_data.Listing:
         """List keys."""
-        await self._take('list')
+        await self._count_call('list')
         return self._store.list_keys(prefix)
 
     async def write(
         self, key: str, value: bytes, expected_version: int | None
     ) -> int:
         """Write an object."""
-        self.sent += len(value)
-        await self._take('write')
+        self.bytes_written += len(value)
+        await self._count_call('write')
         return self._store.write(key, value, expected_version)
 
     async def delete(self, key: str, expected_version: int | None) -> int:
         """Delete an object."""
-        await self._take('delete')
+        await self._count_call('delete')
         return self._store.delete(key, expected_version)
 
     async def watch(
         self, prefix: str, after: int, wait_s: float
     ) -> object_data.WatchBatch:
-        """Return nothing: leases and journal do not watch."""
+        """Return an empty batch; leases and the journal do not watch."""
         await asyncio.sleep(wait_s)
         return object_data.WatchBatch(after, ())
 
-    async def _take(self, kind: str) -> None:
+    async def _count_call(self, kind: str) -> None:
         self.calls[kind] += 1
         await asyncio.sleep(DELAY_S)
 
 
-class World:
-    """A control process and the entry that sends rows to it.
+class JournalHarness:
+    """A control process and the client that sends rows to its journal.
 
     Attributes:
-        api: The store.
+        api: The object API.
         journal: The journal.
         begin_us: Added latency of an intent, in microseconds.
-        finish_us: Time of an outcome until it is acknowledged.
+        finish_us: Time until an outcome is acknowledged, in microseconds.
         refused: Intents that were not granted.
     """
 
     def __init__(self, cfg: settings_data.Control) -> None:
-        """Make the process; `start` runs it."""
+        """Make the process without starting it."""
         self.api = MemoryApi()
         members = membership.Membership(NAME, ADDRESS)
         owner = lease_data.Owner(NAME, BOOT, ADDRESS)
         calls = rpc_peers.Peers(fleet_key.KeyRing(('key',)))
         self._leases = leases.Leases(self.api, owner, cfg.lease_s, members)
-        parts = shards.Parts(self.api, self._leases, calls)
-        self.journal = journal.Journal(parts, cfg, BOOT)
+        shard_parts = shards.Parts(self.api, self._leases, calls)
+        self.journal = journal.Journal(shard_parts, cfg, BOOT)
         self._shards = cfg.shards
         self.begin_us = recorder.new_histogram()
         self.finish_us = recorder.new_histogram()
         self.refused = 0
 
     async def start(self) -> None:
-        """Start and wait until every shard is served."""
+        """Start and wait until every shard is serving."""
         await self._leases.start()
         await self.journal.start()
         while self._served() < self._shards:
             await asyncio.sleep(POLL_S)
 
     async def stop(self) -> None:
-        """Stop."""
+        """Stop the journal, then the leases."""
         await self.journal.stop(1)
         await self._leases.stop(1)
 
     async def request(self, name: str) -> None:
-        """Run one request that may not repeat, from intent to bill."""
+        """Record one non-repeatable request, from intent to outcome."""
         row = intent(name)
         started = time.perf_counter()
         batch = rpc_data.IntentBatch((row,))
@@ -150,7 +150,7 @@
 
 
 def outcome(row: journal_data.Row) -> journal_data.Row:
-    """Make the outcome of an intent, a bill of one stage."""
+    """Make the outcome of an intent, with the usage of one stage."""
     stage = journal_data.StageUse(
         'desk-small',
         '2026-11-30',
--- a/beryllug/bench/latency_bench.py
+++ b/beryllug/bench/latency_bench.py
@@ -1,9 +1,9 @@
-"""Latency of lookups and holds under load, a slow server and a flood.
+"""Latency under load, with a slow server and with a flooding account.
 
-Ratios are to round robin and to least connections over the same load, with the
-same admission, or to the same policy's quiet run. Two groups are kept apart:
-desk calls, which plain services answer, and questions, which model engines
-answer.
+Ratios compare with round robin and least connections under the same load and
+admission control, or with an undisturbed run of the same policy. Desk calls,
+which plain services answer, and questions, which model engines answer, are
+reported separately.
 """
 
 from typing import NamedTuple
@@ -27,27 +27,27 @@
 FULL_LOADS = (0.5, 0.8, 1.0, 1.3)
 FULL_SECONDS = 100.0
 FULL_SEEDS = (1, 2, 3)
-FLOOD = 5.0
+FLOOD_FACTOR = 5.0
 FLOOD_LOAD = 0.7
 SLOW_LOAD = 0.5
-SLOW_PACE = 10.0
+SLOWDOWN = 10.0
 SLOW_AT = 40.0
 PERCENTILES = (95, 99)
-LEAST_GOOD = 0.01
+MIN_GOOD_FRACTION = 0.01
 
 LEAST_COST = entry_host.Policy()
 BASELINES = (
     ('round robin', entry_host.Policy(balance_data.RoundRobin())),
     ('least connections', entry_host.Policy(balance_data.LeastConnections())),
 )
-UNLIMITED = (
+NO_ADMISSION = (
     'round robin, all admitted',
     entry_host.Policy(balance_data.RoundRobin(), admission=False),
 )
 
 
 class Scale(NamedTuple):
-    """How much is run: all of it, or a short form for the unit tests."""
+    """Size of the benchmark; unit tests use a smaller one."""
 
     seconds: float = FULL_SECONDS
     loads: tuple[float, ...] = FULL_LOADS
@@ -58,7 +58,7 @@
 
 
 def run(figures: report.Report, scale: Scale = FULL) -> list[str]:
-    """Run the benchmark and return its broken bounds."""
+    """Run the benchmark and return its violated bounds."""
     for deployment in deployments.load():
         for load in scale.loads:
             figures.section(f'{deployment.name} at {load} of capacity')
@@ -76,10 +76,10 @@
     load: float,
     scale: Scale,
 ) -> None:
-    ours = [_seen(replay.Run(deployment, LEAST_COST, load, scale.seconds))]
+    ours = [_replay(replay.Run(deployment, LEAST_COST, load, scale.seconds))]
     _absolute(figures, ours)
-    for name, policy in (*BASELINES, UNLIMITED):
-        theirs = _seen(replay.Run(deployment, policy, load, scale.seconds))
+    for name, policy in (*BASELINES, NO_ADMISSION):
+        theirs = _replay(replay.Run(deployment, policy, load, scale.seconds))
         _compare(figures, ours, [theirs], name)
     counts = recorder.total(ours)
     figures.declared('longest refusal s', counts.longest_refusal_s)
@@ -92,22 +92,22 @@
 ) -> None:
     quiet = replay.Run(deployment, LEAST_COST, SLOW_LOAD, scale.seconds)
     slow = quiet._replace(disturb=slow_server)
-    ours = [_seen(slow)]
+    ours = [_replay(slow)]
     _absolute(figures, ours)
-    _compare(figures, ours, [_seen(quiet)], 'quiet run')
+    _compare(figures, ours, [_replay(quiet)], 'quiet run')
     for name, policy in BASELINES:
-        theirs = _seen(slow._replace(policy=policy))
+        theirs = _replay(slow._replace(policy=policy))
         _compare(figures, ours, [theirs], name)
 
 
-def slow_server(world: entry_host.World) -> None:
-    """Make one server of each pool ten times slower from a second on."""
-    world.clock.after(SLOW_AT, _slow_down, world)
+def slow_server(simulation: entry_host.Simulation) -> None:
+    """Schedule a tenfold slowdown of one server in each pool."""
+    simulation.clock.call_later(SLOW_AT, _slow_down, simulation)
 
 
-def _slow_down(world: entry_host.World) -> None:
+def _slow_down(simulation: entry_host.Simulation) -> None:
     for pool in (deployments.RUNNERS, workload.PLAIN):
-        world.engines[f'{pool}-1'].pace = SLOW_PACE
+        simulation.engines[f'{pool}-1'].slowdown = SLOWDOWN
 
 
 def _flood(
@@ -115,20 +115,25 @@
     deployment: deployments.Deployment,
     scale: Scale,
 ) -> None:
-    """Compare the other accounts with their quiet run, over some seeds."""
+    """Compare the other accounts with an undisturbed run, for all seeds."""
     quiet = replay.Run(deployment, LEAST_COST, FLOOD_LOAD, scale.seconds)
-    calm = [_seen(quiet._replace(seed=seed)) for seed in scale.seeds]
-    rough = [
-        _seen(quiet._replace(seed=seed, flood=FLOOD)) for seed in scale.seeds
+    quiet_runs = [_replay(quiet._replace(seed=seed)) for seed in scale.seeds]
+    flood_runs = [
+        _replay(quiet._replace(seed=seed, flood=FLOOD_FACTOR))
+        for seed in scale.seeds
     ]
     for group, classes in GROUPS:
         for percent in PERCENTILES:
-            before = recorder.percentile_ms(calm, percent, classes, OTHERS)
-            after = recorder.percentile_ms(rough, percent, classes, OTHERS)
+            before = recorder.percentile_ms(
+                quiet_runs, percent, classes, OTHERS
+            )
+            after = recorder.percentile_ms(flood_runs, percent, classes, OTHERS)
             figures.declared(
                 f"others' {group} p{percent} over quiet run", after / before
             )
-        good = _good(rough, classes, OTHERS) / _good(calm, classes, OTHERS)
+        good = _good_fraction(flood_runs, classes, OTHERS) / _good_fraction(
+            quiet_runs, classes, OTHERS
+        )
         figures.declared(f"others' {group} good over quiet run", good)
 
 
@@ -137,8 +142,8 @@
         for percent in PERCENTILES:
             taken_ms = recorder.percentile_ms(ours, percent, classes)
             figures.declared(f'{group} p{percent} ms', taken_ms)
-        figures.declared(f'{group} good', _good(ours, classes))
-    figures.declared('report good', _good(ours, REPORTS))
+        figures.declared(f'{group} good', _good_fraction(ours, classes))
+    figures.declared('report good', _good_fraction(ours, REPORTS))
 
 
 def _compare(
@@ -152,18 +157,20 @@
             mine = recorder.percentile_ms(ours, percent, classes)
             other = recorder.percentile_ms(theirs, percent, classes)
             figures.declared(f'{group} p{percent} over {name}', mine / other)
-        good = _good(ours, classes) / max(_good(theirs, classes), LEAST_GOOD)
+        good = _good_fraction(ours, classes) / max(
+            _good_fraction(theirs, classes), MIN_GOOD_FRACTION
+        )
         figures.declared(f'{group} good over {name}', good)
 
 
-def _good(
-    seen: list[recorder.Recorder],
+def _good_fraction(
+    recorders: list[recorder.Recorder],
     classes: frozenset[str],
     accounts: frozenset[int] | None = None,
 ) -> float:
-    counts = recorder.total(seen, classes, accounts)
+    counts = recorder.total(recorders, classes, accounts)
     return counts.good / counts.offered
 
 
-def _seen(plan: replay.Run) -> recorder.Recorder:
-    return replay.replay(plan).seen
+def _replay(plan: replay.Run) -> recorder.Recorder:
+    return replay.replay(plan).recording
--- a/beryllug/bench/overload_bench.py
+++ b/beryllug/bench/overload_bench.py
@@ -1,9 +1,9 @@
-"""Goodput far above capacity, and a full outage of a pool with its return.
+"""Goodput above capacity, and during and after a full outage of a pool.
 
-Goodput is answers within their target a second. Above capacity it must stay
-near its peak: a router that takes everything answers nothing in time. In an
-outage the attempts a request stay near one, and after it the pool must not be
-held down by what piled up.
+Goodput is the number of answers within their target per second. Above capacity
+it must stay near its peak; a router that admits every request would answer none
+in time. During an outage attempts per request must stay near one, and after it
+the backlog must not keep the pool overloaded.
 """
 
 from typing import NamedTuple
@@ -23,16 +23,16 @@
 OUTAGE_LOAD = 0.8
 OUTAGE_AT = 40.0
 OUTAGE_S = 20.0
-BACK_S = 20.0
+RECOVERY_S = 20.0
 
 LEAST_COST = entry_host.Policy()
-STORM = entry_host.Policy(
+RETRY_STORM = entry_host.Policy(
     balance_data.RoundRobin(), admission=False, retries=False
 )
 
 
 class Scale(NamedTuple):
-    """How much is run: all of it, or a short form for the unit tests."""
+    """Size of the benchmark; unit tests use a smaller one."""
 
     seconds: float = FULL_SECONDS
     loads: tuple[float, ...] = FULL_LOADS
@@ -42,7 +42,7 @@
 
 
 def run(figures: report.Report, scale: Scale = FULL) -> list[str]:
-    """Run the benchmark and return its broken bounds."""
+    """Run the benchmark and return its violated bounds."""
     for deployment in deployments.load():
         figures.section(f'{deployment.name} above capacity')
         _goodput(figures, deployment, scale)
@@ -59,7 +59,7 @@
     good = []
     for load in scale.loads:
         plan = replay.Run(deployment, LEAST_COST, load, scale.seconds)
-        counts = recorder.total([replay.replay(plan).seen])
+        counts = recorder.total([replay.replay(plan).recording])
         good.append(counts.good / scale.seconds)
         figures.figure(f'good answers a second at {load}', good[-1])
         figures.declared(
@@ -69,7 +69,7 @@
 
 
 def _outage(figures: report.Report, deployment: deployments.Deployment) -> None:
-    down = replay.Run(
+    during_outage = replay.Run(
         deployment,
         LEAST_COST,
         OUTAGE_LOAD,
@@ -77,18 +77,27 @@
         disturb=outage,
         warm_up=OUTAGE_AT,
     )
-    back = down._replace(warm_up=OUTAGE_AT + OUTAGE_S, seconds=BACK_S)
-    quiet = back._replace(disturb=None)
-    calm = _engine_counts(quiet)
-    for name, policy in (('', LEAST_COST), ('storm ', STORM)):
-        during = _engine_counts(down._replace(policy=policy))
-        after = _engine_counts(back._replace(policy=policy))
-        _attempts(figures, f'{name}attempts a request in the outage', during)
-        _attempts(figures, f'{name}attempts a request after it', after)
+    recovery = during_outage._replace(
+        warm_up=OUTAGE_AT + OUTAGE_S, seconds=RECOVERY_S
+    )
+    quiet = recovery._replace(disturb=None)
+    quiet_counts = _engine_counts(quiet)
+    for name, policy in (('', LEAST_COST), ('storm ', RETRY_STORM)):
+        outage_counts = _engine_counts(during_outage._replace(policy=policy))
+        recovery_counts = _engine_counts(recovery._replace(policy=policy))
+        _attempts(
+            figures, f'{name}attempts a request in the outage', outage_counts
+        )
+        _attempts(
+            figures, f'{name}attempts a request after it', recovery_counts
+        )
         figures.declared(
-            f'{name}good after it over quiet run', after.good / calm.good
+            f'{name}good after it over quiet run',
+            recovery_counts.good / quiet_counts.good,
+        )
+        figures.declared(
+            f'{name}longest refusal s', outage_counts.longest_refusal_s
         )
-        figures.declared(f'{name}longest refusal s', during.longest_refusal_s)
 
 
 def _attempts(
@@ -97,21 +106,23 @@
     figures.declared(name, counts.attempts / max(counts.tried, 1))
 
 
-def outage(world: entry_host.World) -> None:
-    """Lose every model engine, and get all of them back together."""
+def outage(simulation: entry_host.Simulation) -> None:
+    """Schedule a crash of every model engine and a simultaneous restart."""
     engines = [
-        one
-        for name, one in world.engines.items()
+        server
+        for name, server in simulation.engines.items()
         if name.startswith(deployments.RUNNERS)
     ]
-    for one in engines:
-        world.clock.after(OUTAGE_AT, engine.crash, one)
-        world.clock.after(OUTAGE_AT + OUTAGE_S, engine.restart, one)
+    for server in engines:
+        simulation.clock.call_later(OUTAGE_AT, engine.crash, server)
+        simulation.clock.call_later(
+            OUTAGE_AT + OUTAGE_S, engine.restart, server
+        )
 
 
 def _engine_counts(plan: replay.Run) -> recorder.Counts:
-    world = replay.replay(plan)
+    simulation = replay.replay(plan)
     classes = frozenset(
         kind.request_class for kind in plan.deployment.kinds if not kind.plain
     )
-    return recorder.total([world.seen], classes)
+    return recorder.total([simulation.recording], classes)
--- a/beryllug/bench/passthrough.py
+++ b/beryllug/bench/passthrough.py
@@ -1,8 +1,8 @@
-"""The floor: a bare pass-through on asyncio and h11, without any decision.
+"""A minimal pass-through proxy on asyncio and h11, as the cost baseline.
 
 ``python -m beryllug.bench.passthrough LISTEN BACKEND`` forwards each request
-to one server and its answer back as it comes. What an entry process costs
-above this is what its decisions cost.
+to one server and streams the answer back. The cost of an entry process above
+this baseline is the cost of routing.
 """
 
 import asyncio
@@ -14,8 +14,10 @@
 READ_SIZE = 65536
 
 
-async def _events(conn: h11.Connection, reader: asyncio.StreamReader) -> Any:
-    """Read until there is something, and return all events of it."""
+async def _read_events(
+    conn: h11.Connection, reader: asyncio.StreamReader
+) -> Any:
+    """Return all available events, reading until there is at least one."""
     found: list[Any] = []
     while True:
         event = conn.next_event()
@@ -31,13 +33,13 @@
                 return found
 
 
-async def _copy(
+async def _copy_message(
     source: tuple[h11.Connection, asyncio.StreamReader],
     target: tuple[h11.Connection, asyncio.StreamWriter],
 ) -> bool:
-    """Copy one message; returns False when the connection was closed."""
+    """Copy one message; return False if the connection was closed."""
     while True:
-        events = await _events(*source)
+        events = await _read_events(*source)
         for event in events:
             if isinstance(event, h11.ConnectionClosed):
                 return False
@@ -51,19 +53,21 @@
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     host, _, port = sys.argv[2].rpartition(':')
-    back_reader, back_writer = await asyncio.open_connection(host, int(port))
-    front = h11.Connection(h11.SERVER)
-    back = h11.Connection(h11.CLIENT)
+    backend_reader, backend_writer = await asyncio.open_connection(
+        host, int(port)
+    )
+    client = h11.Connection(h11.SERVER)
+    backend = h11.Connection(h11.CLIENT)
     try:
-        while await _copy((front, reader), (back, back_writer)):
-            await _copy((back, back_reader), (front, writer))
-            front.start_next_cycle()
-            back.start_next_cycle()
+        while await _copy_message((client, reader), (backend, backend_writer)):
+            await _copy_message((backend, backend_reader), (client, writer))
+            client.start_next_cycle()
+            backend.start_next_cycle()
     except ConnectionError:
         return
     finally:
         writer.close()
-        back_writer.close()
+        backend_writer.close()
 
 
 async def _main() -> None:
--- a/beryllug/bench/quality.py
+++ b/beryllug/bench/quality.py
@@ -1,10 +1,10 @@
-"""A seeded truth about answers, and a rating service that reads it.
+"""Seeded ground truth for answer quality, and a simulated rating service.
 
-Whether the small model suffices depends on the kind of request, the client
-account and chance; a request that the small model fails is harder for the
-large one as well. The true rating of an answer is drawn around a good or a
-poor level and is not normal, as the learner takes it to be. Faults of the
-rating service begin half way through a run or stand from its start.
+Whether the small model gives a good answer depends on the kind of request, the
+client account and chance; if it does not, the large model is less likely to as
+well. True ratings follow a beta distribution for good or for poor answers, not
+the normal distribution that the learner assumes. Faults of the rating service
+begin at a set time of the run.
 """
 
 import math
@@ -18,38 +18,38 @@
 
 from beryllug.bench import workload
 
-DECLARED = pathlib.Path(__file__).with_name('quality.json')
-ACCOUNT_SPREAD = 0.6
-HARDER = 1.0
-GOOD_SHAPE = (14.0, 2.5)
-POOR_SHAPE = (5.0, 5.0)
-WRONG_SHAPE = (2.0, 25.0)
-NOISE = 0.08
-TOKENS_SPREAD = 0.5
-LEAST_TOKENS = 8
+QUALITY_PATH = pathlib.Path(__file__).with_name('quality.json')
+ACCOUNT_LOGIT_SIGMA = 0.6
+LARGE_MODEL_LOGIT_PENALTY = 1.0
+GOOD_BETA = (14.0, 2.5)
+POOR_BETA = (5.0, 5.0)
+MISMATCHED_BETA = (2.0, 25.0)
+NOISE_SIGMA = 0.08
+TOKENS_SIGMA = 0.5
+MIN_TOKENS = 8
 DELAY_S = 0.3
-DELAY_SPREAD = 0.3
-BIAS = 0.2
-DROP = 0.4
-FLAT = 0.8
-SLOW = 60.0
+DELAY_SIGMA = 0.3
+HIGH_BIAS = 0.2
+LOW_BIAS = 0.4
+FLAT_RATING = 0.8
+SLOW_DELAY_S = 60.0
 
 
 class Kind(NamedTuple):
-    """One kind of request that is asked of the cascade.
+    """One kind of request to the cascade.
 
     Attributes:
-        name: Its name, and its class of targets.
-        part: Part of the requests.
-        small: Chance that the small model's answer is good.
-        large: Chance that the large model's answer is good.
+        name: Its name and the name of its request class.
+        fraction: Fraction of all requests.
+        small: Probability that the answer of the small model is good.
+        large: Probability that the answer of the large model is good.
         tokens: Mean tokens of an answer.
-        first_token_ms: Target of the first token.
-        total_ms: Target of the whole answer.
+        first_token_ms: Target time to the first token.
+        total_ms: Target time of the whole answer.
     """
 
     name: str
-    part: float
+    fraction: float
     small: float
     large: float
     tokens: int
@@ -62,8 +62,8 @@
 
     Attributes:
         name: Its name.
-        cost_micro: Price of a thousand tokens.
-        token_s: Seconds a token.
+        cost_micro: Price of a thousand tokens, in millionths.
+        token_s: Seconds per token.
         first_token_s: Seconds to the first token.
     """
 
@@ -74,7 +74,7 @@
 
 
 class Declared(TypedDict):
-    """The file's content."""
+    """The content of ``quality.json``."""
 
     min_rating: float
     kinds: tuple[Kind, ...]
@@ -82,7 +82,7 @@
 
 
 class Fault(StrEnum):
-    """What is wrong with the rating service."""
+    """A fault of the rating service."""
 
     NONE = 'healthy'
     SLOW = 'slow'
@@ -94,15 +94,15 @@
 
 
 class Case(NamedTuple):
-    """One request with what no policy knows of it.
+    """One request with its ground truth, which policies cannot see.
 
     Attributes:
-        number: Its number.
-        at: Second of its arrival.
+        number: Sequence number.
+        at: Arrival time.
         account: Number of the client account.
-        kind: What it is.
+        kind: Its kind.
         tokens: Tokens of an answer.
-        ratings: True rating of each model's answer.
+        ratings: True rating of the answer of each model.
     """
 
     number: int
@@ -114,13 +114,13 @@
 
 
 @dataclass(slots=True)
-class Rater:
-    """The rating service.
+class RatingService:
+    """A simulated rating service.
 
     Attributes:
-        rng: Source of its noise.
-        fault: What is wrong with it.
-        since: Second from which that is so.
+        rng: Source of noise and delays.
+        fault: Its fault.
+        since: Time at which the fault begins.
     """
 
     rng: random.Random
@@ -130,7 +130,7 @@
 
 def load() -> Declared:
     """Return the declared kinds and models."""
-    return msgspec.json.decode(DECLARED.read_bytes(), type=Declared)
+    return msgspec.json.decode(QUALITY_PATH.read_bytes(), type=Declared)
 
 
 def cases(
@@ -138,9 +138,9 @@
 ) -> list[Case]:
     """Draw the requests of a run."""
     rng = random.Random(seed)
-    parts = workload.account_parts()
+    parts = workload.account_shares()
     shifts = {
-        (account, kind.name): rng.gauss(0, ACCOUNT_SPREAD)
+        (account, kind.name): rng.gauss(0, ACCOUNT_LOGIT_SIGMA)
         for account in range(workload.ACCOUNTS)
         for kind in declared['kinds']
     }
@@ -149,7 +149,7 @@
     while at < until:
         account = rng.choices(range(workload.ACCOUNTS), parts)[0]
         kind = rng.choices(
-            declared['kinds'], [kind.part for kind in declared['kinds']]
+            declared['kinds'], [kind.fraction for kind in declared['kinds']]
         )[0]
         shift = shifts[(account, kind.name)]
         drawn.append(
@@ -167,58 +167,58 @@
 
 
 def rate(
-    rater: Rater, model: int, true_rating: float, now: float
+    rater: RatingService, model: int, true_rating: float, now: float
 ) -> tuple[float | None, float]:
     """Rate an answer.
 
     Args:
         rater: The service.
-        model: Number of the model that answered; 0 is the small one.
+        model: Index of the model that answered; 0 is the small one.
         true_rating: The answer's true rating.
-        now: The present second.
+        now: The current time.
 
     Returns:
-        The rating, or None when the service is gone, and seconds until then.
+        The rating, or None when the service is down, and the delay in seconds.
     """
-    delay_s = DELAY_S * rater.rng.lognormvariate(0, DELAY_SPREAD)
-    noisy = true_rating + rater.rng.gauss(0, NOISE)
+    delay_s = DELAY_S * rater.rng.lognormvariate(0, DELAY_SIGMA)
+    measured = true_rating + rater.rng.gauss(0, NOISE_SIGMA)
     match rater.fault if now >= rater.since else Fault.NONE:
         case Fault.SLOW:
-            delay_s += SLOW
+            delay_s += SLOW_DELAY_S
         case Fault.GONE:
             return None, delay_s
         case Fault.HIGH:
-            noisy += BIAS
+            measured += HIGH_BIAS
         case Fault.LOW:
-            noisy -= DROP
+            measured -= LOW_BIAS
         case Fault.PARTIAL if model == 0:
-            noisy += BIAS
+            measured += HIGH_BIAS
         case Fault.FLAT:
-            noisy += FLAT - true_rating
-    return min(max(noisy, 0), 1), delay_s
+            measured += FLAT_RATING - true_rating
+    return min(max(measured, 0), 1), delay_s
 
 
-def wrong_rating(rater: Rater) -> float:
-    """Draw the true rating of an answer put to another request."""
-    return rater.rng.betavariate(*WRONG_SHAPE)
+def mismatched_rating(rater: RatingService) -> float:
+    """Draw the true rating of an answer to a different request."""
+    return rater.rng.betavariate(*MISMATCHED_BETA)
 
 
 def _tokens(kind: Kind, rng: random.Random) -> int:
-    spread = rng.lognormvariate(-(TOKENS_SPREAD**2) / 2, TOKENS_SPREAD)
-    return max(int(kind.tokens * spread), LEAST_TOKENS)
+    spread = rng.lognormvariate(-(TOKENS_SIGMA**2) / 2, TOKENS_SIGMA)
+    return max(int(kind.tokens * spread), MIN_TOKENS)
 
 
 def _ratings(kind: Kind, shift: float, rng: random.Random) -> tuple[float, ...]:
-    small_good = rng.random() < _shifted(kind.small, shift)
-    harder = 0 if small_good else -HARDER
-    large_good = rng.random() < _shifted(kind.large, shift / 2 + harder)
+    small_good = rng.random() < _shift_logit(kind.small, shift)
+    penalty = 0 if small_good else -LARGE_MODEL_LOGIT_PENALTY
+    large_good = rng.random() < _shift_logit(kind.large, shift / 2 + penalty)
     return _rating(small_good, rng), _rating(large_good, rng)
 
 
 def _rating(good: bool, rng: random.Random) -> float:
-    return rng.betavariate(*(GOOD_SHAPE if good else POOR_SHAPE))
+    return rng.betavariate(*(GOOD_BETA if good else POOR_BETA))
 
 
-def _shifted(chance: float, shift: float) -> float:
+def _shift_logit(chance: float, shift: float) -> float:
     logit = math.log(chance / (1 - chance)) + shift
     return 1 / (1 + math.exp(-logit))
--- a/beryllug/bench/quality_run.py
+++ b/beryllug/bench/quality_run.py
@@ -1,4 +1,4 @@
-"""Replays requests to a cascade through eight hosts that learn apart."""
+"""Replays cascade requests through eight hosts with separate learners."""
 
 import random
 from dataclasses import dataclass, field
@@ -15,19 +15,19 @@
 PER_S = 10.0
 TOKENS_IN = 700
 MS = 1000
-THOUSAND = 1000
+TOKENS_PER_PRICE = 1000
 
 
 class Plan(NamedTuple):
-    """What one run is made of.
+    """Parameters of one run.
 
     Attributes:
         policy: The policy under test.
         seconds: Length of the run.
         seed: Seed of the requests.
         target: Quality target of the cascade.
-        fault: What is wrong with the rating service.
-        fault_at: Second from which it is.
+        fault: Fault of the rating service.
+        fault_at: Time at which the fault begins.
     """
 
     policy: cascade_data.CascadePolicy
@@ -40,15 +40,15 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What the callers got.
+    """Quality, cost and lateness of the answers.
 
     Attributes:
-        answers: Answers given out.
-        good: Answers whose true rating meets the cascade's least.
+        answers: Answers returned to callers.
+        good: Answers whose true rating reaches the minimum.
         cost: Cost of all stages and ratings, in millionths.
-        late: Answers after their target.
-        small: Answers of the small model.
-        checked: Requests whose small answer was rated first.
+        late: Answers whose first token missed its target.
+        small: Answers by the small model.
+        checked: Requests whose first answer was rated before its return.
     """
 
     answers: int = 0
@@ -66,20 +66,22 @@
     plan: Plan
     declared: quality.Declared
     clock: clock.Clock
-    rater: quality.Rater
+    rater: quality.RatingService
     rng: random.Random
     states: list[cascade_data.CascadeState]
     outcomes: list[Outcome] = field(default_factory=list)
 
 
 def replay(plan: Plan, parts: int = 1) -> list[Outcome]:
-    """Run a plan; returns the outcome of each of so many equal parts."""
+    """Run a plan and return the outcome of each of `parts` equal intervals."""
     declared = quality.load()
     run = _Run(
         plan,
         declared,
         clock.Clock(),
-        quality.Rater(random.Random(plan.seed), plan.fault, plan.fault_at),
+        quality.RatingService(
+            random.Random(plan.seed), plan.fault, plan.fault_at
+        ),
         random.Random(plan.seed),
         [cascade_data.CascadeState() for _ in range(deployments.ENTRIES)],
         [Outcome() for _ in range(parts)],
@@ -97,7 +99,7 @@
     question = _question(run, case, 0)
     begin = cascade.begin(policy, state, question, case.at)
     if not begin.checked:
-        _give(
+        _return_answer(
             run,
             case,
             state,
@@ -116,11 +118,11 @@
     cascade.learn(state, question, answer, escalated=False)
     if isinstance(decision, cascade_data.GiveOut):
         given = cascade_data.Given(question, answer, escalated=False)
-        _give(run, case, state, given)
+        _return_answer(run, case, state, given)
         return
     _outcome(run, case).cost += _cost(run, case, begin.stage)
     given = cascade_data.Given(question, _answer(decision), escalated=True)
-    _give(run, case, state, given)
+    _return_answer(run, case, state, given)
 
 
 def _rate_again(
@@ -129,7 +131,7 @@
     state: cascade_data.CascadeState,
     answer: cascade_data.Answer,
 ) -> tuple[cascade_data.Answer, float]:
-    rating, taken_s = _rate(run, case, state, answer.stage)
+    rating, taken_s = _rate_in_line(run, case, state, answer.stage)
     if rating is None:
         ratings = max(answer.ratings, 1)
         return answer._replace(ratings=ratings), taken_s
@@ -138,7 +140,7 @@
     return cascade_data.Answer(answer.stage, mean, count), taken_s
 
 
-def _give(
+def _return_answer(
     run: _Run,
     case: quality.Case,
     state: cascade_data.CascadeState,
@@ -152,8 +154,8 @@
     outcome.cost += _cost(run, case, stage)
     outcome.small += stage == 0
     rated = given.answer.rating is not None
-    waits_s = 0 if rated else offer.first_token_s
-    outcome.late += waits_s > given.question.first_token_left_s
+    wait_s = 0 if rated else offer.first_token_s
+    outcome.late += wait_s > given.question.first_token_left_s
     cascade.given_out(state, given.question, given.answer, given.escalated)
     drawn = cascade.sample(
         run.plan.policy, state, given, case.at, run.rng.random()
@@ -162,20 +164,20 @@
         _rate_later(run, case, state, (given, drawn))
 
 
-def _rate(
+def _rate_in_line(
     run: _Run,
     case: quality.Case,
     state: cascade_data.CascadeState,
     stage: int,
 ) -> tuple[float | None, float]:
-    """Have an answer rated while its caller waits."""
+    """Rate an answer while its caller waits."""
     longest_s = rating_health.longest_s(state.judge)
-    rating, delay_s = _ask(run, case, stage)
+    rating, delay_s = _call_rater(run, case, stage)
     if rating is None or delay_s > longest_s:
         rating_health.missed(state.judge, min(delay_s, longest_s), case.at)
         return None, longest_s
     rating_health.rated(state.judge, delay_s)
-    _probe(run, case, state, (stage, rating))
+    _probe_rater(run, case, state, (stage, rating))
     return rating, delay_s
 
 
@@ -187,16 +189,18 @@
 ) -> None:
     given, drawn = sampled
     stage = given.answer.stage
-    rating, delay_s = _ask(run, case, stage)
+    rating, delay_s = _call_rater(run, case, stage)
     if rating is None:
         rating_health.missed(state.judge, 0, case.at)
         return
-    run.clock.after(delay_s, cascade.take_sample, state, given, drawn, rating)
-    run.clock.after(delay_s, rating_health.rated, state.judge, delay_s)
-    _probe(run, case, state, (stage, rating))
+    run.clock.call_later(
+        delay_s, cascade.take_sample, state, given, drawn, rating
+    )
+    run.clock.call_later(delay_s, rating_health.rated, state.judge, delay_s)
+    _probe_rater(run, case, state, (stage, rating))
 
 
-def _probe(
+def _probe_rater(
     run: _Run,
     case: quality.Case,
     state: cascade_data.CascadeState,
@@ -207,21 +211,21 @@
     stage, first = rated
     match rating_health.probe(run.rng.random()):
         case rating_health.Probe.REPEAT:
-            second, _ = _ask(run, case, stage)
+            second, _ = _call_rater(run, case, stage)
             if second is not None:
                 rating_health.repeated(state.judge, first, second)
         case rating_health.Probe.MISMATCH:
-            wrong = quality.wrong_rating(run.rater)
-            mismatched, _ = _ask(run, case, stage, wrong)
+            wrong = quality.mismatched_rating(run.rater)
+            mismatched, _ = _call_rater(run, case, stage, wrong)
             model = run.declared['models'][stage].name
             if mismatched is not None:
                 rating_health.mismatched(state.judge, model, mismatched)
 
 
-def _ask(
+def _call_rater(
     run: _Run, case: quality.Case, stage: int, wrong: float | None = None
 ) -> tuple[float | None, float]:
-    """Ask the rating service, at its price."""
+    """Call the rating service and add the cost of the call."""
     strong = _question(run, case, 0).offers[-1]
     _outcome(run, case).cost += strong.cost * cascade.RATING_COST_PART
     known = case.ratings[stage] if wrong is None else wrong
@@ -229,9 +233,9 @@
 
 
 def _cost(run: _Run, case: quality.Case, stage: int) -> float:
-    """Return what an answer cost, by its own tokens."""
+    """Return the cost of an answer, by its actual tokens."""
     model = run.declared['models'][stage]
-    return (TOKENS_IN + case.tokens) * model.cost_micro / THOUSAND
+    return (TOKENS_IN + case.tokens) * model.cost_micro / TOKENS_PER_PRICE
 
 
 def _question(
@@ -241,7 +245,9 @@
     offers = tuple(
         cascade_data.Offer(
             model.name,
-            cost=(TOKENS_IN + case.kind.tokens) * model.cost_micro / THOUSAND,
+            cost=(TOKENS_IN + case.kind.tokens)
+            * model.cost_micro
+            / TOKENS_PER_PRICE,
             first_token_s=model.first_token_s,
             whole_s=model.first_token_s + case.kind.tokens * model.token_s,
         )
@@ -265,5 +271,5 @@
 
 
 def _outcome(run: _Run, case: quality.Case) -> Outcome:
-    part = int(case.at / run.plan.seconds * len(run.outcomes))
-    return run.outcomes[part]
+    interval = int(case.at / run.plan.seconds * len(run.outcomes))
+    return run.outcomes[interval]
--- a/beryllug/bench/recorder.py
+++ b/beryllug/bench/recorder.py
@@ -1,4 +1,4 @@
-"""What callers got in one run: counts, and histograms of latency."""
+"""Counts and latency histograms of the requests of one run."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -8,29 +8,29 @@
 from beryllug.bench import workload
 from beryllug.core import config_data
 
-LEAST_US = 1
-MOST_US = 600000000
-FIGURES = 3
-MICRO = 1000000
+MIN_US = 1
+MAX_US = 600000000
+SIGNIFICANT_DIGITS = 3
+US_PER_S = 1000000
 MS = 1000
 
 
 def new_histogram() -> histogram.HdrHistogram:
     """Return an empty histogram of microseconds."""
-    return histogram.HdrHistogram(LEAST_US, MOST_US, FIGURES)
+    return histogram.HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
 
 
 @dataclass(slots=True)
 class Counts:
-    """Counts of one group of requests.
+    """Counts of a group of requests.
 
     Attributes:
         offered: Requests that arrived.
         good: Requests answered within their target.
         late: Requests answered after their target.
-        refused: Requests refused as not run.
-        failed: Requests that ended in an error or unknown.
-        tried: Requests that were dispatched at least once.
+        refused: Requests refused without having run.
+        failed: Requests that ended in an error or with unknown outcome.
+        tried: Requests dispatched at least once.
         attempts: Dispatches to backend servers.
         longest_refusal_s: Longest time from arrival to a refusal.
     """
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Recorder:
-    """Takes what happens to requests that arrive inside a window.
+    """Records the outcomes of requests that arrive within a window.
 
     Attributes:
         since: Start of the window, after the warm-up.
@@ -64,10 +64,10 @@
     counts: dict[tuple[int, str], Counts] = field(default_factory=dict)
 
     def group(self, req: workload.Request) -> Counts | None:
-        """Return the counts that a request belongs to; None outside."""
+        """Return the counts for a request; None outside of the window."""
         if not self.since <= req.at < self.until:
             return None
-        return self.counts.setdefault(_key(req), Counts())
+        return self.counts.setdefault(_group_key(req), Counts())
 
     def answered(
         self,
@@ -76,7 +76,7 @@
         asked_at: float,
         now: float,
     ) -> None:
-        """Take a first token of a request that was last asked at a second."""
+        """Record a first token; `asked_at` is the latest submission."""
         group = self.group(req)
         if group is None:
             return
@@ -85,16 +85,16 @@
             group.good += 1
         else:
             group.late += 1
-        kept = self.first.get(_key(req))
-        if kept is None:
-            kept = new_histogram()
-            self.first[_key(req)] = kept
-        kept.record_value(max(int(taken_s * MICRO), LEAST_US))
+        hist = self.first.get(_group_key(req))
+        if hist is None:
+            hist = new_histogram()
+            self.first[_group_key(req)] = hist
+        hist.record_value(max(int(taken_s * US_PER_S), MIN_US))
 
     def refused(
         self, req: workload.Request, asked_at: float, now: float
     ) -> None:
-        """Take a refusal that the caller gives up on."""
+        """Record a refusal after which the caller does not retry."""
         group = self.group(req)
         if group is not None:
             group.refused += 1
@@ -108,13 +108,13 @@
     classes: frozenset[str],
     accounts: frozenset[int] | None = None,
 ) -> float:
-    """Return a percentile of time to first token over groups."""
+    """Return a percentile of the time to first token over groups."""
     merged = new_histogram()
-    for one in recorders:
-        for (account, request_class), kept in one.first.items():
+    for rec in recorders:
+        for (account, request_class), hist in rec.first.items():
             if request_class in classes:
                 if accounts is None or account in accounts:
-                    merged.add(kept)
+                    merged.add(hist)
     return float(merged.get_value_at_percentile(percent)) / MS
 
 
@@ -125,8 +125,8 @@
 ) -> Counts:
     """Return the sum of counts over groups."""
     result = Counts()
-    for one in recorders:
-        for (account, request_class), counts in one.counts.items():
+    for rec in recorders:
+        for (account, request_class), counts in rec.counts.items():
             if classes is None or request_class in classes:
                 if accounts is None or account in accounts:
                     _add(result, counts)
@@ -146,5 +146,5 @@
     )
 
 
-def _key(req: workload.Request) -> tuple[int, str]:
+def _group_key(req: workload.Request) -> tuple[int, str]:
     return req.account, req.kind.request_class
--- a/beryllug/bench/replay.py
+++ b/beryllug/bench/replay.py
@@ -1,4 +1,4 @@
-"""One run: a seeded load through eight entry hosts and the fake servers."""
+"""Simulates a seeded load on eight entry hosts and model servers."""
 
 import random
 from collections.abc import Callable
@@ -14,27 +14,27 @@
 )
 from beryllug.core import view_data
 
-CACHED_PREFIXES = 40
+PREFIX_CACHE_SIZE = 40
 REPORT_EVERY_S = 0.5
 REPORT_LAG_S = 0.5
 WARM_UP_S = 20.0
 DRAIN_S = 40.0
 
-Disturb = Callable[[entry_host.World], None]
+Disturbance = Callable[[entry_host.Simulation], None]
 
 
 class Run(NamedTuple):
-    """What one run is made of.
+    """Parameters of one run.
 
     Attributes:
         deployment: The deployment.
         policy: The policy under test.
-        load: Arrivals over the deployment's capacity.
+        load: Arrival rate relative to the capacity of the deployment.
         seconds: Length of the measured window.
         seed: Seed of the load.
-        disturb: Plans faults on the world's clock, or None.
-        flood: Factor on the first account's requests in the window.
-        warm_up: Length of the run before the window.
+        disturb: Schedules faults on the virtual clock, or None.
+        flood: Factor on the first account's rate in the window.
+        warm_up: Length of the warm-up before the window.
     """
 
     deployment: deployments.Deployment
@@ -42,18 +42,20 @@
     load: float
     seconds: float = 120.0
     seed: int = 1
-    disturb: Disturb | None = None
+    disturb: Disturbance | None = None
     flood: float = 1.0
     warm_up: float = WARM_UP_S
 
 
-def replay(run: Run) -> entry_host.World:
-    """Run a load to its end and return the world it leaves."""
+def replay(run: Run) -> entry_host.Simulation:
+    """Run a load to its end and return the final simulation state."""
     until = run.warm_up + run.seconds
-    world = _world(run.deployment, recorder.Recorder(run.warm_up, until))
-    world.hosts = [
+    simulation = _new_simulation(
+        run.deployment, recorder.Recorder(run.warm_up, until)
+    )
+    simulation.hosts = [
         entry_host.EntryHost(
-            world,
+            simulation,
             f'entry-{number}',
             run.deployment.zones[number % len(run.deployment.zones)],
             run.policy,
@@ -62,8 +64,8 @@
     ]
     rate = workload.Rate(
         run.load * deployments.capacity(run.deployment),
-        # The load goes on after the window, or what was refused in it would
-        # come back to an idle deployment.
+        # The load continues after the window; otherwise requests refused
+        # in it would be retried on an idle deployment.
         until + DRAIN_S,
         run.flood,
         run.warm_up,
@@ -71,25 +73,25 @@
     source = workload.requests(run.deployment.kinds, rate, run.seed)
     balancer = random.Random(run.seed)
     if run.disturb is not None:
-        run.disturb(world)
-    _report(world)
+        run.disturb(simulation)
+    _report_loads(simulation)
     for req in source:
-        world.clock.run(req.at)
-        balancer.choice(world.hosts).take(req)
-    world.clock.run(until + DRAIN_S)
-    return world
+        simulation.clock.run(req.at)
+        balancer.choice(simulation.hosts).take(req)
+    simulation.clock.run(until + DRAIN_S)
+    return simulation
 
 
-def _world(
-    deployment: deployments.Deployment, seen: recorder.Recorder
-) -> entry_host.World:
+def _new_simulation(
+    deployment: deployments.Deployment, recording: recorder.Recorder
+) -> entry_host.Simulation:
     time = clock.Clock()
     slots = {
         pool.name: pool.concurrency for pool in deployment.view.document.pools
     }
     engines = {
         server.server_id: engine.Engine(
-            time, slots[server.pool], CACHED_PREFIXES
+            time, slots[server.pool], PREFIX_CACHE_SIZE
         )
         for server in deployment.view.servers
     }
@@ -97,21 +99,21 @@
         target.request_class: target
         for target in deployment.view.document.targets
     }
-    return entry_host.World(time, deployment, engines, seen, targets)
+    return entry_host.Simulation(time, deployment, engines, recording, targets)
 
 
-def _report(world: entry_host.World) -> None:
-    """Measure every engine's load now, deliver it later, and go on."""
+def _report_loads(simulation: entry_host.Simulation) -> None:
+    """Sample the load of every engine, deliver it after a lag and repeat."""
     loads = tuple(
         view_data.ServerLoad(
             server.server_id,
-            len(world.engines[server.server_id].running),
-            len(world.engines[server.server_id].queue),
-            world.clock.now,
+            len(simulation.engines[server.server_id].running),
+            len(simulation.engines[server.server_id].queue),
+            simulation.clock.now,
         )
-        for server in world.deployment.view.servers
+        for server in simulation.deployment.view.servers
         if server.pool == deployments.RUNNERS
     )
-    for host in world.hosts:
-        world.clock.after(REPORT_LAG_S, host.report, loads)
-    world.clock.after(REPORT_EVERY_S, _report, world)
+    for host in simulation.hosts:
+        simulation.clock.call_later(REPORT_LAG_S, host.report, loads)
+    simulation.clock.call_later(REPORT_EVERY_S, _report_loads, simulation)
--- a/beryllug/bench/report.py
+++ b/beryllug/bench/report.py
@@ -1,8 +1,8 @@
-"""Figures and regression bounds of a benchmark run, and their table.
+"""Figures of a benchmark run, their regression bounds and their table.
 
-A bound is checked where the figure is measured and printed beside it, so a
-page can quote a row without saying how it was judged. Bounds stand with the
-call that measures, or in ``bounds.json`` by section and name of the figure.
+Each row shows the figure with its bounds, so that a quoted row shows how the
+figure was checked. Bounds are passed with the measured figure or declared in
+``bounds.json``, by section and name of the figure.
 """
 
 import functools
@@ -17,14 +17,14 @@
 FIGURE_WIDTH = 12
 
 
-DECLARED = pathlib.Path(__file__).with_name('bounds.json')
+BOUNDS_PATH = pathlib.Path(__file__).with_name('bounds.json')
 
 
 class Bound(NamedTuple):
-    """Bounds of a figure: at least, at most; None for no bound."""
+    """Inclusive lower and upper bound of a figure; None for no bound."""
 
-    least: float | None
-    most: float | None
+    lower: float | None
+    upper: float | None
 
 
 Bounds = dict[str, dict[str, Bound]]
@@ -35,60 +35,60 @@
 
     Attributes:
         name: What was measured.
-        measured: The figure.
-        most: Upper bound, or None.
-        least: Lower bound, or None.
+        measured: Its value.
+        upper: Upper bound, or None.
+        lower: Lower bound, or None.
     """
 
     name: str
     measured: float
-    most: float | None = None
-    least: float | None = None
+    upper: float | None = None
+    lower: float | None = None
 
     @property
     def broken(self) -> bool:
-        """Tell whether the figure is outside of its bounds."""
-        if self.most is not None and not self.measured <= self.most:
+        """Tell whether the figure violates a bound; NaN violates any bound."""
+        if self.upper is not None and not self.measured <= self.upper:
             return True
-        return self.least is not None and not self.measured >= self.least
+        return self.lower is not None and not self.measured >= self.lower
 
 
 @dataclass(slots=True)
 class Report:
-    """Sections of figures in the order in which they were measured."""
+    """Sections of figures, in the order of measurement."""
 
     sections: dict[str, list[Figure]] = field(default_factory=dict)
     current: str = ''
 
     def section(self, title: str) -> None:
-        """Begin a section; figures go to it from here on."""
+        """Begin a section for the figures that follow."""
         self.current = title
         self.sections.setdefault(title, [])
 
     def figure(self, name: str, measured: float) -> None:
-        """Take a figure that has no bound."""
-        self._take(Figure(name, measured))
+        """Add a figure without bounds."""
+        self._append(Figure(name, measured))
 
     def bound(
         self,
         name: str,
         measured: float,
-        most: float | None = None,
-        least: float | None = None,
+        upper: float | None = None,
+        lower: float | None = None,
     ) -> None:
-        """Take a figure and check it against its bounds."""
-        self._take(Figure(name, measured, most, least))
+        """Add a figure with its bounds."""
+        self._append(Figure(name, measured, upper, lower))
 
     def declared(self, name: str, measured: float) -> None:
-        """Take a figure and check it against the declared bounds, if any."""
+        """Add a figure with the bounds of ``bounds.json``, if any."""
         bound = declared_bounds().get(self.current, {}).get(name)
         if bound is None:
             self.figure(name, measured)
         else:
-            self.bound(name, measured, bound.most, bound.least)
+            self.bound(name, measured, bound.upper, bound.lower)
 
     def broken(self) -> list[str]:
-        """Describe each broken bound."""
+        """Return the rows of the figures that violate a bound."""
         return [
             f'{title}: {_line(figure)}'
             for title, figures in self.sections.items()
@@ -104,22 +104,22 @@
             lines.extend(_line(figure) for figure in figures)
         return lines
 
-    def _take(self, figure: Figure) -> None:
+    def _append(self, figure: Figure) -> None:
         self.sections.setdefault(self.current, []).append(figure)
 
 
 @functools.cache
 def declared_bounds() -> Bounds:
     """Return the bounds of ``bounds.json``."""
-    return msgspec.json.decode(DECLARED.read_bytes(), type=Bounds)
+    return msgspec.json.decode(BOUNDS_PATH.read_bytes(), type=Bounds)
 
 
 def _line(figure: Figure) -> str:
     text = f'  {figure.name:<{NAME_WIDTH}}{_number(figure.measured)}'
-    if figure.most is not None:
-        text = f'{text}  <= {figure.most:g}'
-    if figure.least is not None:
-        text = f'{text}  >= {figure.least:g}'
+    if figure.upper is not None:
+        text = f'{text}  <= {figure.upper:g}'
+    if figure.lower is not None:
+        text = f'{text}  >= {figure.lower:g}'
     return f'{text}  BROKEN' if figure.broken else text
 
 
--- a/beryllug/bench/rollout_bench.py
+++ b/beryllug/bench/rollout_bench.py
@@ -1,8 +1,8 @@
-"""Roll-outs by evidence against roll-outs by fixed steps.
+"""Evidence-based roll-outs compared with fixed-step roll-outs.
 
-How many callers does a bad version reach, how fast is a good one rolled out,
-and how often is a good one stopped? All of it at today's small load, with
-ratings that come a minute or more late.
+Measures how many callers a bad version reaches, how fast a good version is
+rolled out and how often a good one is stopped. The load is small and ratings
+arrive a minute or more late.
 """
 
 from beryllug.bench import report, rollout_cases, rollout_trials
@@ -14,7 +14,7 @@
 
 
 def run(figures: report.Report) -> list[str]:
-    """Measure, and return the broken bounds."""
+    """Run the benchmark and return its violated bounds."""
     cases = rollout_cases.read()
     figures.section('Roll-outs: callers reached by a bad version')
     for case in cases.bad:
@@ -27,16 +27,22 @@
 
 
 def _measure_bad(figures: report.Report, case: Case, seeds: int) -> None:
-    fixed = _reached(rollout_trials.fixed_steps, case, seeds)
-    watched = _reached(rollout_trials.watched_steps, case, seeds)
-    ours = _reached(rollout_trials.by_evidence, case, seeds)
-    figures.bound(f'{case.name}: of fixed steps', ours / fixed, case.most)
-    figures.figure('  callers reached, by evidence', ours)
+    fixed = _mean_callers_reached(rollout_trials.fixed_steps, case, seeds)
+    checked = _mean_callers_reached(rollout_trials.checked_steps, case, seeds)
+    evidence_based = _mean_callers_reached(
+        rollout_trials.by_evidence, case, seeds
+    )
+    figures.bound(
+        f'{case.name}: of fixed steps', evidence_based / fixed, case.upper
+    )
+    figures.figure('  callers reached, by evidence', evidence_based)
     figures.figure('  callers reached, fixed steps', fixed)
-    figures.figure('  callers reached, looked at each minute', watched)
+    figures.figure('  callers reached, looked at each minute', checked)
 
 
-def _reached(policy: rollout_trials.Policy, case: Case, seeds: int) -> float:
+def _mean_callers_reached(
+    policy: rollout_trials.Policy, case: Case, seeds: int
+) -> float:
     jobs = (
         rollout_trials.Job(seed, policy, case.fault, ticks=case.ticks)
         for seed in range(seeds)
@@ -57,13 +63,16 @@
     stopped = rollout_trials.stopped(runs)
     figures.bound('wrongly stopped', stopped, bounds['wrongly_stopped'])
     times = [
-        time / rollout_trials.FIXED_S for time in rollout_trials.out_times(runs)
+        time / rollout_trials.FIXED_S
+        for time in rollout_trials.completion_times(runs)
     ]
-    figures.bound('rolled out', len(times) / len(runs), least=1 - stopped)
+    figures.bound('rolled out', len(times) / len(runs), lower=1 - stopped)
     mean = sum(times) / len(times)
     figures.bound('mean time, of fixed steps', mean, bounds['mean_time'])
-    late = times[int(P95 * len(times))]
-    figures.bound('p95 of the time, of fixed steps', late, bounds['p95_time'])
+    p95_time = times[int(P95 * len(times))]
+    figures.bound(
+        'p95 of the time, of fixed steps', p95_time, bounds['p95_time']
+    )
     figures.figure('longest time, of fixed steps', times[-1])
 
 
@@ -78,4 +87,4 @@
         for seed in range(seeds)
     )
     stopped = rollout_trials.stopped(runs)
-    figures.bound(f'{case.name}: wrongly stopped', stopped, case.most)
+    figures.bound(f'{case.name}: wrongly stopped', stopped, case.upper)
--- a/beryllug/bench/rollout_cases.py
+++ b/beryllug/bench/rollout_cases.py
@@ -12,24 +12,24 @@
 
 
 class Case(NamedTuple):
-    """A way to be bad.
+    """A fault scenario.
 
     Attributes:
         name: Its name in the table.
-        most: Bound: callers reached against fixed steps, or for outages of
-            both versions the share of wrong stops.
-        ticks: Seconds of virtual time that are played.
-        fault: The fault.
+        upper: Upper bound on the callers reached relative to fixed steps; for
+            outages of both versions, on the share of wrong stops.
+        ticks: Length of a run in seconds of virtual time.
+        fault: The fault of the candidate version.
     """
 
     name: str
-    most: float
+    upper: float
     ticks: int
     fault: rollout_world.Fault
 
 
 class Good(TypedDict):
-    """Bounds on a good version."""
+    """Upper bounds for roll-outs of a good version."""
 
     wrongly_stopped: float
     mean_time: float
@@ -37,7 +37,7 @@
 
 
 class Cases(NamedTuple):
-    """All cases, and the number of seeds of each kind."""
+    """All cases and the number of seeds for each group."""
 
     bad_seeds: int
     good_seeds: int
@@ -57,7 +57,7 @@
 
 
 def read() -> Cases:
-    """Read the cases."""
+    """Read the cases from the file."""
     document = msgspec.json.decode(PATH.read_bytes(), type=_Document)
     return Cases(
         document['bad_seeds'],
@@ -72,9 +72,9 @@
 def _cases(lines: Iterable[dict[str, Any]]) -> Iterable[Case]:
     for line in lines:
         fields = dict(line)
-        name, most, ticks = (
+        name, upper, ticks = (
             fields.pop(key) for key in ('name', 'most', 'ticks')
         )
         quality = rollout_world.Quality(**fields.pop('quality'))
         fault = rollout_world.Fault(quality, **fields)
-        yield Case(name, most, ticks, fault)
+        yield Case(name, upper, ticks, fault)
--- a/beryllug/bench/rollout_policies.py
+++ b/beryllug/bench/rollout_policies.py
@@ -1,4 +1,4 @@
-"""Roll-out policies: ours, and roll-outs by fixed steps as baselines."""
+"""Evidence-based roll-outs, and fixed-step roll-outs as baselines."""
 
 from dataclasses import dataclass, field
 
@@ -14,8 +14,8 @@
 ALL_PERCENT = 100
 NEW = 'v2'
 OLD = 'v1'
-LATE_RATE = 0.13
-QUIET_S = 5
+MAX_LATE_RATE = 0.13
+IDLE_REPORT_S = 5
 MODEL = 'desk'
 NEW_REF = config_data.VersionRef(MODEL, NEW)
 OLD_REF = config_data.VersionRef(MODEL, OLD)
@@ -25,17 +25,17 @@
 
 
 @dataclass(slots=True)
-class Sums:
-    """What a baseline adds up of the candidate."""
+class Totals:
+    """Totals of the candidate's answers, for the baselines."""
 
     answers: int = 0
     errors: int = 0
     late: int = 0
     rated: int = 0
-    rating_sum: float = 0.0
+    rating_total: float = 0.0
 
     def is_bad(self, declared: config_data.Rollout, late_rate: float) -> bool:
-        """Tell whether a rate is over what was declared."""
+        """Tell whether a rate violates its limit."""
         if (
             self.answers
             and self.errors > declared.max_error_rate * self.answers
@@ -45,97 +45,98 @@
             return True
         return (
             self.rated > 0
-            and self.rating_sum < declared.min_rating * self.rated
+            and self.rating_total < declared.min_rating * self.rated
         )
 
 
 @dataclass(slots=True)
 class FixedSteps:
-    """Each stage lasts equally long; at its end the rates are looked at.
+    """Stages of equal length with periodic checks of the rates.
 
     Attributes:
         declared: The declared roll-out.
         dwell_s: How long a stage lasts.
-        check_s: Time between two looks, at most a stage.
-        least: Answers without which a look decides nothing.
-        by_account: Whether each account is looked at as well.
+        check_s: Time between two checks, at most the length of a stage.
+        min_answers: Fewest answers for which a check counts.
+        by_account: Whether each account is checked as well.
     """
 
     declared: config_data.Rollout
     dwell_s: int
     check_s: int
-    least: int = 1
+    min_answers: int = 1
     by_account: bool = False
     stage: int = 0
     stopped: bool = False
-    sums: dict[str, Sums] = field(default_factory=dict)
+    totals: dict[str, Totals] = field(default_factory=dict)
 
-    def takes(self, session: Session, tick: int) -> bool:
-        """Tell whether the session is within the stage's share."""
-        return not self.stopped and session.place < self.percent()
+    def accepts_session(self, session: Session, tick: int) -> bool:
+        """Tell whether the session is within the share of the stage."""
+        return not self.stopped and session.percentile < self.percent()
 
     def is_stopped(self) -> bool:
-        """Tell whether a look found the candidate bad."""
+        """Tell whether a check stopped the candidate."""
         return self.stopped
 
     def percent(self) -> int:
-        """Return the stage's share."""
+        """Return the share of the current stage, in percent."""
         return self.declared.stages[self.stage]
 
-    def is_out(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether the last stage is reached."""
         return self.percent() == ALL_PERCENT
 
-    def gave(self, session: Session) -> None:
-        """Do nothing: nothing bounds what is given out."""
+    def candidate_asked(self, session: Session) -> None:
+        """Do nothing; fixed steps have no exposure budget."""
 
     def ended(self, answer: Answer, tick: int) -> None:
         """Add an answer of the candidate."""
         if answer.candidate:
-            for sums in self._sums(answer):
-                sums.answers += 1
-                sums.errors += answer.failed
-                sums.late += answer.late
+            for totals in self._totals_of(answer):
+                totals.answers += 1
+                totals.errors += answer.failed
+                totals.late += answer.late
 
     def rated(self, answer: Answer, tick: int) -> None:
         """Add a rating of the candidate."""
         if answer.candidate and answer.rating is not None:
-            for sums in self._sums(answer):
-                sums.rated += 1
-                sums.rating_sum += answer.rating
+            for totals in self._totals_of(answer):
+                totals.rated += 1
+                totals.rating_total += answer.rating
 
     def end_tick(self, tick: int) -> None:
-        """Look at the rates, and go on at the end of the stage."""
+        """Check the rates when due, and advance at the end of a stage."""
         passed = tick + 1
         if passed % self.check_s == 0:
-            self._look()
-        if passed % self.dwell_s == 0 and not self.is_out():
+            self._check_rates()
+        if passed % self.dwell_s == 0 and not self.is_complete():
             self.stage += 1
-            self.sums = {}
+            self.totals = {}
 
-    def _sums(self, answer: Answer) -> list[Sums]:
+    def _totals_of(self, answer: Answer) -> list[Totals]:
         names = ['']
         if self.by_account:
             names.append(answer.session.account)
-        return [self.sums.setdefault(name, Sums()) for name in names]
+        return [self.totals.setdefault(name, Totals()) for name in names]
 
-    def _look(self) -> None:
+    def _check_rates(self) -> None:
         self.stopped = self.stopped or any(
-            sums.answers >= self.least and sums.is_bad(self.declared, LATE_RATE)
-            for sums in self.sums.values()
+            totals.answers >= self.min_answers
+            and totals.is_bad(self.declared, MAX_LATE_RATE)
+            for totals in self.totals.values()
         )
 
 
 @dataclass(slots=True)
 class Entry:
-    """An entry process of ours: its brake and its book."""
+    """Roll-out state of one entry process: its brake and evidence."""
 
     book: evidence_book.Book
     brake: brake.Brake
 
 
 class ByEvidence:
-    """Ours: the deciding functions of roll-outs, reported to each second."""
+    """The roll-out decision functions, with reports every second."""
 
     def __init__(
         self, declared: config_data.Rollout, entries: int, accounts: int
@@ -144,12 +145,12 @@
         self.declared = declared
         self.record = rollout.begin(declared, accounts, None)
         self.entries = [
-            Entry(evidence_book.Book(f'entry-{place}'), brake.Brake())
-            for place in range(entries)
+            Entry(evidence_book.Book(f'entry-{number}'), brake.Brake())
+            for number in range(entries)
         ]
 
-    def takes(self, session: Session, tick: int) -> bool:
-        """Tell whether share, budget and brake allow the candidate."""
+    def accepts_session(self, session: Session, tick: int) -> bool:
+        """Tell whether share, budget and brake admit the session."""
         match self.record.verdict:
             case view_data.Verdict.STOPPED:
                 return False
@@ -158,26 +159,26 @@
                     self.entries[session.entry].brake, tick
                 )
         left = brake.remaining(self.entries[session.entry].brake, tick)
-        return session.place < self.record.percent and left > 0
+        return session.percentile < self.record.percent and left > 0
 
     def is_stopped(self) -> bool:
-        """Tell whether the verdict fell."""
+        """Tell whether the candidate was stopped."""
         return self.record.verdict is view_data.Verdict.STOPPED
 
     def percent(self) -> int:
-        """Return the stage's share."""
+        """Return the share of the current stage, in percent."""
         return self.record.percent
 
-    def is_out(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether the candidate was promoted."""
         return self.record.verdict is view_data.Verdict.PROMOTED
 
-    def gave(self, session: Session) -> None:
-        """Count it against the entry's share."""
+    def candidate_asked(self, session: Session) -> None:
+        """Count a request against the exposure budget of its entry."""
         brake.give(self.entries[session.entry].brake)
 
     def ended(self, answer: Answer, tick: int) -> None:
-        """Count it in the entry's book."""
+        """Record an answer as evidence of its entry."""
         entry = self.entries[answer.session.entry]
         evidence_book.end(
             entry.book,
@@ -190,7 +191,7 @@
             evidence_book.skip_rating(entry.book, _subject(answer))
 
     def rated(self, answer: Answer, tick: int) -> None:
-        """Count the rating in the entry's book, or that it was given up."""
+        """Record a rating as evidence of its entry, or that none will come."""
         book = self.entries[answer.session.entry].book
         if answer.rating is None:
             evidence_book.skip_rating(book, _subject(answer))
@@ -200,9 +201,9 @@
         )
 
     def end_tick(self, tick: int) -> None:
-        """Report, decide and deal."""
+        """Report evidence, decide, and distribute the exposure budget."""
         for entry in self.entries:
-            if entry.book.counts or tick % QUIET_S == 0:
+            if entry.book.counts or tick % IDLE_REPORT_S == 0:
                 self._report(entry, tick)
         decision = rollout.decide(self.record, self.declared)
         self.record = rollout.carry_out(self.record, self.declared, decision)
--- a/beryllug/bench/rollout_trials.py
+++ b/beryllug/bench/rollout_trials.py
@@ -10,12 +10,12 @@
 
 WORKERS = 3
 DWELL_S = 600
-WATCH_S = 60
-WATCHED_ANSWERS = 30
-ACCOUNT_ANSWERS = 10
+CHECK_S = 60
+CHECK_MIN_ANSWERS = 30
+ACCOUNT_MIN_ANSWERS = 10
 STAGES = (5, 25, 50, 100)
 BUDGET = 150
-MAX_ERRORS = 0.05
+MAX_ERROR_RATE = 0.05
 MIN_RATING = 0.7
 FIXED_S = DWELL_S * (len(STAGES) - 1)
 TICKS = 3000
@@ -27,7 +27,7 @@
     rollout_policies.NEW,
     STAGES,
     BUDGET,
-    MAX_ERRORS,
+    MAX_ERROR_RATE,
     MIN_RATING,
 )
 LOAD = rollout_world.Load()
@@ -40,7 +40,7 @@
 
 
 class Job(NamedTuple):
-    """One run: a policy in one seeded world."""
+    """One run of a policy with a seed."""
 
     seed: int
     policy: Policy
@@ -53,7 +53,7 @@
 def by_evidence(
     declared: config_data.Rollout, load: rollout_world.Load
 ) -> rollout_world.Policy:
-    """Make our policy."""
+    """Make the evidence-based policy."""
     return rollout_policies.ByEvidence(
         declared, load.entries, len(rollout_world.ACCOUNTS)
     )
@@ -62,25 +62,25 @@
 def fixed_steps(
     declared: config_data.Rollout, load: rollout_world.Load
 ) -> rollout_world.Policy:
-    """Make the baseline: ten minutes a stage, looked at when it ends."""
+    """Make a baseline with ten-minute stages, checked at their ends."""
     return rollout_policies.FixedSteps(declared, DWELL_S, DWELL_S)
 
 
-def watched_steps(
+def checked_steps(
     declared: config_data.Rollout, load: rollout_world.Load
 ) -> rollout_world.Policy:
-    """Make a baseline that is looked at every minute as well."""
+    """Make a baseline that is checked every minute as well."""
     return rollout_policies.FixedSteps(
-        declared, DWELL_S, WATCH_S, WATCHED_ANSWERS
+        declared, DWELL_S, CHECK_S, CHECK_MIN_ANSWERS
     )
 
 
 def steps_by_account(
     declared: config_data.Rollout, load: rollout_world.Load
 ) -> rollout_world.Policy:
-    """Make a baseline that looks at each account as well."""
+    """Make a baseline that checks each account as well."""
     return rollout_policies.FixedSteps(
-        declared, DWELL_S, DWELL_S, ACCOUNT_ANSWERS, by_account=True
+        declared, DWELL_S, DWELL_S, ACCOUNT_MIN_ANSWERS, by_account=True
     )
 
 
@@ -91,21 +91,25 @@
 
 
 def run_all(jobs: Iterable[Job]) -> list[Result]:
-    """Run jobs beside each other; the results are in their order."""
+    """Run jobs in parallel and return their results in order."""
     with futures.ProcessPoolExecutor(WORKERS) as pool:
         return list(pool.map(run, jobs))
 
 
 def callers(runs: Iterable[Result]) -> float:
-    """Return the mean number of callers that a bad candidate reached."""
-    return statistics.fmean(one.callers for one in runs)
+    """Return the mean number of callers reached by a bad candidate."""
+    return statistics.fmean(result.callers for result in runs)
 
 
 def stopped(runs: Iterable[Result]) -> float:
     """Return the share of runs in which the candidate was stopped."""
-    return statistics.fmean(one.stopped_at is not None for one in runs)
+    return statistics.fmean(result.stopped_at is not None for result in runs)
 
 
-def out_times(runs: Iterable[Result]) -> list[int]:
-    """Return when the candidate had all new sessions, in order."""
-    return sorted(one.out_at for one in runs if one.out_at is not None)
+def completion_times(runs: Iterable[Result]) -> list[int]:
+    """Return the sorted times of complete roll-outs."""
+    return sorted(
+        result.completed_at
+        for result in runs
+        if result.completed_at is not None
+    )
--- a/beryllug/bench/rollout_world.py
+++ b/beryllug/bench/rollout_world.py
@@ -1,8 +1,8 @@
-"""A seeded world of sessions for roll-out policies, in ticks of a second.
+"""A seeded simulation of sessions for roll-out policies, in ticks of a second.
 
-Sessions come at random, stay with their version and ask several times.
-Answers take a while; their ratings come much later, and some never. A policy
-chooses the version of each new session and is told what became of answers.
+Sessions arrive at random, keep their version and send several requests.
+Ratings arrive long after their answers, and some never do. A policy chooses
+the version of each new session and is notified of answers and ratings.
 """
 
 import random
@@ -10,20 +10,20 @@
 from typing import NamedTuple, Protocol
 
 ACCOUNT_SHARES = (30, 20, 15, 10, 8, 6, 4, 3, 2, 2)
-GIVEN_UP_S = 300
+RATING_GIVE_UP_S = 300
 PERCENT = 100
 FOREVER = 10**9
-ACCOUNTS = tuple(f'account-{place}' for place in range(len(ACCOUNT_SHARES)))
+ACCOUNTS = tuple(f'account-{index}' for index in range(len(ACCOUNT_SHARES)))
 
 
 class Quality(NamedTuple):
-    """How a version answers.
+    """Quality of the answers of a version.
 
     Attributes:
         errors: Share of answers that fail.
         late: Share of answers that miss their target.
-        rating: Parameters of the beta distribution of its ratings.
-        crashes: Share of answers under which the backend server is lost.
+        rating: Parameters of the beta distribution of ratings.
+        crashes: Share of answers that crash the backend server.
     """
 
     errors: float = 0.005
@@ -36,18 +36,18 @@
 
 
 class Load(NamedTuple):
-    """The load and its ratings.
+    """Arrival and rating parameters.
 
     Attributes:
-        sessions_per_s: New sessions a second.
-        answers: Mean answers of a session.
-        gap_s: Mean time between two asks of a session.
-        run_s: Mean time an answer takes.
+        sessions_per_s: New sessions per second.
+        answers: Mean number of answers per session.
+        gap_s: Mean time between an answer and the next request.
+        run_s: Mean duration of an answer.
         rated: Share of answers that are rated.
-        lag_s: Median time until a rating arrives.
-        lag_sigma: Spread of that time, of its logarithm.
-        entries: Entry processes.
-        silent: Ticks between which no rating arrives, as of an outage.
+        lag_s: Median delay of a rating.
+        lag_sigma: Standard deviation of the logarithm of that delay.
+        entries: Number of entry processes.
+        rating_outage: First tick, and tick after the last, without ratings.
     """
 
     sessions_per_s: float = 4.0
@@ -58,20 +58,21 @@
     lag_s: float = 60.0
     lag_sigma: float = 0.7
     entries: int = 16
-    silent: tuple[int, int] = (0, 0)
+    rating_outage: tuple[int, int] = (0, 0)
 
 
 class Fault(NamedTuple):
-    """How the candidate is bad, and from when on.
+    """A fault of the candidate and its conditions.
 
     Attributes:
-        quality: Its quality while it is bad.
-        account: Only for this account, or empty for all.
-        after_answers: It turns bad when it has given so many answers.
-        after_percent: It turns bad at the stage with this share.
-        after_tick: It turns bad at this time.
-        everyone: The incumbent suffers as well, as in a common outage.
-        until_tick: The fault ends at this time.
+        quality: Quality of answers during the fault.
+        account: The only affected account, or empty for all.
+        after_answers: Fewest requests to the candidate before the fault.
+        after_percent: Lowest share of a stage in which the fault begins.
+        after_tick: Earliest start of the fault.
+        everyone: Whether the incumbent is affected as well, as in a shared
+            outage.
+        until_tick: End of the fault.
     """
 
     quality: Quality
@@ -85,25 +86,25 @@
 
 @dataclass(slots=True)
 class Session:
-    """A caller's session.
+    """A session of a caller.
 
     Attributes:
         account: Its client account.
-        entry: Number of the entry process that the balancer chose.
-        place: Its place among a hundred, that decides about its version.
-        candidate: Whether it is on the candidate.
+        entry: Index of its entry process.
+        percentile: Uniform in [0, 100); compared with the share of a stage.
+        candidate: Whether it uses the candidate.
         reached: Whether a bad candidate answered it.
     """
 
     account: str
     entry: int
-    place: float
+    percentile: float
     candidate: bool
     reached: bool = False
 
 
 class Answer(NamedTuple):
-    """An answer at its end; `rating` is None when it will not be rated."""
+    """A finished answer; `rating` is None if it will not be rated."""
 
     session: Session
     candidate: bool
@@ -114,53 +115,53 @@
 
 
 class Policy(Protocol):
-    """What chooses versions."""
+    """A roll-out policy that chooses versions for sessions."""
 
-    def takes(self, session: Session, tick: int) -> bool:
+    def accepts_session(self, session: Session, tick: int) -> bool:
         """Tell whether a new session goes to the candidate."""
 
     def is_stopped(self) -> bool:
         """Tell whether the candidate was stopped as bad."""
 
     def percent(self) -> int:
-        """Return the declared share of the present stage."""
+        """Return the declared share of the current stage."""
 
-    def is_out(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether every new session may go to the candidate."""
 
-    def gave(self, session: Session) -> None:
-        """Take in that the candidate is asked."""
+    def candidate_asked(self, session: Session) -> None:
+        """Record a request to the candidate."""
 
     def ended(self, answer: Answer, tick: int) -> None:
-        """Take in an answer."""
+        """Record an answer."""
 
     def rated(self, answer: Answer, tick: int) -> None:
-        """Take in the rating of an answer, None when it was given up."""
+        """Record the rating of an answer; None if none will arrive."""
 
     def end_tick(self, tick: int) -> None:
-        """Take in that a second has passed."""
+        """Process the end of a tick."""
 
 
 class Result(NamedTuple):
-    """What a policy did in one world.
+    """Result of one run.
 
     Attributes:
-        callers: Sessions that a bad candidate answered.
-        answers: Answers of a bad candidate.
-        stopped_at: Tick of the stop, or None.
-        out_at: Tick from which on all new sessions went to the candidate.
-        candidate_answers: All answers of the candidate.
+        callers: Sessions that sent a request to a bad candidate.
+        answers: Requests sent to a bad candidate.
+        stopped_at: Tick at which the candidate was stopped, or None.
+        completed_at: Tick at which the roll-out was complete, or None.
+        candidate_answers: All requests sent to the candidate.
     """
 
     callers: int
     answers: int
     stopped_at: int | None
-    out_at: int | None
+    completed_at: int | None
     candidate_answers: int
 
 
 @dataclass(slots=True)
-class World:
+class Simulation:
     """State of one run."""
 
     rng: random.Random
@@ -184,80 +185,88 @@
     policy: Policy,
     ticks: int,
 ) -> Result:
-    """Run a policy through a world, until it is clear what becomes of it."""
-    world = World(random.Random(seed), load, fault, policy)
-    out_at = None
+    """Run a policy until it is stopped, out of time or, if good, complete."""
+    simulation = Simulation(random.Random(seed), load, fault, policy)
+    completed_at = None
     stopped_at = None
-    while world.tick < ticks and stopped_at is None:
-        _step(world)
-        if out_at is None and policy.is_out():
-            out_at = world.tick
+    while simulation.tick < ticks and stopped_at is None:
+        _step(simulation)
+        if completed_at is None and policy.is_complete():
+            completed_at = simulation.tick
             if fault is None:
                 break
         if policy.is_stopped():
-            stopped_at = world.tick
-        world.tick += 1
+            stopped_at = simulation.tick
+        simulation.tick += 1
     return Result(
-        world.callers, world.bad_answers, stopped_at, out_at, world.given
+        simulation.callers,
+        simulation.bad_answers,
+        stopped_at,
+        completed_at,
+        simulation.given,
     )
 
 
-def _step(world: World) -> None:
-    _update_fault(world)
-    for answer in world.ends.pop(world.tick, ()):
-        world.policy.ended(answer, world.tick)
-        _schedule_rating(world, answer)
-    for answer in world.ratings.pop(world.tick, ()):
-        world.policy.rated(answer, world.tick)
-    for session in world.asks.pop(world.tick, ()):
-        _ask(world, session)
-    for _ in range(_poisson(world.rng, world.load.sessions_per_s)):
-        _ask(world, _new_session(world))
-    world.policy.end_tick(world.tick)
+def _step(simulation: Simulation) -> None:
+    _update_fault(simulation)
+    for answer in simulation.ends.pop(simulation.tick, ()):
+        simulation.policy.ended(answer, simulation.tick)
+        _schedule_rating(simulation, answer)
+    for answer in simulation.ratings.pop(simulation.tick, ()):
+        simulation.policy.rated(answer, simulation.tick)
+    for session in simulation.asks.pop(simulation.tick, ()):
+        _send(simulation, session)
+    for _ in range(_poisson(simulation.rng, simulation.load.sessions_per_s)):
+        _send(simulation, _new_session(simulation))
+    simulation.policy.end_tick(simulation.tick)
 
 
-def _update_fault(world: World) -> None:
-    fault = world.fault
+def _update_fault(simulation: Simulation) -> None:
+    fault = simulation.fault
     if fault is None:
         return
     begun = (
-        world.tick >= fault.after_tick
-        and world.given >= fault.after_answers
-        and world.policy.percent() >= fault.after_percent
+        simulation.tick >= fault.after_tick
+        and simulation.given >= fault.after_answers
+        and simulation.policy.percent() >= fault.after_percent
     )
-    world.is_bad = (world.is_bad or begun) and world.tick < fault.until_tick
+    simulation.is_bad = (
+        simulation.is_bad or begun
+    ) and simulation.tick < fault.until_tick
 
 
-def _new_session(world: World) -> Session:
-    rng = world.rng
+def _new_session(simulation: Simulation) -> Session:
+    rng = simulation.rng
     account = rng.choices(ACCOUNTS, ACCOUNT_SHARES)[0]
-    entry = rng.randrange(world.load.entries)
+    entry = rng.randrange(simulation.load.entries)
     session = Session(account, entry, rng.random() * PERCENT, candidate=False)
-    session.candidate = world.policy.takes(session, world.tick)
+    session.candidate = simulation.policy.accepts_session(
+        session, simulation.tick
+    )
     return session
 
 
-def _ask(world: World, session: Session) -> None:
-    rng, load = world.rng, world.load
-    quality, is_bad = _quality(world, session)
+def _send(simulation: Simulation, session: Session) -> None:
+    rng, load = simulation.rng, simulation.load
+    quality, is_bad = _quality(simulation, session)
     if session.candidate:
-        world.given += 1
-        world.policy.gave(session)
+        simulation.given += 1
+        simulation.policy.candidate_asked(session)
         if is_bad:
-            world.bad_answers += 1
-            world.callers += not session.reached
+            simulation.bad_answers += 1
+            simulation.callers += not session.reached
             session.reached = True
-    answer = _draw(world, session, quality)
-    end = world.tick + 1 + int(rng.expovariate(1 / load.run_s))
-    world.ends.setdefault(end, []).append(answer)
+    answer = _draw(simulation, session, quality)
+    end = simulation.tick + 1 + int(rng.expovariate(1 / load.run_s))
+    simulation.ends.setdefault(end, []).append(answer)
     if rng.random() > 1 / load.answers:
         following = end + 1 + int(rng.expovariate(1 / load.gap_s))
-        world.asks.setdefault(following, []).append(session)
+        simulation.asks.setdefault(following, []).append(session)
 
 
-def _quality(world: World, session: Session) -> tuple[Quality, bool]:
-    fault = world.fault
-    if fault is None or not world.is_bad:
+def _quality(simulation: Simulation, session: Session) -> tuple[Quality, bool]:
+    fault = simulation.fault
+    if fault is None or not simulation.is_bad:
         return GOOD, False
     if fault.account and fault.account != session.account:
         return GOOD, False
@@ -266,35 +275,35 @@
     return GOOD, False
 
 
-def _draw(world: World, session: Session, quality: Quality) -> Answer:
-    rng = world.rng
+def _draw(simulation: Simulation, session: Session, quality: Quality) -> Answer:
+    rng = simulation.rng
     crashed = rng.random() < quality.crashes
     failed = crashed or rng.random() < quality.errors
     late = rng.random() < quality.late
     rating = None
-    if not failed and rng.random() < world.load.rated:
+    if not failed and rng.random() < simulation.load.rated:
         rating = rng.betavariate(*quality.rating)
     return Answer(session, session.candidate, failed, late, crashed, rating)
 
 
-def _schedule_rating(world: World, answer: Answer) -> None:
+def _schedule_rating(simulation: Simulation, answer: Answer) -> None:
     if answer.rating is None:
         return
-    load = world.load
-    lag = load.lag_s * world.rng.lognormvariate(0, load.lag_sigma)
-    due = world.tick + 1 + int(lag)
-    begin, end = load.silent
+    load = simulation.load
+    delay_s = load.lag_s * simulation.rng.lognormvariate(0, load.lag_sigma)
+    due = simulation.tick + 1 + int(delay_s)
+    begin, end = load.rating_outage
     if begin <= due < end:
         answer = answer._replace(rating=None)
-        due = world.tick + GIVEN_UP_S
-    world.ratings.setdefault(due, []).append(answer)
+        due = simulation.tick + RATING_GIVE_UP_S
+    simulation.ratings.setdefault(due, []).append(answer)
 
 
 def _poisson(rng: random.Random, mean: float) -> int:
     """Draw the number of arrivals within a tick."""
     number = 0
-    passed = rng.expovariate(mean)
-    while passed < 1:
+    elapsed = rng.expovariate(mean)
+    while elapsed < 1:
         number += 1
-        passed += rng.expovariate(mean)
+        elapsed += rng.expovariate(mean)
     return number
--- a/beryllug/bench/workload.py
+++ b/beryllug/bench/workload.py
@@ -1,8 +1,8 @@
-"""A seeded load in the shape of the two deployments.
+"""A seeded request generator for the benchmark deployments.
 
-About ten client accounts of which a few are large, sessions whose prompts grow,
-desk lookups and slot holds beside drafts and long reports. All randomness comes
-from one generator, so a seed names a load.
+It draws requests of ten client accounts, a few of them large: sessions with
+growing prompts, lookups and slot holds, drafts and long reports. All random
+numbers come from one generator, so a seed determines the load.
 """
 
 import itertools
@@ -11,37 +11,37 @@
 from typing import NamedTuple
 
 ACCOUNTS = 10
-ACCOUNT_SKEW = 1.1
+ZIPF_EXPONENT = 1.1
 SESSION_TURNS = 4
 OPEN_SESSIONS = 8
 SYSTEM_PROMPT = 600
 PLAIN = 'plain'
 TURN_TOKENS = 160
-SPREAD = 0.5
-LEAST_TOKENS = 8
+LENGTH_SIGMA = 0.5
+MIN_TOKENS = 8
 
 
 class Kind(NamedTuple):
     """One kind of request of a deployment.
 
     Attributes:
-        request_class: Class whose targets hold.
-        pool: Pool that runs it.
-        part: Part of all requests.
-        tokens_out: Mean tokens of an answer; for a plain service the mean
-            milliseconds of a call.
-        repeatable: False for a kind that is not idempotent.
+        request_class: Class whose targets apply.
+        pool: Pool that serves it.
+        fraction: Fraction of all requests.
+        tokens_out: Mean tokens of an answer, or mean duration of a plain
+            call in milliseconds.
+        repeatable: Whether the request is idempotent.
     """
 
     request_class: str
     pool: str
-    part: float
+    fraction: float
     tokens_out: int
     repeatable: bool = True
 
     @property
     def plain(self) -> bool:
-        """Tell whether a plain service runs it."""
+        """Tell whether a plain service serves it."""
         return self.pool == PLAIN
 
 
@@ -49,14 +49,15 @@
     """One request of the load.
 
     Attributes:
-        number: Its number, from 0.
-        at: When it arrives.
+        number: Sequence number, from 0.
+        at: Arrival time.
         account: Number of the client account.
-        kind: What kind it is.
+        kind: Its kind.
         session: Session it belongs to.
-        history: Tokens of the session's earlier turns.
-        tokens_new: Tokens of this turn.
-        tokens_out: Tokens of the answer, or milliseconds of a plain call.
+        history: Tokens of the earlier turns of the session.
+        turn_tokens: Prompt tokens of this turn.
+        tokens_out: Tokens of the answer, or duration of a plain call in
+            milliseconds.
     """
 
     number: int
@@ -65,7 +66,7 @@
     kind: Kind
     session: str
     history: int
-    tokens_new: int
+    turn_tokens: int
     tokens_out: int
 
 
@@ -73,13 +74,13 @@
 
 
 class Rate(NamedTuple):
-    """How much load there is.
+    """The arrival rate.
 
     Attributes:
-        per_s: Requests a second.
-        until: Second at which it ends.
-        flood: Factor on the first account's requests from `flood_at` on.
-        flood_at: When that begins.
+        per_s: Requests per second.
+        until: Time at which the load ends.
+        flood: Factor on the first account's rate from `flood_at` on.
+        flood_at: Time at which the flood begins.
     """
 
     per_s: float
@@ -93,15 +94,15 @@
     return f'account-{number}'
 
 
-def account_parts() -> tuple[float, ...]:
-    """Return each account's part of the load; a few are large."""
-    raw = [1 / (place + 1) ** ACCOUNT_SKEW for place in range(ACCOUNTS)]
-    total = sum(raw)
-    return tuple(part / total for part in raw)
+def account_shares() -> tuple[float, ...]:
+    """Return the share of each account in the load, by Zipf's law."""
+    weights = [1 / (slot + 1) ** ZIPF_EXPONENT for slot in range(ACCOUNTS)]
+    total = sum(weights)
+    return tuple(fraction / total for fraction in weights)
 
 
 def requests(kinds: Kinds, rate: Rate, seed: int) -> Iterator[Request]:
-    """Yield the requests of a load in the order of their arrival."""
+    """Yield the requests of a load in order of arrival."""
     source = _Source(kinds, rate, random.Random(seed))
     at = source.next_arrival(0)
     while at < rate.until:
@@ -116,26 +117,28 @@
         self._kinds = kinds
         self._rate = rate
         self._rng = rng
-        self._parts = account_parts()
-        self._kind_parts = [kind.part for kind in kinds]
+        self._account_shares = account_shares()
+        self._kind_fractions = [kind.fraction for kind in kinds]
         self._numbers = itertools.count()
         self._sessions = itertools.count()
         self._open: dict[tuple[int, int], tuple[str, int]] = {}
-        # While the first account floods, so much more arrives.
-        self._flooded = 1 + (rate.flood - 1) * self._parts[0]
+        # Factor on the total rate while the first account floods.
+        self._flood_factor = 1 + (rate.flood - 1) * self._account_shares[0]
 
     def next_arrival(self, at: float) -> float:
-        """Return the arrival that follows one at a second."""
-        factor = self._flooded if at >= self._rate.flood_at else 1
+        """Return the time of the next arrival after a time."""
+        factor = self._flood_factor if at >= self._rate.flood_at else 1
         return at + self._rng.expovariate(self._rate.per_s * factor)
 
     def next_request(self, at: float) -> Request:
-        """Draw a request that arrives at a second."""
+        """Draw a request with the given arrival time."""
         account = self._account(at)
-        kind = self._rng.choices(self._kinds, self._kind_parts)[0]
-        # Only a model's prompt grows with the session.
+        kind = self._rng.choices(self._kinds, self._kind_fractions)[0]
+        # Plain services have no sessions.
         session, turn = ('', 0) if kind.plain else self._session(account)
-        spread = self._rng.lognormvariate(-SPREAD * SPREAD / 2, SPREAD)
+        spread = self._rng.lognormvariate(
+            -LENGTH_SIGMA * LENGTH_SIGMA / 2, LENGTH_SIGMA
+        )
         return Request(
             number=next(self._numbers),
             at=at,
@@ -143,21 +146,21 @@
             kind=kind,
             session=session,
             history=turn * TURN_TOKENS,
-            tokens_new=self._rng.randint(TURN_TOKENS // 2, TURN_TOKENS),
-            tokens_out=max(int(kind.tokens_out * spread), LEAST_TOKENS),
+            turn_tokens=self._rng.randint(TURN_TOKENS // 2, TURN_TOKENS),
+            tokens_out=max(int(kind.tokens_out * spread), MIN_TOKENS),
         )
 
     def _account(self, at: float) -> int:
-        extra = (self._flooded - 1) / self._flooded
+        extra = (self._flood_factor - 1) / self._flood_factor
         if at >= self._rate.flood_at and self._rng.random() < extra:
             return 0
-        return self._rng.choices(range(ACCOUNTS), self._parts)[0]
+        return self._rng.choices(range(ACCOUNTS), self._account_shares)[0]
 
     def _session(self, account: int) -> tuple[str, int]:
-        """Return the session of a request and its turn, 0 for the first."""
-        place = (account, self._rng.randrange(OPEN_SESSIONS))
-        name, turn = self._open.get(place, ('', SESSION_TURNS))
+        """Draw the session of a request; returns its name and turn, from 0."""
+        slot = (account, self._rng.randrange(OPEN_SESSIONS))
+        name, turn = self._open.get(slot, ('', SESSION_TURNS))
         if turn >= SESSION_TURNS:
             name, turn = f'session-{next(self._sessions)}', 0
-        self._open[place] = (name, turn + 1)
+        self._open[slot] = (name, turn + 1)
         return name, turn
