--- a/beryllug/bench/bounds_test.py
+++ b/beryllug/bench/bounds_test.py
@@ -47,11 +47,11 @@
         """Questions get their first token sooner than with round robin."""
         _, policy = latency_bench.BASELINES[0]
         question = frozenset(('question',))
-        ours, theirs = (
+        least_cost_ms, round_robin_ms = (
             recorder.percentile_ms([_replay(plan)], 95, question)
             for plan in (self.plan, self.plan._replace(policy=policy))
         )
-        self.assertLess(ours, 0.9 * theirs)
+        self.assertLess(least_cost_ms, 0.9 * round_robin_ms)
 
     def test_overload(self) -> None:
         """Goodput does not collapse at three times capacity."""
--- a/beryllug/bench/deployments.py
+++ b/beryllug/bench/deployments.py
@@ -84,7 +84,7 @@
 
 def _slot_s(kind: workload.Kind) -> float:
     if kind.plain:
-        return kind.tokens_out * engine.PLAIN_TOKEN_S
+        return kind.tokens_out * engine.SECONDS_PER_MS
     prefill_s = workload.TURN_TOKENS * engine.PREFILL_TOKEN_S
     unbatched_s = prefill_s + kind.tokens_out * engine.TOKEN_S
     return unbatched_s * (1 + engine.BATCH_SLOWDOWN)
--- a/beryllug/bench/engine.py
+++ b/beryllug/bench/engine.py
@@ -18,7 +18,7 @@
 TOKEN_S = 0.01
 PREFILL_TOKEN_S = 0.00025
 BATCH_SLOWDOWN = 1.0
-PLAIN_TOKEN_S = 0.001
+SECONDS_PER_MS = 0.001
 REFUSE_S = 0.001
 
 
@@ -117,7 +117,7 @@
 def _times(engine: Engine, job: Job) -> tuple[float, float]:
     """Return the seconds to the first token and from there to the end."""
     if not job.tokens_in:
-        return job.tokens_out * PLAIN_TOKEN_S * engine.slowdown, 0
+        return job.tokens_out * SECONDS_PER_MS * engine.slowdown, 0
     batch_factor = 1 + BATCH_SLOWDOWN * len(engine.running) / engine.slots
     slowdown = batch_factor * engine.slowdown
     prefill = _uncached(engine, job)
--- a/beryllug/bench/entry_host.py
+++ b/beryllug/bench/entry_host.py
@@ -26,7 +26,7 @@
 SAME_ZONE_S = 0.0003
 CROSS_ZONE_S = 0.0015
 MAX_ASKS = 8
-NO_SERVER_RETRY_S = 1.0
+UNAVAILABLE_RETRY_S = 1.0
 
 
 class Policy(NamedTuple):
@@ -310,7 +310,7 @@
     def _end(self, call: Call, refused: bool) -> None:
         self._release(call)
         if refused:
-            self._refuse(call, NO_SERVER_RETRY_S)
+            self._refuse(call, UNAVAILABLE_RETRY_S)
             return
         group = self._simulation.recording.group(call.req)
         if group is not None:
--- a/beryllug/bench/latency_bench.py
+++ b/beryllug/bench/latency_bench.py
@@ -76,12 +76,14 @@
     load: float,
     scale: Scale,
 ) -> None:
-    ours = [_replay(replay.Run(deployment, LEAST_COST, load, scale.seconds))]
-    _absolute(figures, ours)
+    policy_runs = [
+        _replay(replay.Run(deployment, LEAST_COST, load, scale.seconds))
+    ]
+    _absolute(figures, policy_runs)
     for name, policy in (*BASELINES, NO_ADMISSION):
-        theirs = _replay(replay.Run(deployment, policy, load, scale.seconds))
-        _compare(figures, ours, [theirs], name)
-    counts = recorder.total(ours)
+        reference = _replay(replay.Run(deployment, policy, load, scale.seconds))
+        _compare(figures, policy_runs, [reference], name)
+    counts = recorder.total(policy_runs)
     figures.declared('longest refusal s', counts.longest_refusal_s)
 
 
@@ -92,12 +94,12 @@
 ) -> None:
     quiet = replay.Run(deployment, LEAST_COST, SLOW_LOAD, scale.seconds)
     slow = quiet._replace(disturb=slow_server)
-    ours = [_replay(slow)]
-    _absolute(figures, ours)
-    _compare(figures, ours, [_replay(quiet)], 'quiet run')
+    policy_runs = [_replay(slow)]
+    _absolute(figures, policy_runs)
+    _compare(figures, policy_runs, [_replay(quiet)], 'quiet run')
     for name, policy in BASELINES:
-        theirs = _replay(slow._replace(policy=policy))
-        _compare(figures, ours, [theirs], name)
+        reference = _replay(slow._replace(policy=policy))
+        _compare(figures, policy_runs, [reference], name)
 
 
 def slow_server(simulation: entry_host.Simulation) -> None:
@@ -137,28 +139,34 @@
         figures.declared(f"others' {group} good over quiet run", good)
 
 
-def _absolute(figures: report.Report, ours: list[recorder.Recorder]) -> None:
+def _absolute(
+    figures: report.Report, policy_runs: list[recorder.Recorder]
+) -> None:
     for group, classes in GROUPS:
         for percent in PERCENTILES:
-            taken_ms = recorder.percentile_ms(ours, percent, classes)
+            taken_ms = recorder.percentile_ms(policy_runs, percent, classes)
             figures.declared(f'{group} p{percent} ms', taken_ms)
-        figures.declared(f'{group} good', _good_fraction(ours, classes))
-    figures.declared('report good', _good_fraction(ours, REPORTS))
+        figures.declared(f'{group} good', _good_fraction(policy_runs, classes))
+    figures.declared('report good', _good_fraction(policy_runs, REPORTS))
 
 
 def _compare(
     figures: report.Report,
-    ours: list[recorder.Recorder],
-    theirs: list[recorder.Recorder],
+    policy_runs: list[recorder.Recorder],
+    reference_runs: list[recorder.Recorder],
     name: str,
 ) -> None:
     for group, classes in GROUPS:
         for percent in PERCENTILES:
-            mine = recorder.percentile_ms(ours, percent, classes)
-            other = recorder.percentile_ms(theirs, percent, classes)
-            figures.declared(f'{group} p{percent} over {name}', mine / other)
-        good = _good_fraction(ours, classes) / max(
-            _good_fraction(theirs, classes), MIN_GOOD_FRACTION
+            policy_ms = recorder.percentile_ms(policy_runs, percent, classes)
+            reference_ms = recorder.percentile_ms(
+                reference_runs, percent, classes
+            )
+            figures.declared(
+                f'{group} p{percent} over {name}', policy_ms / reference_ms
+            )
+        good = _good_fraction(policy_runs, classes) / max(
+            _good_fraction(reference_runs, classes), MIN_GOOD_FRACTION
         )
         figures.declared(f'{group} good over {name}', good)
 
--- a/beryllug/bench/quality.py
+++ b/beryllug/bench/quality.py
@@ -138,7 +138,7 @@
 ) -> list[Case]:
     """Draw the requests of a run."""
     rng = random.Random(seed)
-    parts = workload.account_shares()
+    shares = workload.account_shares()
     shifts = {
         (account, kind.name): rng.gauss(0, ACCOUNT_LOGIT_SIGMA)
         for account in range(workload.ACCOUNTS)
@@ -147,7 +147,7 @@
     drawn: list[Case] = []
     at = rng.expovariate(per_s)
     while at < until:
-        account = rng.choices(range(workload.ACCOUNTS), parts)[0]
+        account = rng.choices(range(workload.ACCOUNTS), shares)[0]
         kind = rng.choices(
             declared['kinds'], [kind.fraction for kind in declared['kinds']]
         )[0]
--- a/beryllug/bench/rollout_policies.py
+++ b/beryllug/bench/rollout_policies.py
@@ -106,10 +106,10 @@
 
     def end_tick(self, tick: int) -> None:
         """Check the rates when due, and advance at the end of a stage."""
-        passed = tick + 1
-        if passed % self.check_s == 0:
+        elapsed_s = tick + 1
+        if elapsed_s % self.check_s == 0:
             self._check_rates()
-        if passed % self.dwell_s == 0 and not self.is_complete():
+        if elapsed_s % self.dwell_s == 0 and not self.is_complete():
             self.stage += 1
             self.totals = {}
 
@@ -135,7 +135,7 @@
     brake: brake.Brake
 
 
-class ByEvidence:
+class EvidenceBased:
     """The roll-out decision functions, with reports every second."""
 
     def __init__(
--- a/beryllug/bench/rollout_trials.py
+++ b/beryllug/bench/rollout_trials.py
@@ -54,7 +54,7 @@
     declared: config_data.Rollout, load: rollout_world.Load
 ) -> rollout_world.Policy:
     """Make the evidence-based policy."""
-    return rollout_policies.ByEvidence(
+    return rollout_policies.EvidenceBased(
         declared, load.entries, len(rollout_world.ACCOUNTS)
     )
 
--- a/beryllug/bench/workload.py
+++ b/beryllug/bench/workload.py
@@ -96,7 +96,7 @@
 
 def account_shares() -> tuple[float, ...]:
     """Return the share of each account in the load, by Zipf's law."""
-    weights = [1 / (slot + 1) ** ZIPF_EXPONENT for slot in range(ACCOUNTS)]
+    weights = [1 / (rank + 1) ** ZIPF_EXPONENT for rank in range(ACCOUNTS)]
     total = sum(weights)
     return tuple(fraction / total for fraction in weights)
 
@@ -158,9 +158,9 @@
 
     def _session(self, account: int) -> tuple[str, int]:
         """Draw the session of a request; returns its name and turn, from 0."""
-        slot = (account, self._rng.randrange(OPEN_SESSIONS))
-        name, turn = self._open.get(slot, ('', SESSION_TURNS))
+        session_key = (account, self._rng.randrange(OPEN_SESSIONS))
+        name, turn = self._open.get(session_key, ('', SESSION_TURNS))
         if turn >= SESSION_TURNS:
             name, turn = f'session-{next(self._sessions)}', 0
-        self._open[slot] = (name, turn + 1)
+        self._open[session_key] = (name, turn + 1)
         return name, turn
