--- a/beryllug/bench/slopes/__init__.py
+++ b/beryllug/bench/slopes/__init__.py
@@ -1,4 +1,5 @@
-"""Slopes behind docs/CAPACITY.md: what a thing costs as its size grows.
+"""Measures the slopes in docs/CAPACITY.md: how costs grow with size.
 
-Each module measures one matter at three sizes or more, several times over.
+Each module measures one subject at three or more sizes, mostly with several
+repeats at each size.
 """
--- a/beryllug/bench/slopes/__main__.py
+++ b/beryllug/bench/slopes/__main__.py
@@ -1,4 +1,4 @@
-"""Measure all slopes, or those of the named sections, and print them.
+"""Measures and prints all slopes, or those of the named sections.
 
 ``python -m beryllug.bench.slopes [SECTION...]``
 """
@@ -27,8 +27,8 @@
 
 EXIT_USAGE = 2
 Section = Callable[[ledger.Ledger], Awaitable[None]]
-# Sections of a group run at once: they wait far more than they compute, and
-# no group has more than 200 processes.
+# Sections of a group run concurrently: they mostly wait, and no group has more
+# than 200 processes.
 GROUPS: tuple[Mapping[str, Section], ...] = (
     MappingProxyType({'imports': import_slope.run}),
     MappingProxyType({'state': state_slope.run}),
@@ -53,52 +53,52 @@
 )
 
 
-def main(chosen: Sequence[str]) -> int:
-    """Measure and return the exit code."""
+def main(selected: Sequence[str]) -> int:
+    """Measure the selected sections and return the exit code."""
     known = [name for group in GROUPS for name in group]
-    unknown = [name for name in chosen if name not in known]
+    unknown = [name for name in selected if name not in known]
     if unknown:
         listed = ', '.join(known)
         sys.stderr.write(f'unknown section {unknown[0]}; known are {listed}\n')
         return EXIT_USAGE
-    began = time.monotonic()
-    failed = asyncio.run(_measure(chosen or known))
-    took_s = time.monotonic() - began
-    sys.stdout.write(f'\nmeasured in {took_s:.0f} s\n')
+    started_at = time.monotonic()
+    failed = asyncio.run(_measure(selected or known))
+    elapsed_s = time.monotonic() - started_at
+    sys.stdout.write(f'\nmeasured in {elapsed_s:.0f} s\n')
     if failed:
         listed = ', '.join(failed)
         sys.stdout.write(f'not measured: {listed}\n')
     return 1 if failed else 0
 
 
-async def _measure(chosen: Sequence[str]) -> list[str]:
-    """Measure sections; return the names of those that failed."""
+async def _measure(selected: Sequence[str]) -> list[str]:
+    """Run sections group by group; return the names of those that failed."""
     failed: list[str] = []
     for group in GROUPS:
-        wanted = [name for name in group if name in chosen]
-        done = await asyncio.gather(
+        wanted = [name for name in group if name in selected]
+        succeeded = await asyncio.gather(
             *(_section(name, group[name]) for name in wanted)
         )
-        failed += [name for name, ok in zip(wanted, done) if not ok]
+        failed += [name for name, ok in zip(wanted, succeeded) if not ok]
     return failed
 
 
 async def _section(name: str, run: Section) -> bool:
-    """Measure one section and show it whole; tell whether it went well."""
-    shown = ledger.Ledger()
+    """Run one section and print it at its end; return whether it succeeded."""
+    recorder = ledger.Ledger()
     try:
-        await run(shown)
+        await run(recorder)
     except Exception:
         traceback.print_exc()
-        shown.note(f'{name}: failed, figures are missing')
+        recorder.note(f'{name}: failed, figures are missing')
         return False
     finally:
-        _show(shown)
+        _print(recorder)
     return True
 
 
-def _show(shown: ledger.Ledger) -> None:
-    lines = '\n'.join(shown.lines())
+def _print(recorder: ledger.Ledger) -> None:
+    lines = '\n'.join(recorder.lines())
     sys.stdout.write(f'{lines}\n')
     sys.stdout.flush()
 
--- a/beryllug/bench/slopes/controls.py
+++ b/beryllug/bench/slopes/controls.py
@@ -1,7 +1,8 @@
-"""Real processes of ours around stand-ins, for measuring.
+"""Runs real control and entry processes against stand-ins, to measure them.
 
-Unlike the harness of the proofs the stand-ins are processes too, the object
-API has no bound on its rate, and up to a hundred control processes start.
+In contrast to the harness of `proofs`, the stand-ins run in separate
+processes, the object API has no rate limit, and up to a hundred control
+processes are started.
 """
 
 import asyncio
@@ -35,20 +36,21 @@
 PLATFORM_S = 5.0
 FIRST_PORT = 12000
 LAST_PORT = 32000
-_TAKEN = re.compile(
+_CONFIG_TAKEN = re.compile(
     r'^I(\d{4} [\d:.]+) .*event=config_taken revision=(\d+) ', re.MULTILINE
 )
 
 
 class Plan(NamedTuple):
-    """What is started.
+    """The fleet to start.
 
     Attributes:
         document: The configuration in force from the start.
-        controls: Count of control processes.
-        zones: Availability zones, over which they are spread.
-        settings: Lines for their control sections.
-        entries: Count of entry processes, each on the host of a control.
+        controls: Number of control processes.
+        zones: Availability zones over which the hosts are spread.
+        settings: Lines for the control section of their settings.
+        entries: Number of entry processes, each on the host of a control
+            process.
     """
 
     document: config_data.Document
@@ -62,16 +64,16 @@
     """A running fleet.
 
     Attributes:
-        plan: What it was made from.
-        client: For calls of stand-ins and operators' addresses.
-        hosts: Addresses of the processes.
+        plan: The plan it was created from.
+        client: HTTP client for stand-ins and the operators' endpoints.
+        hosts: Addresses of the processes, by host.
         names: Names of the control processes.
-        processes: The daemons.
-        revision: Revision of the document that was applied last.
+        processes: The control and entry processes.
+        revision: Revision of the last applied document.
     """
 
     def __init__(self, plan: Plan) -> None:
-        """Make a fleet; `start` starts it."""
+        """Choose ports and names; `start` starts the processes."""
         self.plan = plan
         self.client = http_client.HttpClient()
         self.hosts = free_hosts(plan.controls)
@@ -83,7 +85,7 @@
         self._parties: dict[str, parties.Party] = {}
 
     async def start(self) -> None:
-        """Start all and wait until every process is ready."""
+        """Start all processes and wait until every one is ready."""
         self._parties['platform'] = await parties.start(
             'object-api', reads_per_s=0, writes_per_s=0
         )
@@ -91,10 +93,10 @@
         await self.apply(self.plan.document)
         names = [*self.names, *self.entry_names()]
         await asyncio.gather(*map(self._spawn, names))
-        await asyncio.gather(*map(self._ready, names))
+        await asyncio.gather(*map(self._wait_ready, names))
 
     async def stop(self) -> None:
-        """Stop all."""
+        """Stop all processes."""
         await self.processes.stop()
         await self.client.close()
         await asyncio.gather(*map(parties.stop, self._parties.values()))
@@ -107,7 +109,7 @@
         ]
 
     def platform(self) -> parties.Party:
-        """Return the object API."""
+        """Return the stand-in for the object API."""
         return self._parties['platform']
 
     def pids(self) -> list[int]:
@@ -118,12 +120,12 @@
         """Return the processor time of each control process, in seconds.
 
         Raises:
-            RuntimeError: One has ended; carries its log.
+            RuntimeError: A process has exited; the message has its log.
         """
         return [self._cpu_s(name) for name in self.names]
 
     async def apply(self, document: config_data.Document) -> float:
-        """Apply a document; return the wall-clock second it was accepted."""
+        """Apply a document; return the wall-clock time of its acceptance."""
         api = object_api.HttpObjectApi(
             self.client, self.platform().address, PLATFORM_S
         )
@@ -134,18 +136,20 @@
         self.revision = outcome.unwrap()
         return time.time()
 
-    def taken_at(self, name: str) -> dict[int, float]:
-        """Return when a control took each revision, by its log."""
+    def applied_at(self, name: str) -> dict[int, float]:
+        """Return when a control process applied each revision, from its log."""
         year = datetime.now().year
         return {
             int(revision): datetime.strptime(
                 f'{year}{stamp}', '%Y%m%d %H:%M:%S.%f'
             ).timestamp()
-            for stamp, revision in _TAKEN.findall(self.processes.log(name))
+            for stamp, revision in _CONFIG_TAKEN.findall(
+                self.processes.log(name)
+            )
         }
 
     async def calls(self) -> dict[str, int]:
-        """Return the calls of the object API so far, by kind."""
+        """Return the number of object API calls so far, by kind."""
         recorded = await parties.record(self.client, self.platform())
         counted: dict[str, int] = recorded['calls']
         return counted
@@ -153,7 +157,7 @@
     async def list_hosts(
         self, servers: Iterable[view_data.BackendServer]
     ) -> None:
-        """Let the host list show backend servers."""
+        """Set the backend servers in the host list."""
         body = msgspec.json.encode([server._asdict() for server in servers])
         outgoing = http_data.Outgoing('PUT', '/v1/hosts', {}, body)
         await self.client.call(self._parties['host_list'].address, outgoing)
@@ -169,7 +173,7 @@
             return process_stats.cpu_s(self.processes.pid(name))
         except OSError as exc:
             log = self.processes.log(name)
-            raise RuntimeError(f'{name} has ended: {log}') from exc
+            raise RuntimeError(f'{name} has exited: {log}') from exc
 
     async def _spawn(self, name: str) -> None:
         sites = fleet_settings.Sites(
@@ -184,7 +188,7 @@
         )
         await self.processes.spawn(name, fleet_settings.render(name, sites))
 
-    async def _ready(self, name: str) -> None:
+    async def _wait_ready(self, name: str) -> None:
         deadline = time.monotonic() + READY_S
         status = 0
         while status != OK:
@@ -192,7 +196,7 @@
             status, _ = await self._get(name, '/readyz')
             if status != OK and time.monotonic() > deadline:
                 log = self.processes.log(name)
-                raise TimeoutError(f'{name} is not ready: {log}')
+                raise TimeoutError(f'{name} was not ready in time: {log}')
 
     async def _get(self, name: str, target: str) -> tuple[int, bytes]:
         address = fleet_settings.operators_of(name, self.hosts)
@@ -210,7 +214,7 @@
 
 @contextlib.asynccontextmanager
 async def running(plan: Plan) -> AsyncIterator[Controls]:
-    """Start a fleet, and stop it whatever happens."""
+    """Start a fleet and stop it on exit, also after an error."""
     fleet = Controls(plan)
     try:
         await fleet.start()
@@ -220,11 +224,11 @@
 
 
 def free_hosts(count: int) -> list[fleet_settings.HostPorts]:
-    """Find free ports for many hosts; no port is given twice.
+    """Return free ports for a number of hosts; no port is returned twice.
 
-    They lie below the range from which the kernel takes ports of outgoing
-    connections: a hundred processes connect to one another while they start,
-    and would take a port that another is about to listen on.
+    The ports are below the kernel's ephemeral port range. A hundred processes
+    connect to one another while they start, and an outgoing connection could
+    otherwise occupy a port on which another process is about to listen.
     """
     fields = len(fleet_settings.HostPorts._fields)
     return [
@@ -245,7 +249,7 @@
 
 @functools.cache
 def _free_ports() -> Iterator[int]:
-    """Return the one source of ports of this process."""
+    """Return the iterator of free ports, shared by all fleets."""
     offset = random.SystemRandom().randrange(LAST_PORT - FIRST_PORT)
     first = FIRST_PORT + offset
     ports = itertools.chain(range(first, LAST_PORT), range(FIRST_PORT, first))
--- a/beryllug/bench/slopes/counters_test.py
+++ b/beryllug/bench/slopes/counters_test.py
@@ -1,4 +1,4 @@
-"""Tests of what is read from the kernel and from logs."""
+"""Tests of connection counters, change delays and free ports."""
 
 import unittest
 from types import MappingProxyType
@@ -40,7 +40,7 @@
 Delays = tuple[str, fleet_run.Times, list[float]]
 
 ACCEPTED = MappingProxyType({2: 10.0, 3: 11.0})
-# Title, revisions taken by each process, delays in ms.
+# Title, revisions applied by each process, delays in ms.
 DELAYS: tuple[Delays, ...] = (
     (
         'the last process counts',
@@ -59,7 +59,7 @@
     """Counters of connections."""
 
     def test_between(self) -> None:
-        """Connections count at the side that listens, once."""
+        """Each connection is counted once, at the listening side."""
         for title, ports, expected in BETWEEN:
             with self.subTest(title):
                 before = sockets.parse(BEFORE, ports)
@@ -67,17 +67,17 @@
                 self.assertEqual(sockets.between(before, after), expected)
 
     def test_on(self) -> None:
-        """Connections are told apart by the port that accepted them."""
+        """Connections are selected by the port that accepted them."""
         found = sockets.parse(AFTER, {7000, 7001})
         self.assertEqual(len(found), 3)
         self.assertEqual(list(sockets.on(found, {7001})), [(OTHER, FAR)])
 
 
 class DelaysTest(unittest.TestCase):
-    """Times until a change was in force."""
+    """Delays until a change was applied."""
 
     def test_delays(self) -> None:
-        """A process that went past a revision had it by then."""
+        """A process at a later revision counts as having the earlier one."""
         for title, taken, expected in DELAYS:
             with self.subTest(title):
                 found = fleet_run.delays_ms(ACCEPTED, taken)
@@ -86,10 +86,10 @@
 
 
 class PortsTest(unittest.TestCase):
-    """Ports of a fleet."""
+    """Allocation of ports for a fleet."""
 
     def test_free_hosts(self) -> None:
-        """No port is given twice, and none that connections take."""
+        """No port is returned twice, and none is in the ephemeral range."""
         hosts = controls.free_hosts(50)
         ports = {controls.port_of(port) for host in hosts for port in host}
         self.assertEqual(len(ports), 200)
--- a/beryllug/bench/slopes/decision_slope.py
+++ b/beryllug/bench/slopes/decision_slope.py
@@ -1,6 +1,6 @@
-"""Processor time of single decisions and messages at sizes of the future.
+"""Measures processor time of single decisions and messages by size.
 
-The functions run in this process, on tables of those sizes.
+The functions run in this process, on generated tables of each size.
 """
 
 import json
@@ -31,22 +31,22 @@
 from beryllug.drivers import host_list, wire
 
 MEMBERS = (8, 80, 890)
-MANY = (100, 1000, 10000)
+COUNTS = (100, 1000, 10000)
 SHARDS = 48
 LEASES = tuple(f'journal/{shard}' for shard in range(SHARDS))
 REPEATS = 5
 LEAST_S = 0.02
 MS = 1000
 PORT = 8000
-A_PROCESS = 'a process'
-A_RUNNER = 'a runner'
-AN_ACCOUNT = 'an account'
+PER_PROCESS = 'a process'
+PER_RUNNER = 'a runner'
+PER_ACCOUNT = 'an account'
 
 Work = Callable[[], Any]
 
 
 class Decision(NamedTuple):
-    """A piece of work: what it is, its sizes, and how it is prepared."""
+    """A unit of work: its title, unit of size, sizes and preparation."""
 
     title: str
     per: str
@@ -54,27 +54,29 @@
     prepare: Callable[[int], Work]
 
 
-async def run(shown: ledger.Ledger) -> None:
-    """Measure each."""
-    shown.section('processor time of decisions and messages')
+async def run(recorder: ledger.Ledger) -> None:
+    """Measure the time of each decision and the size of each message."""
+    recorder.section('processor time of decisions and messages')
     for title, per, sizes, prepare in DECISIONS:
-        points = [fit.Point(size, _times(prepare(size))) for size in sizes]
-        shown.sweep(title, 'ms', per, points)
-    shown.section('bytes of messages')
+        points = [
+            fit.Point(size, _cpu_times_ms(prepare(size))) for size in sizes
+        ]
+        recorder.sweep(title, 'ms', per, points)
+    recorder.section('bytes of messages')
     for title, per, sizes, make in MESSAGES:
         points = [
             fit.Point(size, (len(wire.encode(make(size))),)) for size in sizes
         ]
-        shown.sweep(title, 'B', per, points)
+        recorder.sweep(title, 'B', per, points)
 
 
-def _times(work: Work) -> tuple[float, ...]:
+def _cpu_times_ms(work: Work) -> tuple[float, ...]:
     work()
-    return tuple(_took_ms(work) for _ in range(REPEATS))
+    return tuple(_cpu_ms(work) for _ in range(REPEATS))
 
 
-def _took_ms(work: Work) -> float:
-    """Return the processor time of a piece of work, done often enough."""
+def _cpu_ms(work: Work) -> float:
+    """Return the mean processor time of a call, over enough repeats."""
     count = 0
     began = time.process_time()
     spent_s = 0.0
@@ -85,19 +87,19 @@
     return spent_s / count * MS
 
 
-def _news(size: int) -> Work:
+def _select_news(size: int) -> Work:
     table = member_tables.table_of(member_tables.members(size))
     table.sends.clear()
     return lambda: membership.take_news(table, member_tables.name_of(1))
 
 
-def _whole_table(size: int) -> Work:
+def _learn_table(size: int) -> Work:
     known = member_tables.members(size)
     return lambda: member_tables.table_of(known)
 
 
-def _return(size: int) -> Work:
-    """A member is believed dead and comes back: the ring is built twice."""
+def _fail_and_rejoin(size: int) -> Work:
+    """A member is marked dead and rejoins: the ring is built twice."""
     table = member_tables.table_of(member_tables.members(size))
     name = member_tables.name_of(1)
 
@@ -105,25 +107,25 @@
         member = table.known[name].member
         dead = member._replace(status=member_data.Status.DEAD)
         membership.merge(table, dead, 0)
-        back = member._replace(incarnation=member.incarnation + 1)
-        membership.merge(table, back, 0)
+        rejoined = member._replace(incarnation=member.incarnation + 1)
+        membership.merge(table, rejoined, 0)
 
     return work
 
 
-def _order(size: int) -> Work:
+def _rank_members(size: int) -> Work:
     names = [member_tables.name_of(number) for number in range(size)]
     return lambda: rendezvous.order('config watchers', names)
 
 
-def _look(size: int) -> Work:
+def _assign_leases(size: int) -> Work:
     names = [member_tables.name_of(number) for number in range(size)]
     spread = lease_spread.Spread()
     return lambda: lease_spread.update(spread, LEASES, names)
 
 
-def _look_anew(size: int) -> Work:
-    """One member leaves and comes back."""
+def _reassign_leases(size: int) -> Work:
+    """One member leaves and rejoins."""
     names = [member_tables.name_of(number) for number in range(size)]
     spread = lease_spread.Spread()
 
@@ -134,14 +136,14 @@
     return work
 
 
-def _take_loads(size: int) -> Work:
-    """An entry that holds the view takes an update with all loads."""
-    held = rpc_data.ViewUpdate(
+def _apply_loads(size: int) -> Work:
+    """An entry that holds the view applies an update with all loads."""
+    full_view = rpc_data.ViewUpdate(
         1,
         document=documents.document(),
         servers=documents.servers(size, PORT),
     )
-    known = view_merge.merge(view_merge.Known(), held)
+    known = view_merge.merge(view_merge.Known(), full_view)
     raw = wire.encode(rpc_data.ViewUpdate(1, loads=documents.loads(size)))
     decode = wire.decoder(rpc_data.ViewUpdate)
     state = balance_data.BalanceState()
@@ -155,19 +157,19 @@
     return work
 
 
-def _send_loads(size: int) -> Work:
+def _encode_loads(size: int) -> Work:
     update = rpc_data.ViewUpdate(1, loads=documents.loads(size))
     return lambda: wire.encode(update)
 
 
-def _take_hosts(size: int) -> Work:
+def _decode_hosts(size: int) -> Work:
     servers = documents.servers(size, PORT)
     body = json.dumps([server._asdict() for server in servers]).encode()
     return lambda: host_list.decode(body)
 
 
-def _take_change(size: int) -> Work:
-    """A control that holds a document takes a change of one account."""
+def _apply_change(size: int) -> Work:
+    """A control that holds a document applies a change of one account."""
     old = documents.document(accounts=size)
     new = documents.changed(old, 2)
     empty = config_state.Held()
@@ -176,8 +178,8 @@
     return lambda: config_state.hold(2, parts, before)
 
 
-def _take_document(size: int) -> Work:
-    """An entry takes a whole document, as after each change."""
+def _apply_document(size: int) -> Work:
+    """An entry applies a whole document, as after each change."""
     document = documents.document(accounts=size)
     raw = wire.encode(rpc_data.ViewUpdate(1, document=document))
     decode = wire.decoder(rpc_data.ViewUpdate)
@@ -189,7 +191,7 @@
     return work
 
 
-def _whole(size: int) -> member_data.Heartbeat:
+def _full_heartbeat(size: int) -> member_data.Heartbeat:
     table = member_tables.table_of(member_tables.members(size))
     return member_data.Heartbeat(table.own, *membership.everything(table))
 
@@ -204,42 +206,56 @@
 
 DECISIONS = (
     Decision(
-        'choose news for a heartbeat, none to tell', A_PROCESS, MEMBERS, _news
+        'choose news for a heartbeat, none to tell',
+        PER_PROCESS,
+        MEMBERS,
+        _select_news,
     ),
     Decision(
         'a new process takes in the whole table',
-        A_PROCESS,
+        PER_PROCESS,
+        MEMBERS,
+        _learn_table,
+    ),
+    Decision(
+        'a member is lost and comes back',
+        PER_PROCESS,
         MEMBERS,
-        _whole_table,
+        _fail_and_rejoin,
+    ),
+    Decision(
+        'order all members by rendezvous', PER_PROCESS, MEMBERS, _rank_members
     ),
-    Decision('a member is lost and comes back', A_PROCESS, MEMBERS, _return),
-    Decision('order all members by rendezvous', A_PROCESS, MEMBERS, _order),
     Decision(
         f'look who should hold which of {SHARDS} leases',
-        A_PROCESS,
+        PER_PROCESS,
         MEMBERS,
-        _look,
+        _assign_leases,
     ),
     Decision(
         'the same when a member left and came back',
-        A_PROCESS,
+        PER_PROCESS,
         MEMBERS,
-        _look_anew,
+        _reassign_leases,
+    ),
+    Decision('decode the host list', PER_RUNNER, COUNTS, _decode_hosts),
+    Decision(
+        'encode all loads for an entry', PER_RUNNER, COUNTS, _encode_loads
     ),
-    Decision('decode the host list', A_RUNNER, MANY, _take_hosts),
-    Decision('encode all loads for an entry', A_RUNNER, MANY, _send_loads),
-    Decision('an entry takes all loads', A_RUNNER, MANY, _take_loads),
+    Decision('an entry takes all loads', PER_RUNNER, COUNTS, _apply_loads),
     Decision(
         'a control takes a change of one account',
-        AN_ACCOUNT,
-        MANY,
-        _take_change,
+        PER_ACCOUNT,
+        COUNTS,
+        _apply_change,
+    ),
+    Decision(
+        'an entry takes the document', PER_ACCOUNT, COUNTS, _apply_document
     ),
-    Decision('an entry takes the document', AN_ACCOUNT, MANY, _take_document),
 )
 MESSAGES = (
-    ('a heartbeat with the whole table', A_PROCESS, MEMBERS, _whole),
-    ('an update with all loads', A_RUNNER, MANY, _loads),
-    ('an update with the document', AN_ACCOUNT, MANY, _document),
+    ('a heartbeat with the whole table', PER_PROCESS, MEMBERS, _full_heartbeat),
+    ('an update with all loads', PER_RUNNER, COUNTS, _loads),
+    ('an update with the document', PER_ACCOUNT, COUNTS, _document),
     ('the state of a roll-out', 'an entry', MEMBERS, reports.state),
 )
--- a/beryllug/bench/slopes/documents.py
+++ b/beryllug/bench/slopes/documents.py
@@ -1,4 +1,4 @@
-"""Documents and backend servers of a given size."""
+"""Builds configuration documents and backend servers of a given size."""
 
 import hashlib
 import time
@@ -12,15 +12,15 @@
 VERSIONS = 18
 ROW = 250
 COST_MICRO = 300
-FIRST_MS = 20000
-TOTAL_MS = 120000
+TARGET_FIRST_TOKEN_MS = 20000
+TARGET_TOTAL_MS = 120000
 ENGINE = config_data.PoolKind.ENGINE
 
 
 def document(
     accounts: int = 10, versions: int = VERSIONS
 ) -> config_data.Document:
-    """Return a document with so many client accounts and versions."""
+    """Return a document with that many client accounts and versions."""
     pools = (config_data.Pool(POOL, ENGINE, CONCURRENCY, checks_fencing=True),)
     classes = ('lookup', 'hold', 'draft', 'report')
     return config_data.Document(
@@ -30,13 +30,14 @@
         ),
         pools=pools,
         targets=tuple(
-            config_data.Targets(name, FIRST_MS, TOTAL_MS) for name in classes
+            config_data.Targets(name, TARGET_FIRST_TOKEN_MS, TARGET_TOTAL_MS)
+            for name in classes
         ),
     )
 
 
 def account(number: int) -> config_data.Account:
-    """Return a client account that may use three models and a cascade."""
+    """Return a client account with three entries in its allowed list."""
     return config_data.Account(
         account_id=f'account-{number:05}',
         key_hashes=(key_hash(f'key-of-account-{number}'),),
@@ -49,23 +50,23 @@
 
 
 def changed(
-    declared: config_data.Document, weight: int
+    original: config_data.Document, weight: int
 ) -> config_data.Document:
-    """Return a document in which the first account has another weight."""
-    first, *others = declared.accounts
-    return declared._replace(accounts=(first._replace(weight=weight), *others))
+    """Return a copy of a document with a new weight for its first account."""
+    first, *others = original.accounts
+    return original._replace(accounts=(first._replace(weight=weight), *others))
 
 
 def key_hash(key: str) -> str:
-    """Return the hash of a bearer key, as a document states it."""
+    """Return the hash of a bearer key in the form used in a document."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def servers(count: int, port: int) -> tuple[view_data.BackendServer, ...]:
-    """Return so many model engines; one process stands for all of them.
+    """Return model engines that are all served by one process.
 
-    Each has an address of its own in the loopback network, for a connection
-    is kept for each address.
+    Each has its own loopback address, because one connection is kept per
+    address.
     """
     return tuple(
         view_data.BackendServer(
@@ -80,7 +81,7 @@
 
 
 def loads(count: int) -> tuple[view_data.ServerLoad, ...]:
-    """Return a load of each of these, with two versions loaded."""
+    """Return the load of each of these servers, with two versions loaded."""
     loaded = (
         config_data.VersionRef(MODEL, 'v0'),
         config_data.VersionRef(MODEL, 'v1'),
--- a/beryllug/bench/slopes/entry_slope.py
+++ b/beryllug/bench/slopes/entry_slope.py
@@ -1,8 +1,8 @@
-"""Requests and streams through a real entry process and its control.
+"""Measures requests and streams through a real entry and its control.
 
-One entry, one control and one stand-in of an engine for each size. First so
-many answers are streamed at once, a token every 61 ms; then so many short
-requests come a second.
+Each size runs one entry, one control process and one stand-in engine. First
+a number of answers is streamed concurrently, one token every 61 ms; then
+short requests are sent at a constant rate.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 TOKENS = 330
 SLOTS = 512
 SETTLE_S = 5.0
-FILL_S = 3.0
+RAMP_UP_S = 3.0
 WINDOW_S = 4.0
 REPEATS = 3
 KIB = 1024
@@ -36,13 +36,13 @@
 PLAN = controls.Plan(documents.document(versions=2), controls=1, entries=1)
 
 
-class _Taken(NamedTuple):
-    """One stretch.
+class _Sample(NamedTuple):
+    """The measurements of one time window.
 
     Attributes:
-        entry_ms: Processor time of the entry, ms a second.
-        control_ms: That of the control.
-        resident_kb: Memory of the entry.
+        entry_ms: Processor time of the entry, ms per second.
+        control_ms: Processor time of the control process, ms per second.
+        resident_kb: Resident memory of the entry.
     """
 
     entry_ms: float
@@ -51,32 +51,34 @@
 
 
 class _Measured(NamedTuple):
-    """What one size gave: stretches with streams, then with requests."""
+    """The windows of one size, with streams and with requests."""
 
-    streaming: list[_Taken]
-    asking: list[_Taken]
+    streaming: list[_Sample]
+    requesting: list[_Sample]
 
 
-async def run(shown: ledger.Ledger) -> None:
-    """Measure each size, one fleet for each at once."""
-    shown.section(f'an entry: {STREAMS} open streams, then {RATES} requests/s')
+async def run(recorder: ledger.Ledger) -> None:
+    """Measure each size, with concurrent fleets."""
+    recorder.section(
+        f'an entry: {STREAMS} open streams, then {RATES} requests/s'
+    )
     measured = await asyncio.gather(*map(_measure, STREAMS, RATES))
     streaming = [one.streaming for one in measured]
     for row in STREAMING:
-        _sweep(shown, row, streaming)
-    asking = [one.asking for one in measured]
-    for row in ASKING:
-        _sweep(shown, row, asking)
+        _sweep(recorder, row, streaming)
+    requesting = [one.requesting for one in measured]
+    for row in REQUEST_ROWS:
+        _sweep(recorder, row, requesting)
 
 
 class _Row(NamedTuple):
-    """A figure that is shown: what, against which sizes, and from where."""
+    """A reported figure: its title, units, sizes and getter."""
 
     title: str
     unit: str
     per: str
     sizes: Sequence[float]
-    figure: Callable[[_Taken], float]
+    figure: Callable[[_Sample], float]
 
 
 STREAMING = (
@@ -85,96 +87,99 @@
         'ms/s',
         'a forwarded event a second',
         tuple(count / TOKEN_S for count in STREAMS),
-        lambda taken: taken.entry_ms,
+        lambda sample: sample.entry_ms,
     ),
     _Row(
         'streams: memory of the entry',
         'KB',
         'an open stream',
         STREAMS,
-        lambda taken: taken.resident_kb,
+        lambda sample: sample.resident_kb,
     ),
 )
-ASKING = (
+REQUEST_ROWS = (
     _Row(
         'requests: processor time of the entry',
         'ms/s',
         'a request a second',
         RATES,
-        lambda taken: taken.entry_ms,
+        lambda sample: sample.entry_ms,
     ),
     _Row(
         'requests: processor time of the control',
         'ms/s',
         'a request a second',
         RATES,
-        lambda taken: taken.control_ms,
+        lambda sample: sample.control_ms,
     ),
 )
 
 
 def _sweep(
-    shown: ledger.Ledger, row: _Row, measured: Sequence[list[_Taken]]
+    recorder: ledger.Ledger, row: _Row, measured: Sequence[list[_Sample]]
 ) -> None:
     points = [
-        fit.Point(size, tuple(map(row.figure, taken)))
-        for size, taken in zip(row.sizes, measured)
+        fit.Point(size, tuple(map(row.figure, samples)))
+        for size, samples in zip(row.sizes, measured)
     ]
-    shown.sweep(row.title, row.unit, row.per, points)
+    recorder.sweep(row.title, row.unit, row.per, points)
 
 
 async def _measure(streams: int, rate: int) -> _Measured:
     engine = await parties.start(
         'engine', concurrency=SLOTS, queue=SLOTS, token_s=TOKEN_S
     )
-    who = caller.Caller(documents.KEY)
+    client = caller.Caller(documents.KEY)
     try:
         async with controls.running(PLAN) as fleet:
             port = controls.port_of(engine.address)
             await fleet.list_hosts(documents.servers(1, port))
             await asyncio.sleep(SETTLE_S)
             return _Measured(
-                await _stream(fleet, who, streams),
-                await _ask(fleet, who, rate),
+                await _stream(fleet, client, streams),
+                await _send_requests(fleet, client, rate),
             )
     finally:
-        await who.close()
+        await client.close()
         await parties.stop(engine)
 
 
 async def _stream(
-    fleet: controls.Controls, who: caller.Caller, count: int
-) -> list[_Taken]:
-    """Keep streams open over all stretches."""
+    fleet: controls.Controls, client: caller.Caller, count: int
+) -> list[_Sample]:
+    """Measure windows while streams are open."""
     opened = [
-        asyncio.create_task(_chat(fleet, who, f'{number}', TOKENS))
+        asyncio.create_task(_chat(fleet, client, f'{number}', TOKENS))
         for number in range(count)
     ]
-    await asyncio.sleep(FILL_S)
-    taken = [
-        await _stretch(fleet, asyncio.create_task(asyncio.sleep(WINDOW_S)))
+    await asyncio.sleep(RAMP_UP_S)
+    samples = [
+        await _measure_window(
+            fleet, asyncio.create_task(asyncio.sleep(WINDOW_S))
+        )
         for _ in range(REPEATS)
     ]
     await asyncio.gather(*opened)
-    return taken
+    return samples
 
 
-async def _ask(
-    fleet: controls.Controls, who: caller.Caller, rate: int
-) -> list[_Taken]:
-    """Send short requests at a rate."""
+async def _send_requests(
+    fleet: controls.Controls, client: caller.Caller, rate: int
+) -> list[_Sample]:
+    """Measure windows in which short requests are sent at a rate."""
     numbers = itertools.count()
     return [
-        await _stretch(
-            fleet, asyncio.create_task(_send(fleet, who, rate, numbers))
+        await _measure_window(
+            fleet,
+            asyncio.create_task(_send_at_rate(fleet, client, rate, numbers)),
         )
         for _ in range(REPEATS)
     ]
 
 
-async def _send(
+async def _send_at_rate(
     fleet: controls.Controls,
-    who: caller.Caller,
+    client: caller.Caller,
     rate: int,
     numbers: Iterator[int],
 ) -> None:
@@ -183,15 +188,15 @@
     for number in range(round(rate * WINDOW_S)):
         due_s = began + number / rate - time.monotonic()
         await asyncio.sleep(max(0, due_s))
-        work = _chat(fleet, who, f'short {next(numbers)}', 1)
+        work = _chat(fleet, client, f'short {next(numbers)}', 1)
         tasks.append(asyncio.create_task(work))
     await asyncio.gather(*tasks)
 
 
 async def _chat(
-    fleet: controls.Controls, who: caller.Caller, prompt: str, tokens: int
+    fleet: controls.Controls, client: caller.Caller, prompt: str, tokens: int
 ) -> None:
-    reply = await who.chat(
+    reply = await client.chat(
         fleet.hosts[0].callers,
         documents.MODEL,
         prompt,
@@ -202,9 +207,9 @@
         raise RuntimeError(f'status {reply.status}: {reply.body.decode()}')
 
 
-async def _stretch(
+async def _measure_window(
     fleet: controls.Controls, work: asyncio.Task[None]
-) -> _Taken:
+) -> _Sample:
     entry = fleet.processes.pid(fleet.entry_names()[0])
     pids = (entry, fleet.pids()[0])
     began = time.monotonic()
@@ -212,7 +217,7 @@
     await work
     took_s = time.monotonic() - began
     after = tuple(map(process_stats.cpu_s, pids))
-    return _Taken(
+    return _Sample(
         (after[0] - before[0]) * MS / took_s,
         (after[1] - before[1]) * MS / took_s,
         process_stats.resident(entry) / KIB,
--- a/beryllug/bench/slopes/fit.py
+++ b/beryllug/bench/slopes/fit.py
@@ -1,23 +1,23 @@
-"""Lines through figures that were measured at several sizes.
+"""Least-squares lines through figures measured at several sizes.
 
-A page about sizes that no test machine has must say how a figure grows. Each
-size is measured several times, one line is laid through each repeat, and the
-spread of these lines says how far the slope can be trusted.
+Capacity figures beyond the size of a test machine are extrapolated. Each size
+is measured several times and one line is fitted to each repeat; the range of
+the slopes shows how uncertain the slope is.
 """
 
 import statistics
 from collections.abc import Sequence
 from typing import NamedTuple
 
-LEAST_SIZES = 3
+MIN_SIZES = 3
 
 
 class Point(NamedTuple):
-    """One size.
+    """The measurements at one size.
 
     Attributes:
-        size: What was varied.
-        measured: The figure of each repeat, as many at each size.
+        size: The independent variable.
+        measured: The figure of each repeat; every size has as many repeats.
     """
 
     size: float
@@ -25,13 +25,13 @@
 
 
 class Line(NamedTuple):
-    """How a figure grows.
+    """A fitted line.
 
     Attributes:
-        slope: Median over the repeats of the growth with each one more.
-        low: Least slope of a repeat.
-        high: Greatest slope of a repeat.
-        base: Median over the repeats of the figure at size 0.
+        slope: Median slope of the repeats, per unit of size.
+        low: Smallest slope of a repeat.
+        high: Largest slope of a repeat.
+        base: Median intercept of the repeats, the figure at size 0.
     """
 
     slope: float
@@ -41,25 +41,25 @@
 
 
 def line(points: Sequence[Point]) -> Line:
-    """Lay a least-squares line through each repeat.
+    """Fit a least-squares line to each repeat.
 
     Raises:
-        ValueError: There are too few sizes, or repeats are missing.
+        ValueError: There are too few distinct sizes, or repeats are missing.
     """
-    if len({point.size for point in points}) < LEAST_SIZES:
-        raise ValueError(f'a slope needs {LEAST_SIZES} sizes')
+    if len({point.size for point in points}) < MIN_SIZES:
+        raise ValueError(f'a slope needs at least {MIN_SIZES} distinct sizes')
     sizes = [point.size for point in points]
     repeats = zip(*(point.measured for point in points), strict=True)
     fits = [statistics.linear_regression(sizes, ys) for ys in repeats]
-    slopes = [found.slope for found in fits]
+    slopes = [fitted.slope for fitted in fits]
     return Line(
         statistics.median(slopes),
         min(slopes),
         max(slopes),
-        statistics.median(found.intercept for found in fits),
+        statistics.median(fitted.intercept for fitted in fits),
     )
 
 
-def at(found: Line, size: float) -> float:
-    """Return the figure that a line gives at a size."""
-    return found.base + found.slope * size
+def at(fitted: Line, size: float) -> float:
+    """Return the value of a line at a size."""
+    return fitted.base + fitted.slope * size
--- a/beryllug/bench/slopes/fit_test.py
+++ b/beryllug/bench/slopes/fit_test.py
@@ -1,4 +1,4 @@
-"""Tests of lines and of how they are shown."""
+"""Tests of fitted lines and of their printed form."""
 
 import unittest
 
@@ -9,9 +9,9 @@
 Fitted = tuple[float, float, float, float]
 
 SAME = (1, 1, 1)
-UNLIKE = (2, 3, 4)
+DIFFERENT = (2, 3, 4)
 MORE = (3, 5, 7)
-THREE: Points = ((0, SAME), (1, UNLIKE), (2, MORE))
+THREE: Points = ((0, SAME), (1, DIFFERENT), (2, MORE))
 # Title, points, slope, low, high, base.
 LINES: tuple[tuple[str, Points, Fitted], ...] = (
     (
@@ -31,51 +31,51 @@
     ),
 )
 
-WRONG: tuple[tuple[str, Points], ...] = (
+INVALID: tuple[tuple[str, Points], ...] = (
     ('two sizes', ((1, (5,)), (2, (7,)))),
     ('one size three times', ((1, (5,)), (1, (7,)), (1, (7,)))),
     ('a repeat is missing', ((1, (5, 6)), (2, (7, 8)), (3, (9,)))),
 )
 
 
-def _points(given: Points) -> list[fit.Point]:
-    return [fit.Point(*point) for point in given]
+def _points(rows: Points) -> list[fit.Point]:
+    return [fit.Point(*point) for point in rows]
 
 
 class LineTest(unittest.TestCase):
-    """Least squares over each repeat."""
+    """Least-squares fit of each repeat."""
 
     def test_line(self) -> None:
-        """Median, least and greatest slope, and median base."""
-        for title, given, expected in LINES:
+        """The result has median, lowest and highest slope, and median base."""
+        for title, rows, expected in LINES:
             with self.subTest(title):
-                found = fit.line(_points(given))
-                for got, wanted in zip(found, expected, strict=True):
+                fitted = fit.line(_points(rows))
+                for got, wanted in zip(fitted, expected, strict=True):
                     self.assertAlmostEqual(got, wanted)
 
     def test_wrong(self) -> None:
-        """A slope out of two sizes, or of unlike repeats, is refused."""
-        for title, given in WRONG:
+        """Fewer than three sizes, or a missing repeat, raise an error."""
+        for title, rows in INVALID:
             with self.subTest(title), self.assertRaises(ValueError):
-                fit.line(_points(given))
+                fit.line(_points(rows))
 
     def test_at(self) -> None:
-        """A line tells the figure at a size that was not measured."""
-        found = fit.line(_points(LINES[0][1]))
-        self.assertAlmostEqual(fit.at(found, 890), 1783)
+        """A line can be evaluated at a size that was not measured."""
+        fitted = fit.line(_points(LINES[0][1]))
+        self.assertAlmostEqual(fit.at(fitted, 890), 1783)
 
 
 class LedgerTest(unittest.TestCase):
-    """What is printed."""
+    """Printed form of measurements."""
 
     def test_lines(self) -> None:
-        """A sweep shows each size with its spread, and the slope."""
-        shown = ledger.Ledger()
-        shown.section('members')
+        """A sweep prints each size with its range, and the slope."""
+        recorder = ledger.Ledger()
+        recorder.section('members')
         points = _points(LINES[1][1])
-        shown.sweep('processor time', 'ms/s', 'a member', points)
-        shown.figure('conflicts', 'calls', (3, 1, 2))
-        text = '\n'.join(shown.lines())
+        recorder.sweep('processor time', 'ms/s', 'a member', points)
+        recorder.figure('conflicts', 'calls', (3, 1, 2))
+        text = '\n'.join(recorder.lines())
         for wanted in (
             'members',
             'processor time, ms/s',
--- a/beryllug/bench/slopes/fleet_run.py
+++ b/beryllug/bench/slopes/fleet_run.py
@@ -1,7 +1,7 @@
-"""One fleet of control processes: idle, while it changes, and after a loss.
+"""Measures a fleet of control processes when idle, on changes and losses.
 
-Each control is followed by one entry, which this process stands in for; it
-tells when a change has reached the entries.
+This process simulates one entry at each control process, which records when
+a change of the configuration reaches the entries.
 """
 
 import asyncio
@@ -26,8 +26,8 @@
 WINDOW_S = 4.0
 REPEATS = 3
 CHANGES = 6
-CHANGE_EVERY_S = 0.5
-CRASH_S = 30.0
+CHANGE_INTERVAL_S = 0.5
+CRASH_TIMEOUT_S = 30.0
 MB = 1048576
 MS = 1000
 
@@ -35,19 +35,22 @@
 
 
 class Measured(NamedTuple):
-    """What one size gave.
+    """The measurements of one fleet size.
 
     Attributes:
-        size: Count of processes.
-        started: Processor time of each until all were ready, ms.
-        idle: Stretches in which nothing happened.
-        changing: Stretches with `CHANGES` changes of the configuration.
-        crashes: Stretches with one report of a lost backend server.
-        told_ms: How long the reports took until all knew.
-        taken_ms: Time from an accepted change to the last process.
-        entered_ms: The same to the last entry.
-        resident: Memory of each process, MB.
-        private: The part of it that is not shared, MB.
+        size: Number of control processes.
+        started: Processor time of each process until all were ready, ms.
+        idle: Windows without any change.
+        changing: Windows with `CHANGES` changes of the configuration.
+        crashes: Windows with one report of a lost backend server.
+        told_ms: Time until a report of a lost server was answered,
+            which is when all control processes know of it.
+        taken_ms: Time from the acceptance of a change until the last
+            process applied it.
+        entered_ms: Time from the acceptance of a change until it
+            reached the last entry.
+        resident: Resident memory of each process, MB.
+        private: Unshared resident memory of each process, MB.
     """
 
     size: int
@@ -55,9 +58,9 @@
     idle: list[windows.Rates]
     changing: list[windows.Rates]
     crashes: list[windows.Rates]
-    told_ms: list[float]
+    crash_report_ms: list[float]
     taken_ms: list[float]
-    entered_ms: list[float]
+    entries_reached_ms: list[float]
     resident: list[float]
     private: list[float]
 
@@ -67,7 +70,8 @@
 
     Args:
         size: Count of control processes.
-        watchers: How many of a zone watch the platform; 0 means all.
+        watchers: How many processes of a zone watch the platform; 0 means
+            all.
     """
     settings = (f'watchers = {watchers}',)
     plan = controls.Plan(documents.document(), size, ZONES, settings)
@@ -89,77 +93,83 @@
     change = functools.partial(_change, fleet, accepted)
     changing = [await windows.watch(fleet, 0, change) for _ in range(REPEATS)]
     await entries.reached(fleet.revision)
-    taken = {name: fleet.taken_at(name) for name in fleet.names}
-    resident = _megabytes(fleet, process_stats.resident)
-    private = _megabytes(fleet, process_stats.private)
-    told_ms, crashes = await _lose(fleet)
+    applied = {name: fleet.applied_at(name) for name in fleet.names}
+    resident = _memory_mb(fleet, process_stats.resident)
+    private = _memory_mb(fleet, process_stats.private)
+    crash_report_ms, crashes = await _report_crashes(fleet)
     return Measured(
         fleet.plan.controls,
         started,
         idle,
         changing,
         crashes,
-        told_ms,
-        delays_ms(accepted, taken),
+        crash_report_ms,
+        delays_ms(accepted, applied),
         delays_ms(accepted, entries.seen),
         resident,
         private,
     )
 
 
-async def _lose(
+async def _report_crashes(
     fleet: controls.Controls,
 ) -> tuple[list[float], list[windows.Rates]]:
-    """Report lost servers; return how long it took and the stretches."""
-    told_ms: list[float] = []
-    crash = functools.partial(_crash, fleet, told_ms)
-    rates = [await windows.watch(fleet, 0, crash) for _ in range(REPEATS)]
-    return told_ms, rates
+    """Report lost servers; return the durations and the rates of windows."""
+    crash_report_ms: list[float] = []
+    report_crash = functools.partial(_report_crash, fleet, crash_report_ms)
+    rates = [
+        await windows.watch(fleet, 0, report_crash) for _ in range(REPEATS)
+    ]
+    return crash_report_ms, rates
 
 
-def _megabytes(
+def _memory_mb(
     fleet: controls.Controls, figure: Callable[[int], int]
 ) -> list[float]:
     return [figure(pid) / MB for pid in fleet.pids()]
 
 
-def delays_ms(accepted: Mapping[int, float], taken: Times) -> list[float]:
-    """Return for each change the time until the last one was so far.
+def delays_ms(accepted: Mapping[int, float], applied: Times) -> list[float]:
+    """Return for each change the delay until the last process applied it.
 
-    Who takes a later change at once never shows the earlier one.
+    A process that skips to a later revision counts as having the earlier one
+    from then on.
 
     Args:
         accepted: When each revision was accepted.
-        taken: When each process took which revision.
+        taken: When each process applied each revision.
     """
     return [
-        max(_reached(when, revision) for when in taken.values()) * MS - at * MS
+        max(_reached_at(when, revision) for when in applied.values()) * MS
+        - at * MS
         for revision, at in accepted.items()
     ]
 
 
-def _reached(when: Mapping[int, float], revision: int) -> float:
-    return min(at for taken, at in when.items() if taken >= revision)
+def _reached_at(when: Mapping[int, float], revision: int) -> float:
+    return min(at for applied, at in when.items() if applied >= revision)
 
 
 async def _change(fleet: controls.Controls, accepted: dict[int, float]) -> None:
-    """Apply documents one after the other."""
+    """Apply `CHANGES` documents, one every `CHANGE_INTERVAL_S`."""
     for _ in range(CHANGES):
         document = documents.changed(fleet.plan.document, fleet.revision + 2)
         accepted_at = await fleet.apply(document)
         accepted[fleet.revision] = accepted_at
-        await asyncio.sleep(CHANGE_EVERY_S)
+        await asyncio.sleep(CHANGE_INTERVAL_S)
 
 
-async def _crash(fleet: controls.Controls, told_ms: list[float]) -> None:
-    """Report to the first control that a backend server was lost."""
+async def _report_crash(
+    fleet: controls.Controls, crash_report_ms: list[float]
+) -> None:
+    """Report to the first control process that a backend server was lost."""
     keys = fleet_key.KeyRing((fleet_settings.FLEET_KEY,))
     client = rpc.RpcClient(fleet.hosts[0].control, keys)
-    number = len(told_ms)
+    number = len(crash_report_ms)
     report = rpc_data.CrashReport(
         'entry-0', f'runner-{number}', None, (f'{number:064x}',), time.time()
     )
     began = time.monotonic()
-    await client.call(methods.CRASH, report, CRASH_S)
-    told_ms.append((time.monotonic() - began) * MS)
+    await client.call(methods.CRASH, report, CRASH_TIMEOUT_S)
+    crash_report_ms.append((time.monotonic() - began) * MS)
     await client.close()
--- a/beryllug/bench/slopes/fleet_slope.py
+++ b/beryllug/bench/slopes/fleet_slope.py
@@ -1,7 +1,7 @@
-"""Control processes among themselves: how their figures grow with them.
+"""Measures how the costs of control processes grow with their number.
 
-Real processes around a stand-in of the object API: up to a hundred of which
-two in a zone watch it, and fewer of which all do.
+Real processes run against a stand-in for the object API: up to a hundred with
+two watchers per zone, and up to 32 that all watch it.
 """
 
 import asyncio
@@ -50,122 +50,127 @@
     ('processor time of its control', 'ms', lambda rates: rates.cpu[0]),
     (SENT, 'B', lambda rates: rates.carried),
 )
-FEW_ROWS = (READS, WATCHES)
+PLATFORM_ROWS = (READS, WATCHES)
 
 
-async def run(shown: ledger.Ledger) -> None:
-    """Measure with a few that watch."""
-    shown.section(f'{SIZES} control processes, {WATCHERS} of a zone watch')
+async def run(recorder: ledger.Ledger) -> None:
+    """Measure fleets with `WATCHERS` watchers per zone."""
+    recorder.section(f'{SIZES} control processes, {WATCHERS} of a zone watch')
     if not sockets.available():
-        shown.note('not run: ss, which counts bytes, is not installed')
+        recorder.note('not run: ss, which counts bytes, is not installed')
         return
     *small, large = SIZES
     measured = await asyncio.gather(
         *(fleet_run.measure(size, WATCHERS) for size in small)
     )
-    # The largest alone: together they would wait for one another.
+    # The largest fleet runs alone, or the fleets would delay one another.
     measured.append(await fleet_run.measure(large, WATCHERS))
     for title, unit, figure in IDLE:
-        _sweep(shown, f'idle: {title}', unit, measured, _idle(figure))
+        _sweep(recorder, f'idle: {title}', unit, measured, _idle(figure))
     for title, unit, figure in CHANGE:
-        _sweep(shown, f'one change: {title}', unit, measured, _change(figure))
+        _sweep(
+            recorder, f'one change: {title}', unit, measured, _change(figure)
+        )
     for title, unit, figure in CRASH:
         name = f'one report of a lost server: {title}'
-        _sweep(shown, name, unit, measured, _crash(figure))
+        _sweep(recorder, name, unit, measured, _crash(figure))
     for title, times in TIMES:
-        _sweep(shown, title, 'ms', measured, times)
+        _sweep(recorder, title, 'ms', measured, times)
     for title, unit, get in PROCESSES:
-        _sweep(shown, title, unit, measured, get)
+        _sweep(recorder, title, unit, measured, get)
 
 
-async def run_all_watch(shown: ledger.Ledger) -> None:
-    """Measure with all that watch: the platform's calls are of interest."""
-    shown.section(f'{ALL_SIZES} control processes, all watch')
+async def run_all_watch(recorder: ledger.Ledger) -> None:
+    """Measure only platform calls, in fleets where all processes watch."""
+    recorder.section(f'{ALL_SIZES} control processes, all watch')
     measured = await asyncio.gather(
         *(fleet_run.measure(size, ALL) for size in ALL_SIZES)
     )
     for title, unit, figure in IDLE:
-        if title in FEW_ROWS:
-            _sweep(shown, f'idle: {title}', unit, measured, _idle(figure))
+        if title in PLATFORM_ROWS:
+            _sweep(recorder, f'idle: {title}', unit, measured, _idle(figure))
     for title, unit, figure in CHANGE:
-        if title in FEW_ROWS:
+        if title in PLATFORM_ROWS:
             name = f'one change: {title}'
-            _sweep(shown, name, unit, measured, _change(figure))
+            _sweep(recorder, name, unit, measured, _change(figure))
 
 
 Get = Callable[[Measured], Sequence[float]]
 
 
 def _sweep(
-    shown: ledger.Ledger,
+    recorder: ledger.Ledger,
     name: str,
     unit: str,
     measured: Sequence[Measured],
     get: Get,
 ) -> None:
-    points = [fit.Point(one.size, tuple(get(one))) for one in measured]
-    shown.sweep(name, unit, PER, points)
+    points = [
+        fit.Point(measurement.size, tuple(get(measurement)))
+        for measurement in measured
+    ]
+    recorder.sweep(name, unit, PER, points)
 
 
 def _idle(figure: Figure) -> Get:
-    return lambda one: [figure(rates) for rates in one.idle]
+    return lambda measurement: [figure(rates) for rates in measurement.idle]
 
 
 def _change(figure: Figure) -> Get:
-    """Return what one change added to the idle rates."""
-    return lambda one: [
-        (figure(rates) - _quiet(one, figure))
+    """Return the cost of one change in excess of the idle rates."""
+    return lambda measurement: [
+        (figure(rates) - _idle_median(measurement, figure))
         * rates.seconds
         / fleet_run.CHANGES
-        for rates in one.changing
+        for rates in measurement.changing
     ]
 
 
 def _crash(figure: Figure) -> Get:
-    """Return what one report added to the idle rates."""
-    return lambda one: [
-        (figure(rates) - _quiet(one, figure)) * rates.seconds
-        for rates in one.crashes
+    """Return the cost of one report in excess of the idle rates."""
+    return lambda measurement: [
+        (figure(rates) - _idle_median(measurement, figure)) * rates.seconds
+        for rates in measurement.crashes
     ]
 
 
-def _quiet(one: Measured, figure: Figure) -> float:
-    return statistics.median(figure(rates) for rates in one.idle)
+def _idle_median(measurement: Measured, figure: Figure) -> float:
+    return statistics.median(figure(rates) for rates in measurement.idle)
 
 
 def _quartiles(get: Get) -> Get:
-    """Return quartiles over the processes, as repeats of one figure."""
-    return lambda one: statistics.quantiles(get(one))
+    """Return the quartiles over the processes, used in place of repeats."""
+    return lambda measurement: statistics.quantiles(get(measurement))
 
 
 PROCESSES: tuple[tuple[str, str, Get], ...] = (
     (
         'processor time of a control until all are ready',
         'ms',
-        _quartiles(lambda one: one.started),
+        _quartiles(lambda measurement: measurement.started),
     ),
     (
         'resident memory of a control',
         'MB',
-        _quartiles(lambda one: one.resident),
+        _quartiles(lambda measurement: measurement.resident),
     ),
     (
         'private memory of a control',
         'MB',
-        _quartiles(lambda one: one.private),
+        _quartiles(lambda measurement: measurement.private),
     ),
 )
 TIMES: tuple[tuple[str, Get], ...] = (
     (
         'one change: accepted until in force at the last control',
-        lambda one: sorted(one.taken_ms),
+        lambda measurement: sorted(measurement.taken_ms),
     ),
     (
         'one change: accepted until it reached the last entry',
-        lambda one: sorted(one.entered_ms),
+        lambda measurement: sorted(measurement.entries_reached_ms),
     ),
     (
         'one report of a lost server: until all know',
-        lambda one: sorted(one.told_ms),
+        lambda measurement: sorted(measurement.crash_report_ms),
     ),
 )
--- a/beryllug/bench/slopes/followers.py
+++ b/beryllug/bench/slopes/followers.py
@@ -1,4 +1,4 @@
-"""Stands in for entry processes that follow the view of controls."""
+"""Simulates entry processes that watch the view of control processes."""
 
 import asyncio
 import contextlib
@@ -11,19 +11,19 @@
 
 ZONE = 'zone-0'
 POLL_S = 0.2
-REACH_S = 20.0
+REACH_TIMEOUT_S = 20.0
 
 
 class Followers:
-    """Stands in for one entry process at each control.
+    """Simulates one entry process at each control process.
 
     Attributes:
-        seen: By control the wall-clock second at which an update with a
-            revision arrived.
+        seen: For each control process and revision, the wall-clock time in
+            seconds at which the first update with the revision arrived.
     """
 
     def __init__(self, fleet: controls.Controls) -> None:
-        """Bind to the fleet; `start` connects."""
+        """Create a client for each control process; `start` begins to watch."""
         self.seen: dict[str, dict[int, float]] = {}
         keys = fleet_key.KeyRing((fleet_settings.FLEET_KEY,))
         self._clients = {
@@ -33,13 +33,13 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Follow every control."""
+        """Start watching every control process."""
         self._tasks = [
             asyncio.create_task(self._follow(name)) for name in self._clients
         ]
 
     async def stop(self) -> None:
-        """Disconnect."""
+        """Stop watching and close the clients."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -47,19 +47,19 @@
             await client.close()
 
     async def reached(self, revision: int) -> None:
-        """Wait until every entry has a revision, or a bounded time."""
-        deadline = time.monotonic() + REACH_S
+        """Wait until every entry has a revision, up to `REACH_TIMEOUT_S`."""
+        deadline = time.monotonic() + REACH_TIMEOUT_S
         while time.monotonic() < deadline:
             if all(revision in seen for seen in self.seen.values()):
                 return
             await asyncio.sleep(POLL_S)
 
     async def _follow(self, name: str) -> None:
-        """Follow one control, again and again as an entry does."""
-        ask = rpc_data.ViewAsk(f'entry-of-{name}', ZONE)
+        """Watch one control process; reconnect when the stream ends."""
+        request = rpc_data.ViewAsk(f'entry-of-{name}', ZONE)
         seen = self.seen.setdefault(name, {})
         while True:
-            updates = self._clients[name].stream(methods.WATCH_VIEW, ask)
+            updates = self._clients[name].stream(methods.WATCH_VIEW, request)
             with contextlib.suppress(rpc.RpcError):
                 async for update in updates:
                     seen.setdefault(update.revision, time.time())
--- a/beryllug/bench/slopes/heartbeat_slope.py
+++ b/beryllug/bench/slopes/heartbeat_slope.py
@@ -1,8 +1,9 @@
-"""Heartbeats between control processes: what one of them costs.
+"""Measures the cost of a heartbeat between control processes.
 
-Eight control processes in which only the interval differs. A process probes
-one other each interval and compares its configuration each second one, and
-so often it is probed and asked itself.
+Fleets of eight control processes differ only in the heartbeat interval. In
+each interval a process probes one other process, and in every second interval
+it compares its configuration with one. On average it is probed and asked as
+often itself.
 """
 
 import asyncio
@@ -19,32 +20,32 @@
 PLAN = controls.Plan(documents.document(), CONTROLS)
 
 
-async def run(shown: ledger.Ledger) -> None:
-    """Measure each interval, one fleet for each at once."""
-    shown.section(f'heartbeats every {INTERVALS_S} s, {CONTROLS} controls')
+async def run(recorder: ledger.Ledger) -> None:
+    """Measure each interval, with concurrent fleets."""
+    recorder.section(f'heartbeats every {INTERVALS_S} s, {CONTROLS} controls')
     measured = await asyncio.gather(*map(_measure, INTERVALS_S))
     for name, unit, figures in (
         (
             'processor time of a control',
             'ms/s',
-            [[got.cpu_ms for got in one] for one in measured],
+            [[rates.cpu_ms for rates in repeats] for repeats in measured],
         ),
         (
             'bytes that a control sends to others',
             'B/s',
-            [[got.carried for got in one] for one in measured],
+            [[rates.carried for rates in repeats] for repeats in measured],
         ),
         (
             'packets that a control sends',
             '1/s',
-            [[got.packets for got in one] for one in measured],
+            [[rates.packets for rates in repeats] for repeats in measured],
         ),
     ):
         points = [
             fit.Point(1 / interval_s, tuple(found))
             for interval_s, found in zip(INTERVALS_S, figures)
         ]
-        shown.sweep(name, unit, PER, points)
+        recorder.sweep(name, unit, PER, points)
 
 
 async def _measure(interval_s: float) -> list[windows.Rates]:
--- a/beryllug/bench/slopes/import_slope.py
+++ b/beryllug/bench/slopes/import_slope.py
@@ -1,4 +1,4 @@
-"""Memory of a process before it holds any state: what importing takes."""
+"""Measures the memory of a process after its imports, without state."""
 
 import asyncio
 import sys
@@ -20,7 +20,7 @@
     ('pydantic', 'pydantic'),
     ('our modules', 'beryllug.scripts.compose'),
 )
-_PROBE = """
+_MEMORY_SCRIPT = """
 import os
 {imports}
 with open('/proc/self/statm') as file:
@@ -31,37 +31,39 @@
 
 
 class _Memory(NamedTuple):
-    """Resident memory in MB, and the part that no other process shares."""
+    """Resident memory and its unshared part, in MB."""
 
     resident: float
     private: float
 
 
-async def run(shown: ledger.Ledger) -> None:
-    """Measure memory after each group, on top of those before."""
-    shown.section('imports: resident memory, each group after those above it')
+async def run(recorder: ledger.Ledger) -> None:
+    """Measure the memory that each group of imports adds to those before."""
+    recorder.section(
+        'imports: resident memory, each group after those above it'
+    )
     before = [_Memory(0, 0) for _ in range(REPEATS)]
     for count, (title, _) in enumerate(GROUPS, start=1):
         after = [await _measure(count) for _ in range(REPEATS)]
-        shown.figure(
+        recorder.figure(
             title,
             'MB',
             [now.resident - then.resident for now, then in zip(after, before)],
         )
         before = after
-    shown.figure('all of them', 'MB', [now.resident for now in before])
-    shown.figure('private of it', 'MB', [now.private for now in before])
+    recorder.figure('all of them', 'MB', [now.resident for now in before])
+    recorder.figure('private of it', 'MB', [now.private for now in before])
 
 
 async def _measure(count: int) -> _Memory:
-    """Return the memory of a process that imported the first groups."""
+    """Return the memory of a process that imported the first `count` groups."""
     names = ', '.join(modules for _, modules in GROUPS[:count])
-    started = await asyncio.create_subprocess_exec(
+    child = await asyncio.create_subprocess_exec(
         sys.executable,
         '-c',
-        _PROBE.format(imports=f'import {names}'),
+        _MEMORY_SCRIPT.format(imports=f'import {names}'),
         stdout=asyncio.subprocess.PIPE,
     )
-    output, _ = await started.communicate()
+    output, _ = await child.communicate()
     resident, private = output.split()
     return _Memory(int(resident) / MB, int(private) / MB)
--- a/beryllug/bench/slopes/journal_kinds.py
+++ b/beryllug/bench/slopes/journal_kinds.py
@@ -1,4 +1,4 @@
-"""What the owner of a journal shard holds, for measuring its memory."""
+"""Builds state of a journal shard's owner, to measure its memory."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 def tries(count: int) -> Make:
-    """Remember requests that run and may not repeat."""
+    """Return a builder of open non-idempotent requests."""
     raws = [
         wire.encode(journal_world.intent(f'{number}'))
         for number in range(count)
@@ -36,14 +36,14 @@
 
 
 def bills(count: int) -> Make:
-    """Remember requests without a key that ended."""
-    bill = journal_world.outcome(journal_world.intent('0'))
+    """Return a builder of finished requests without an idempotency key."""
+    outcome_row = journal_world.outcome(journal_world.intent('0'))
 
     def make() -> Any:  # noqa: WPS430
         state = shard_state.ShardState()
         for number in range(count):
             name = f'{number}'
-            row = bill._replace(request_id=name, shard_key=name)
+            row = outcome_row._replace(request_id=name, shard_key=name)
             journal_log.committed(state, row, 1, 0)
         return state
 
@@ -51,7 +51,7 @@
 
 
 def sessions(count: int) -> Make:
-    """Remember where the records of sessions stand."""
+    """Return a builder of an index with positions of session records."""
 
     def make() -> Any:  # noqa: WPS430
         index = digest_index.Index()
--- a/beryllug/bench/slopes/journal_slope.py
+++ b/beryllug/bench/slopes/journal_slope.py
@@ -1,9 +1,9 @@
-"""Rows of the request journal: processor time and platform writes of them.
+"""Measures processor time and platform writes per journal row.
 
-One control that owns every shard gets rows at several rates, one row a
-message, as an entry of a large fleet sends them. Then two controls own half
-of the shards each and all rows go to one of them, which passes half of them
-on to the other.
+One control process that owns every shard receives rows at several rates, one
+row per message, as an entry of a large fleet sends them. In a second fleet,
+two control processes own half of the shards each; all rows go to one of them,
+which forwards half of them to the other.
 """
 
 import asyncio
@@ -34,23 +34,23 @@
 Request = Callable[[rpc.RpcClient, str], Coroutine[None, None, None]]
 
 
-async def run(shown: ledger.Ledger) -> None:
-    """Measure one control and two, each kind of request, each rate."""
-    shown.section(f'journal rows, {RATES} requests/s, one row a message')
+async def run(recorder: ledger.Ledger) -> None:
+    """Measure each kind of request and rate with one and two controls."""
+    recorder.section(f'journal rows, {RATES} requests/s, one row a message')
     alone, pair = await asyncio.gather(_measure(1), _measure(2))
     for kind, _ in KINDS:
-        _show(shown, kind, alone[kind], pair[kind])
+        _show(recorder, kind, alone[kind], pair[kind])
 
 
 async def bill(client: rpc.RpcClient, name: str) -> None:
-    """Write the outcome of a request that may repeat."""
+    """Write the outcome of an idempotent request."""
     row = journal_world.outcome(journal_world.intent(name))
     batch = rpc_data.OutcomeBatch((row,))
     await client.call(methods.FINISH, batch, CALL_S)
 
 
-async def run_once(client: rpc.RpcClient, name: str) -> None:
-    """Write the intent and then the outcome of one that may not."""
+async def write_intent_and_outcome(client: rpc.RpcClient, name: str) -> None:
+    """Write the intent and then the outcome of a non-idempotent request."""
     row = journal_world.intent(name)
     await client.call(methods.BEGIN, rpc_data.IntentBatch((row,)), CALL_S)
     await bill(client, name)
@@ -58,14 +58,14 @@
 
 KINDS: tuple[tuple[str, Request], ...] = (
     ('bill only', bill),
-    ('intent and bill', run_once),
+    ('intent and bill', write_intent_and_outcome),
 )
 
 Figures = dict[str, list[list[windows.Rates]]]
 
 
 async def _measure(count: int) -> Figures:
-    """Return by kind and rate what each repeat took."""
+    """Return the rates of each repeat, by kind of request and send rate."""
     async with controls.running(PLAN._replace(controls=count)) as fleet:
         await asyncio.sleep(SETTLE_S)
         keys = fleet_key.KeyRing((fleet_settings.FLEET_KEY,))
@@ -75,7 +75,9 @@
             return {
                 kind: [
                     [
-                        await _stretch(fleet, client, request, rate, numbers)
+                        await _measure_window(
+                            fleet, client, request, rate, numbers
+                        )
                         for _ in range(REPEATS)
                     ]
                     for rate in RATES
@@ -86,14 +88,14 @@
             await client.close()
 
 
-async def _stretch(
+async def _measure_window(
     fleet: controls.Controls,
     client: rpc.RpcClient,
     request: Request,
     rate: int,
     numbers: Iterator[int],
 ) -> windows.Rates:
-    """Send requests at a rate."""
+    """Measure a window in which requests are sent at a rate."""
 
     async def send() -> None:  # noqa: WPS430
         began = time.monotonic()
@@ -109,7 +111,7 @@
 
 
 def _show(
-    shown: ledger.Ledger,
+    recorder: ledger.Ledger,
     kind: str,
     alone: list[list[windows.Rates]],
     pair: list[list[windows.Rates]],
@@ -123,10 +125,10 @@
         ('bytes to and from the platform', 'B/s', alone, _platform),
     ):
         points = [
-            fit.Point(rate, tuple(map(figure, taken)))
-            for rate, taken in zip(RATES, by_rate)
+            fit.Point(rate, tuple(map(figure, repeats)))
+            for rate, repeats in zip(RATES, by_rate)
         ]
-        shown.sweep(f'{kind}: {title}', unit, PER, points)
+        recorder.sweep(f'{kind}: {title}', unit, PER, points)
 
 
 def _first_cpu(rates: windows.Rates) -> float:
--- a/beryllug/bench/slopes/lease_slope.py
+++ b/beryllug/bench/slopes/lease_slope.py
@@ -1,6 +1,6 @@
-"""Leases of the journal's shards: what tending them costs.
+"""Measures the cost of maintaining the leases of journal shards.
 
-Eight control processes with no request, each of which tends every lease: it
+Eight control processes without requests. Each one handles every lease: it
 holds some, reads some and waits for the others.
 """
 
@@ -25,9 +25,9 @@
 PLAN = controls.Plan(documents.document(), CONTROLS)
 
 
-async def run(shown: ledger.Ledger) -> None:
-    """Measure each number of shards, one fleet for each at once."""
-    shown.section(f'leases of {SHARDS} shards, {CONTROLS} controls, idle')
+async def run(recorder: ledger.Ledger) -> None:
+    """Measure each number of shards, with concurrent fleets."""
+    recorder.section(f'leases of {SHARDS} shards, {CONTROLS} controls, idle')
     measured = await asyncio.gather(*map(_measure, SHARDS))
     for number, title in enumerate(
         (
@@ -42,18 +42,18 @@
             fit.Point(shards, figures[number])
             for shards, figures in zip(SHARDS, measured)
         ]
-        shown.sweep(name, unit, PER, points)
+        recorder.sweep(name, unit, PER, points)
 
 
 async def _measure(shards: int) -> list[tuple[float, ...]]:
     settings = ('watchers = 2', f'shards = {shards}')
     async with controls.running(PLAN._replace(settings=settings)) as fleet:
         await asyncio.sleep(SETTLE_S)
-        taken = [await windows.watch(fleet, WINDOW_S) for _ in range(REPEATS)]
+        samples = [await windows.watch(fleet, WINDOW_S) for _ in range(REPEATS)]
         resident = [process_stats.resident(pid) / MB for pid in fleet.pids()]
     return [
-        tuple(rates.cpu_ms for rates in taken),
-        tuple(rates.calls.get('read', 0) for rates in taken),
-        tuple(rates.calls.get('write', 0) for rates in taken),
+        tuple(rates.cpu_ms for rates in samples),
+        tuple(rates.calls.get('read', 0) for rates in samples),
+        tuple(rates.calls.get('write', 0) for rates in samples),
         tuple(sorted(resident)[:REPEATS]),
     ]
--- a/beryllug/bench/slopes/ledger.py
+++ b/beryllug/bench/slopes/ledger.py
@@ -1,4 +1,4 @@
-"""What was measured, in the order in which it was measured."""
+"""Collects measurements as lines of text, in the order of arrival."""
 
 import os
 import statistics
@@ -12,64 +12,65 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """Lines of text in the order in which they came."""
+    """Lines of text in the order in which they were added."""
 
     _lines: list[str] = field(default_factory=list)
 
     def section(self, title: str) -> None:
-        """Begin a section; says how busy the machine was at its start."""
+        """Begin a section; its title shows the current load average."""
         load = os.getloadavg()[0]
-        self._put(f'\n{title} [load average {load:.1f}]')
+        self._append(f'\n{title} [load average {load:.1f}]')
 
     def sweep(
         self, name: str, unit: str, per: str, points: Sequence[fit.Point]
     ) -> fit.Line:
-        """Take a figure that was measured at several sizes.
+        """Add a figure that was measured at several sizes.
 
         Args:
             name: What was measured.
             unit: Its unit.
-            per: What was varied, as ``a process``.
-            points: The figures.
+            per: Unit of the size, such as ``a process``.
+            points: The measurements.
 
         Returns:
-            How it grows.
+            The fitted line.
         """
-        found = fit.line(points)
+        fitted = fit.line(points)
         sizes = '  '.join(
-            f'{point.size:g}: {_spread(point.measured)}' for point in points
+            f'{point.size:g}: {_format_range(point.measured)}'
+            for point in points
         )
-        span = f'{_short(found.low)}..{_short(found.high)}'
-        self._put(f'  {name}, {unit}')
-        self._put(f'    {sizes}')
-        self._put(
-            f'    slope {_short(found.slope)} ({span}) {unit} {per}; '
-            f'{_short(found.base)} at none'
+        slope_range = f'{_format(fitted.low)}..{_format(fitted.high)}'
+        self._append(f'  {name}, {unit}')
+        self._append(f'    {sizes}')
+        self._append(
+            f'    slope {_format(fitted.slope)} ({slope_range}) {unit} {per}; '
+            f'{_format(fitted.base)} at none'
         )
-        return found
+        return fitted
 
     def figure(self, name: str, unit: str, measured: Sequence[float]) -> None:
-        """Take a figure that was measured at one size, several times."""
-        self._put(f'  {name}, {unit}\n    {_spread(measured)}')
+        """Add a figure that was measured at one size, once or several times."""
+        self._append(f'  {name}, {unit}\n    {_format_range(measured)}')
 
     def note(self, text: str) -> None:
-        """Take a remark, as that a part was not run."""
-        self._put(f'  {text}')
+        """Add a remark, such as that a section was not run."""
+        self._append(f'  {text}')
 
     def lines(self) -> list[str]:
-        """Return all that was taken."""
+        """Return all lines."""
         return list(self._lines)
 
-    def _put(self, text: str) -> None:
+    def _append(self, text: str) -> None:
         self._lines.append(text)
 
 
-def _spread(measured: Sequence[float]) -> str:
-    middle = _short(statistics.median(measured))
+def _format_range(measured: Sequence[float]) -> str:
+    median_text = _format(statistics.median(measured))
     if len(measured) == 1:
-        return middle
-    return f'{middle} ({_short(min(measured))}..{_short(max(measured))})'
+        return median_text
+    return f'{median_text} ({_format(min(measured))}..{_format(max(measured))})'
 
 
-def _short(number: float) -> str:
+def _format(number: float) -> str:
     return f'{number:.{DIGITS}g}'
--- a/beryllug/bench/slopes/member_slope.py
+++ b/beryllug/bench/slopes/member_slope.py
@@ -1,8 +1,8 @@
-"""Membership at sizes that no test machine has: a replay of its functions.
+"""Simulates the membership protocol at sizes beyond a test machine.
 
-All tables of a fleet are in this process and exchange heartbeats in rounds,
-as the probers do over the network, each one target a round. Counted are
-rounds, bytes of messages and processor time; no network is imitated.
+All tables of a fleet are in this process and exchange heartbeats in rounds:
+in each round every process probes one target, as it does over the network.
+Rounds and bytes of messages are counted; the network is not simulated.
 """
 
 import random
@@ -14,12 +14,12 @@
 from beryllug.drivers import wire
 
 SIZES = (8, 80, 890)
-# Each loss of a member is costly to all the others' tables.
-LOSS_SIZES = (20, 100, 300)
+# Smaller sizes, as each lost member takes work in every other table.
+ZONE_LOSS_SIZES = (20, 100, 300)
 SEED = 7
 BEAT_S = 1.0
-MOST_ROUNDS = 200
-ZONE_PART = 20
+MAX_ROUNDS = 200
+ZONE_DIVISOR = 20
 PER = 'a process'
 
 Tables = dict[str, membership.Table]
@@ -27,14 +27,14 @@
 
 
 class Spread(NamedTuple):
-    """How a change spread.
+    """How a change was disseminated.
 
     Attributes:
-        rounds: Rounds until all believed it.
-        sent: Bytes that a process sent on the mean, over all rounds in
-            which there was news.
-        unlike: Sum over the rounds of the part of all probes whose two ends
-            believed unlike things before.
+        rounds: Rounds until all processes had learned of it.
+        sent: Mean bytes that a process sent, over all rounds until no table
+            had news to send.
+        unlike: Sum over the rounds of the fraction of processes whose probe
+            connected two processes of which only one knew of the change.
     """
 
     rounds: int
@@ -42,50 +42,50 @@
     unlike: float
 
 
-async def run(shown: ledger.Ledger) -> None:
-    """Replay each size."""
-    shown.section(f'membership of {SIZES} processes, replayed')
+async def run(recorder: ledger.Ledger) -> None:
+    """Simulate a restart and the loss of a zone at each size."""
+    recorder.section(f'membership of {SIZES} processes, replayed')
     restarts = [restart(size) for size in SIZES]
     _sweep(
-        shown,
+        recorder,
         'a restart: rounds until all know of it',
         'rounds',
         SIZES,
         [found.rounds for found in restarts],
     )
     _sweep(
-        shown,
+        recorder,
         'a restart: bytes that each process sends for it',
         'B',
         SIZES,
         [found.sent for found in restarts],
     )
     _sweep(
-        shown,
+        recorder,
         'a restart: sum over rounds of the part of probes between unlike ends',
         'rounds',
         SIZES,
         [found.unlike for found in restarts],
     )
-    losses = [lose_zone(size) for size in LOSS_SIZES]
+    losses = [fail_zone(size) for size in ZONE_LOSS_SIZES]
     _sweep(
-        shown,
+        recorder,
         'a zone (1 of 20) lost: rounds until all others believe it dead',
         'rounds',
-        LOSS_SIZES,
+        ZONE_LOSS_SIZES,
         [found.rounds for found in losses],
     )
     _sweep(
-        shown,
+        recorder,
         'a zone lost: bytes that each other process sends for it',
         'B',
-        LOSS_SIZES,
+        ZONE_LOSS_SIZES,
         [found.sent for found in losses],
     )
 
 
 def _sweep(
-    shown: ledger.Ledger,
+    recorder: ledger.Ledger,
     name: str,
     unit: str,
     sizes: Sequence[int],
@@ -94,78 +94,79 @@
     points = [
         fit.Point(size, (figure,)) for size, figure in zip(sizes, figures)
     ]
-    shown.sweep(name, unit, PER, points)
+    recorder.sweep(name, unit, PER, points)
 
 
 def restart(size: int) -> Spread:
-    """Let one process come back as another start of itself."""
+    """Simulate the restart of one process."""
     tables = member_tables.tables(size)
     name = member_tables.name_of(0)
     own = tables[name].own
-    back = own._replace(incarnation=size + 1, started=size + 1)
-    tables[name].own = back
+    restarted = own._replace(incarnation=size + 1, started=size + 1)
+    tables[name].own = restarted
 
     def knows(table: membership.Table) -> bool:  # noqa: WPS430
         found = membership.find(table, name)
-        return found is not None and found.incarnation == back.incarnation
+        return found is not None and found.incarnation == restarted.incarnation
 
     return _Replay(tables, frozenset()).run(knows)
 
 
-def lose_zone(size: int) -> Spread:
-    """Let the processes of one zone be gone at once, one at least."""
+def fail_zone(size: int) -> Spread:
+    """Simulate the simultaneous loss of all processes of one zone."""
     tables = member_tables.tables(size)
-    gone = frozenset(
-        member_tables.name_of(number) for number in range(0, size, ZONE_PART)
+    failed = frozenset(
+        member_tables.name_of(number) for number in range(0, size, ZONE_DIVISOR)
     )
-    for name in gone:
+    for name in failed:
         tables.pop(name)
 
     def knows(table: membership.Table) -> bool:  # noqa: WPS430
         return all(
             table.known[name].member.status is member_data.Status.DEAD
-            for name in gone
+            for name in failed
         )
 
-    return _Replay(tables, gone).run(knows)
+    return _Replay(tables, failed).run(knows)
 
 
 class _Replay:
-    """Tables that exchange heartbeats until nothing is left to tell.
+    """Tables that exchange heartbeats until no news is left to send.
 
     Attributes:
         sent: Bytes of news that were sent.
-        unlike: Probes between two ends of which one knew.
+        unlike: Probes between two processes of which only one knew of the
+            change.
     """
 
-    def __init__(self, tables: Tables, gone: frozenset[str]) -> None:
-        """Start each table at another place of its round."""
+    def __init__(self, tables: Tables, failed: frozenset[str]) -> None:
+        """Start each table at a random position in its round."""
         self._rng = random.Random(SEED)
         self._tables = tables
-        self._gone = gone
+        self._failed = failed
         self.sent = 0
         self.unlike = 0
         for table in tables.values():
-            table.round = self._rng.randrange(MOST_ROUNDS)
+            table.round = self._rng.randrange(MAX_ROUNDS)
 
     def run(self, knows: Knows) -> Spread:
-        """Replay, and count the rounds until all know."""
+        """Run rounds until all know of the change and no news is left."""
         rounds = 0
         count = len(self._tables)
-        knowing: frozenset[str] = frozenset()
-        for number in range(1, MOST_ROUNDS):
-            knowing = frozenset(filter(self._knows(knows), self._tables))
-            if len(knowing) < count:
+        informed: frozenset[str] = frozenset()
+        for number in range(1, MAX_ROUNDS):
+            informed = frozenset(filter(self._knows(knows), self._tables))
+            if len(informed) < count:
                 rounds = number
             elif not any(table.sends for table in self._tables.values()):
                 break
-            self._round(knowing, number * BEAT_S)
+            self._round(informed, number * BEAT_S)
         return Spread(rounds, self.sent / count, self.unlike / count)
 
     def _knows(self, knows: Knows) -> Callable[[str], bool]:
         return lambda name: knows(self._tables[name])
 
-    def _round(self, knowing: frozenset[str], now: float) -> None:
+    def _round(self, informed: frozenset[str], now: float) -> None:
         order = list(self._tables)
         self._rng.shuffle(order)
         for name in order:
@@ -173,25 +174,25 @@
             target = membership.next_target(table)
             if target is not None:
                 self._probe(table, target.name, now)
-                self.unlike += len(knowing & {name, target.name}) == 1
+                self.unlike += len(informed & {name, target.name}) == 1
             membership.expire(table, BEAT_S, now)
 
     def _probe(self, table: membership.Table, target: str, now: float) -> None:
-        if target in self._gone:
+        if target in self._failed:
             membership.suspect(table, target, now)
         else:
             self.sent += _exchange(table, self._tables[target], now)
 
 
 def _exchange(
-    asking: membership.Table, asked: membership.Table, now: float
+    prober: membership.Table, target_table: membership.Table, now: float
 ) -> int:
-    """Exchange two heartbeats; return the bytes of the news in them."""
-    question = _heartbeat(asking, asked.own.name)
-    membership.merge_all(asked, (question.sender, *question.news), now)
-    answer = _heartbeat(asked, asking.own.name)
-    membership.merge_all(asking, (answer.sender, *answer.news), now)
-    return _news_bytes(question) + _news_bytes(answer)
+    """Exchange a heartbeat and its reply; return the bytes of their news."""
+    request = _heartbeat(prober, target_table.own.name)
+    membership.merge_all(target_table, (request.sender, *request.news), now)
+    reply = _heartbeat(target_table, prober.own.name)
+    membership.merge_all(prober, (reply.sender, *reply.news), now)
+    return _news_bytes(request) + _news_bytes(reply)
 
 
 def _heartbeat(table: membership.Table, receiver: str) -> member_data.Heartbeat:
--- a/beryllug/bench/slopes/member_tables.py
+++ b/beryllug/bench/slopes/member_tables.py
@@ -1,4 +1,4 @@
-"""Membership tables of fleets that no test machine has."""
+"""Builds membership tables of fleets too large for a test machine."""
 
 from beryllug.core import member_data, membership
 
@@ -12,7 +12,7 @@
 
 
 def members(count: int) -> tuple[member_data.Member, ...]:
-    """Return so many control processes, spread over the letter's zones."""
+    """Return control processes spread over `ZONES` and `REGIONS`."""
     return tuple(
         member_data.Member(
             name_of(number),
@@ -26,7 +26,7 @@
 
 
 def table_of(known: tuple[member_data.Member, ...]) -> membership.Table:
-    """Return what the first of them believes when it has heard of all."""
+    """Return the table of the first member, which knows all the others."""
     own, *others = known
     table = membership.Table(own)
     membership.merge_all(table, others, 0)
@@ -34,10 +34,10 @@
 
 
 def tables(count: int) -> dict[str, membership.Table]:
-    """Return what each of so many processes believes; all believe the same.
+    """Return the table of each process by name; all hold the same members.
 
-    To let each of them hear of all the others would take a square of merges,
-    so one table is made and the others are copies of it.
+    Merging all members into each table takes a quadratic number of merges,
+    so one table is built and the others are derived from it.
     """
     known = members(count)
     first = table_of(known)
--- a/beryllug/bench/slopes/parties.py
+++ b/beryllug/bench/slopes/parties.py
@@ -1,7 +1,7 @@
-"""Stand-ins of the outside parties as processes of their own.
+"""Runs stand-ins for external services in separate processes.
 
-Inside the measuring process they would share its processor, and a fleet of
-a hundred processes would wait for it.
+Within the measuring process they would compete with it for one processor,
+and a fleet of a hundred processes would wait for it.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 
 class Party(NamedTuple):
-    """A running stand-in."""
+    """A running stand-in process."""
 
     process: asyncio.subprocess.Process
     address: str
@@ -22,21 +22,21 @@
 
 
 async def start(kind: str, **options: object) -> Party:
-    """Start a stand-in of `standins.serve` and return when it serves.
+    """Start a stand-in with `standins.serve` and wait until it is serving.
 
     Args:
-        kind: Its kind.
-        options: Its options, and those of `serve`.
+        kind: Kind of stand-in.
+        options: Options of the stand-in and of `serve`.
 
     Raises:
-        TimeoutError: It did not start.
+        TimeoutError: It did not start in time.
     """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         '-m',
         'beryllug.standins.serve',
         kind,
-        *(f'--{name}={given}' for name, given in options.items()),
+        *(f'--{name}={option}' for name, option in options.items()),
         stdout=asyncio.subprocess.PIPE,
     )
     assert process.stdout is not None
@@ -47,7 +47,7 @@
 
 
 async def stop(party: Party) -> None:
-    """Stop a stand-in."""
+    """Terminate a stand-in and wait for its exit."""
     party.process.terminate()
     await party.process.wait()
 
@@ -55,7 +55,7 @@
 async def record(
     client: http_client.HttpClient, party: Party
 ) -> dict[str, Any]:
-    """Return what a stand-in did so far."""
+    """Return what a stand-in has recorded so far."""
     outgoing = http_data.Outgoing('GET', '/record', {})
     incoming = await client.request(party.control, outgoing)
     try:
--- a/beryllug/bench/slopes/process_stats.py
+++ b/beryllug/bench/slopes/process_stats.py
@@ -1,22 +1,22 @@
-"""Processor time and memory of another process, by the operating system."""
+"""Reads processor time and memory of another process from the kernel."""
 
 import os
 import time
 from pathlib import Path
 
 PAGE = os.sysconf('SC_PAGE_SIZE')
-CLOCK_BITS = 3
-WHOLE_PROCESS = 2
+CPUCLOCK_BITS = 3
+CPUCLOCK_SCHED = 2
 
 
 def cpu_s(pid: int) -> float:
     """Return the processor time of all threads of a process, in seconds.
 
     ``/proc/PID/stat`` counts in ticks of 10 ms, too coarse for a process
-    that is nearly idle. The clock of a process is made of its id, as
+    that is nearly idle. The clock id is derived from the process id, as
     ``clock_getcpuclockid`` does.
     """
-    return time.clock_gettime(~pid << CLOCK_BITS | WHOLE_PROCESS)
+    return time.clock_gettime(~pid << CPUCLOCK_BITS | CPUCLOCK_SCHED)
 
 
 def resident(pid: int) -> int:
@@ -26,10 +26,10 @@
 
 
 def private(pid: int) -> int:
-    """Return how much of it is its own, in bytes.
+    """Return the resident memory that is not shared, in bytes.
 
-    The rest is pages of files, mostly of libraries, which all processes of a
-    host share.
+    Shared are file-backed pages, mostly of libraries, which all processes of
+    a host share.
     """
     fields = Path(f'/proc/{pid}/statm').read_text(encoding='ascii').split()
     return (int(fields[1]) - int(fields[2])) * PAGE
--- a/beryllug/bench/slopes/replay_test.py
+++ b/beryllug/bench/slopes/replay_test.py
@@ -1,4 +1,4 @@
-"""Tests of the replay of membership, and of the builders of state."""
+"""Tests of the membership simulation and of the builders of state."""
 
 import unittest
 
@@ -8,27 +8,27 @@
 
 
 class TablesTest(unittest.TestCase):
-    """Tables that are copies of one another."""
+    """Tables that are derived from one another."""
 
     def test_copies(self) -> None:
-        """A copied table is what its process would have made itself."""
+        """A derived table equals one that is built by merging all members."""
         for size in SIZES:
             known = member_tables.members(size)
             for member in known:
                 with self.subTest(size=size, member=member.name):
                     others = [one for one in known if one != member]
-                    made = member_tables.table_of((member, *others))
+                    built = member_tables.table_of((member, *others))
                     copied = member_tables.tables(size)[member.name]
-                    self.assertEqual(copied.ring, made.ring)
-                    self.assertEqual(copied.own, made.own)
-                    self.assertEqual(copied.known, made.known)
+                    self.assertEqual(copied.ring, built.ring)
+                    self.assertEqual(copied.own, built.own)
+                    self.assertEqual(copied.known, built.known)
 
 
 class ReplayTest(unittest.TestCase):
-    """A change reaches all."""
+    """A change reaches all processes."""
 
     def test_restart(self) -> None:
-        """All hear of a restart, in at most a few rounds more than hops."""
+        """All processes learn of a restart, in at most `size` rounds."""
         for size in SIZES:
             with self.subTest(size):
                 spread = member_slope.restart(size)
@@ -37,17 +37,17 @@
                 self.assertGreater(spread.sent, 0)
 
     def test_zone(self) -> None:
-        """All others believe the lost processes dead, not before 3 rounds."""
-        spread = member_slope.lose_zone(40)
+        """All others mark the lost processes dead, after more than 3 rounds."""
+        spread = member_slope.fail_zone(40)
         self.assertGreater(spread.rounds, 3)
-        self.assertLess(spread.rounds, member_slope.MOST_ROUNDS - 1)
+        self.assertLess(spread.rounds, member_slope.MAX_ROUNDS - 1)
 
 
 class RecordTest(unittest.TestCase):
-    """Records of a roll-out of a given size."""
+    """Records of a roll-out with given numbers of entries and accounts."""
 
     def test_record(self) -> None:
-        """Each entry has a share and each account its tests."""
+        """There is a share per entry; a scope per account and one for all."""
         record = reports.record(5, 3)
         self.assertEqual(len(record.exposure.shares), 5)
         self.assertEqual(len(record.scopes), 4)
--- a/beryllug/bench/slopes/reports.py
+++ b/beryllug/bench/slopes/reports.py
@@ -1,4 +1,4 @@
-"""Evidence of a roll-out, as entries of a large fleet report it."""
+"""Builds evidence of a roll-out as entries of a large fleet report it."""
 
 from beryllug.bench.slopes import documents
 from beryllug.core import (
@@ -24,25 +24,25 @@
 
 
 def document() -> config_data.Document:
-    """Return a document with a roll-out under way."""
+    """Return a document with a roll-out in progress."""
     return documents.document()._replace(rollouts=(ROLLOUT,))
 
 
 def entry_name(number: int) -> str:
-    """Return the name of an entry process and of its start."""
+    """Return the name of an entry process and the identifier of its start."""
     return f'entry-host-{number:04}/0123456789ab'
 
 
 def state(entries: int) -> rpc_data.RolloutState:
-    """Return the state that is pushed, with the share of each entry."""
-    made = record(entries)
-    shares = made.exposure.shares.items()
+    """Return the state pushed to entries, with the budget of each entry."""
+    rollout_record = record(entries)
+    shares = rollout_record.exposure.shares.items()
     budgets = {entry: share.dealt for entry, share in shares}
-    return rpc_data.RolloutState(1, rollout.status(made), budgets)
+    return rpc_data.RolloutState(1, rollout.status(rollout_record), budgets)
 
 
 def report(entry: str, sequence: int, accounts: int) -> rpc_data.EvidenceReport:
-    """Return a report with some answers of both versions."""
+    """Return a report with answers of both versions for each account."""
     return rpc_data.EvidenceReport(
         entry,
         sequence,
@@ -61,10 +61,12 @@
 
 
 def record(entries: int, accounts: int = 1) -> rollout_data.Record:
-    """Return the record of a roll-out that so many entries reported on."""
-    made = rollout.begin(ROLLOUT, accounts, None)
+    """Return the record of a roll-out with reports from many entries."""
+    rollout_record = rollout.begin(ROLLOUT, accounts, None)
     for number in range(entries):
-        told = report(entry_name(number), 1, accounts)
-        made = rollout.absorb(made, ROLLOUT, told, number)
-        made = rollout.deal(made, ROLLOUT, number)
-    return made
+        evidence = report(entry_name(number), 1, accounts)
+        rollout_record = rollout.absorb(
+            rollout_record, ROLLOUT, evidence, number
+        )
+        rollout_record = rollout.deal(rollout_record, ROLLOUT, number)
+    return rollout_record
--- a/beryllug/bench/slopes/rollout_slope.py
+++ b/beryllug/bench/slopes/rollout_slope.py
@@ -1,7 +1,7 @@
-"""One roll-out under way: what its evidence and its states cost.
+"""Measures the cost of evidence reports and states of one roll-out.
 
-At each control an entry reports as fast as a busy one does: a quarter of a
-second after its last report was taken.
+At each control process one simulated entry reports as often as a busy entry:
+a quarter of a second after its last report was answered.
 """
 
 import asyncio
@@ -58,16 +58,16 @@
 )
 
 
-async def run(shown: ledger.Ledger) -> None:
-    """Measure each size, one fleet for each at once."""
-    shown.section(f'a roll-out, {SIZES} controls with a busy entry each')
+async def run(recorder: ledger.Ledger) -> None:
+    """Measure each size, with concurrent fleets."""
+    recorder.section(f'a roll-out, {SIZES} controls with a busy entry each')
     measured = await asyncio.gather(*map(_measure, SIZES))
     for name, unit, figure in ROWS:
         points = [
             fit.Point(size, tuple(map(figure, rates)))
             for size, rates in zip(SIZES, measured)
         ]
-        shown.sweep(name, unit, PER, points)
+        recorder.sweep(name, unit, PER, points)
 
 
 async def _measure(size: int) -> list[windows.Rates]:
@@ -77,7 +77,7 @@
         keys = fleet_key.KeyRing((fleet_settings.FLEET_KEY,))
         clients = [rpc.RpcClient(host.control, keys) for host in fleet.hosts]
         tasks = [
-            asyncio.create_task(_report(client, f'entry-{number}/boot'))
+            asyncio.create_task(_send_reports(client, f'entry-{number}/boot'))
             for number, client in enumerate(clients)
         ]
         await asyncio.sleep(WINDOW_S)
@@ -89,14 +89,16 @@
     return rates
 
 
-async def _report(client: rpc.RpcClient, entry: str) -> None:
-    """Report without end; a report that was not taken is sent again."""
+async def _send_reports(client: rpc.RpcClient, entry: str) -> None:
+    """Send reports until cancelled; resend a report that was not accepted."""
     sequence = 1
     while True:
         await asyncio.sleep(REPORT_EVERY_S)
-        told = reports.report(entry, sequence, ACCOUNTS)
+        evidence_report = reports.report(entry, sequence, ACCOUNTS)
         try:
-            reply = await client.call(methods.EVIDENCE, told, REPORT_S)
+            reply = await client.call(
+                methods.EVIDENCE, evidence_report, REPORT_S
+            )
         except rpc.RpcError:
             continue
         sequence += reply.ok
--- a/beryllug/bench/slopes/runner_slope.py
+++ b/beryllug/bench/slopes/runner_slope.py
@@ -1,7 +1,7 @@
-"""Backend servers: what listing them and following their loads costs.
+"""Measures the cost of listing backend servers and tracking their loads.
 
-One control and one entry; one stand-in of an engine answers for all runners,
-which the host list shows under as many names.
+One control process and one entry run. One stand-in engine answers for all
+runners, which the host list contains under separate names.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 SETTLE_S = 25.0
 WINDOW_S = 4.0
 REPEATS = 3
-EVERYWHERE = '0.0.0.0'  # noqa: S104
+ANY_ADDRESS = '0.0.0.0'  # noqa: S104
 EXAMPLE_PORT = 8000
 MB = 1048576
 MS = 1000
@@ -38,45 +38,45 @@
 )
 
 
-class _Reading(NamedTuple):
-    """Counters at one moment."""
+class _Counters(NamedTuple):
+    """Counters at one point in time."""
 
     control_s: float
     entry_s: float
     link: sockets.Connections
 
 
-async def run(shown: ledger.Ledger) -> None:
-    """Measure each number of runners, one fleet for each at once."""
-    shown.section(f'{RUNNERS} runners, a control and its entry, no requests')
+async def run(recorder: ledger.Ledger) -> None:
+    """Measure each number of runners, with concurrent fleets."""
+    recorder.section(f'{RUNNERS} runners, a control and its entry, no requests')
     measured = await asyncio.gather(*map(_measure, RUNNERS))
     for number, (name, unit) in enumerate(TITLES):
         points = [
             fit.Point(runners, tuple(row[number] for row in rows))
             for runners, rows in zip(RUNNERS, measured)
         ]
-        shown.sweep(name, unit, PER, points)
+        recorder.sweep(name, unit, PER, points)
     listed = documents.servers(1, EXAMPLE_PORT)[0]
     size = len(msgspec.json.encode(listed._asdict()))
-    shown.figure('bytes a runner in the host list', 'B', [size])
+    recorder.figure('bytes a runner in the host list', 'B', [size])
 
 
 async def _measure(runners: int) -> list[tuple[float, ...]]:
-    engine = await parties.start('engine', host=EVERYWHERE)
+    engine = await parties.start('engine', host=ANY_ADDRESS)
     try:
         async with controls.running(PLAN) as fleet:
             port = controls.port_of(engine.address)
             await fleet.list_hosts(documents.servers(runners, port))
             await asyncio.sleep(SETTLE_S)
-            return [await _stretch(fleet) for _ in range(REPEATS)]
+            return [await _measure_window(fleet) for _ in range(REPEATS)]
     finally:
         await parties.stop(engine)
 
 
-async def _stretch(fleet: controls.Controls) -> tuple[float, ...]:
-    before = await _read(fleet)
+async def _measure_window(fleet: controls.Controls) -> tuple[float, ...]:
+    before = await _read_counters(fleet)
     await asyncio.sleep(WINDOW_S)
-    after = await _read(fleet)
+    after = await _read_counters(fleet)
     link = sockets.between(before.link, after.link)
     return (
         (after.control_s - before.control_s) * MS / WINDOW_S,
@@ -87,9 +87,9 @@
     )
 
 
-async def _read(fleet: controls.Controls) -> _Reading:
+async def _read_counters(fleet: controls.Controls) -> _Counters:
     own = {controls.port_of(fleet.hosts[0].control)}
-    return _Reading(
+    return _Counters(
         process_stats.cpu_s(fleet.pids()[0]),
         process_stats.cpu_s(_entry(fleet)),
         await sockets.read(own),
--- a/beryllug/bench/slopes/sockets.py
+++ b/beryllug/bench/slopes/sockets.py
@@ -1,9 +1,10 @@
-"""Bytes that went over TCP connections, by the kernel's own counters.
+"""Counts bytes and packets of TCP connections from kernel counters.
 
-``ss`` shows them for every open connection. Counted is what TCP carried, so
-HTTP/2 framing and headers are in it, but IP and TCP headers are not. Each
-connection is counted once, at the side that listens. A connection that was
-closed inside the window is missed; connections between our processes last.
+``ss`` prints the counters of every open connection. They cover TCP payload:
+HTTP/2 framing and headers are included, IP and TCP headers are not. Each
+connection is counted once, at the listening side. A connection that closes
+within the measured window is missed; connections between the processes under
+test are long-lived.
 """
 
 import asyncio
@@ -12,13 +13,13 @@
 from collections.abc import Collection, Mapping
 from typing import NamedTuple
 
-TOOL = 'ss'
+SS_COMMAND = 'ss'
 _PORT = re.compile(r':(\d+)$')
 _COUNTER = re.compile(r'\b(bytes_sent|bytes_received|segs_out|segs_in):(\d+)')
 
 
 class Traffic(NamedTuple):
-    """What went over connections in both directions."""
+    """Bytes and packets of connections, in both directions."""
 
     carried: int = 0
     packets: int = 0
@@ -29,28 +30,28 @@
 
 
 def available() -> bool:
-    """Tell whether connections can be counted on this machine."""
-    return shutil.which(TOOL) is not None
+    """Return whether ``ss`` is installed."""
+    return shutil.which(SS_COMMAND) is not None
 
 
 async def read(ports: Collection[int]) -> Connections:
-    """Return all connections that were accepted on some ports."""
-    started = await asyncio.create_subprocess_exec(
-        TOOL,
+    """Return the open connections that were accepted on the given ports."""
+    child = await asyncio.create_subprocess_exec(
+        SS_COMMAND,
         '-tinHO',
         'state',
         'established',
         stdout=asyncio.subprocess.PIPE,
     )
-    output, _ = await started.communicate()
+    output, _ = await child.communicate()
     return parse(output.decode(), ports)
 
 
 def parse(text: str, ports: Collection[int]) -> Connections:
-    """Return the connections of `ss -tinHO` that were accepted on ports."""
+    """Parse output of ``ss -tinHO``; keep connections accepted on the ports."""
     found = {}
     for row in text.splitlines():
-        # Received and sent bytes in the queues, both ends, the counters.
+        # Receive queue, send queue, local and peer endpoint, counters.
         fields = row.split()
         port = _PORT.search(fields[2])
         if port is not None and int(port.group(1)) in ports:
@@ -59,7 +60,7 @@
 
 
 def on(connections: Connections, ports: Collection[int]) -> Connections:
-    """Return those of the connections that were accepted on some ports."""
+    """Return those connections that were accepted on the given ports."""
     return {
         ends: traffic
         for ends, traffic in connections.items()
@@ -68,12 +69,12 @@
 
 
 def between(before: Connections, after: Connections) -> Traffic:
-    """Return what went over connections between two readings."""
-    nothing = Traffic()
-    grown = [(now, before.get(ends, nothing)) for ends, now in after.items()]
+    """Return the traffic of the connections between two readings."""
+    zero = Traffic()
+    pairs = [(now, before.get(ends, zero)) for ends, now in after.items()]
     return Traffic(
-        sum(now.carried - then.carried for now, then in grown),
-        sum(now.packets - then.packets for now, then in grown),
+        sum(now.carried - then.carried for now, then in pairs),
+        sum(now.packets - then.packets for now, then in pairs),
     )
 
 
--- a/beryllug/bench/slopes/state_kinds.py
+++ b/beryllug/bench/slopes/state_kinds.py
@@ -1,7 +1,7 @@
-"""Kinds of state that processes hold, and how each is built.
+"""Kinds of state that processes hold in memory, with a builder for each.
 
-A builder makes what it needs beforehand, mostly the bytes as they come over
-the network, and returns a function that makes what stays in memory.
+A builder prepares its input, mostly the bytes of received messages, and
+returns a function that creates the state whose memory is measured.
 """
 
 from collections.abc import Callable
@@ -38,7 +38,7 @@
 
 
 class Kind(NamedTuple):
-    """A kind of state: who holds what, at which counts, and its builder."""
+    """A kind of state: its title, the counts to measure, and its builder."""
 
     title: str
     sizes: tuple[int, ...]
--- a/beryllug/bench/slopes/state_slope.py
+++ b/beryllug/bench/slopes/state_slope.py
@@ -1,7 +1,8 @@
-"""Memory of what processes hold: bytes for each account, runner, request.
+"""Measures memory of process state per account, runner or request.
 
-Each kind of state is built at three sizes, and what stays allocated is
-counted. Beside it stand the bytes of what is written to the platform.
+Each kind of state is built at three sizes, and the memory that stays
+allocated is measured. Sizes of records written to the platform are also
+reported.
 """
 
 import gc
@@ -18,24 +19,28 @@
 ACCOUNTS = (1, 16, 64)
 
 
-async def run(shown: ledger.Ledger) -> None:
-    """Measure every kind."""
-    shown.section('state: memory of one more of it')
+async def run(recorder: ledger.Ledger) -> None:
+    """Measure every kind of state, and the size of stored records."""
+    recorder.section('state: memory of one more of it')
     for title, sizes, build in state_kinds.KINDS:
-        points = [fit.Point(size, (_held(build(size)),)) for size in sizes]
-        shown.sweep(title, 'KB', 'each', points)
+        points = [
+            fit.Point(size, (_allocated_kb(build(size)),)) for size in sizes
+        ]
+        recorder.sweep(title, 'KB', 'each', points)
     intent = journal_world.intent('1')
-    bill = journal_world.outcome(intent)
-    for name, row in (('an intent', intent), ('a bill', bill)):
-        shown.figure(f'bytes in the log: {name}', 'B', [len(wire.encode(row))])
+    outcome_row = journal_world.outcome(intent)
+    for name, row in (('an intent', intent), ('a bill', outcome_row)):
+        recorder.figure(
+            f'bytes in the log: {name}', 'B', [len(wire.encode(row))]
+        )
     by_entries = [reports.record(entries) for entries in ENTRIES]
-    _sweep_bytes(shown, 'entries', ENTRIES, by_entries)
+    _sweep_bytes(recorder, 'entries', ENTRIES, by_entries)
     by_accounts = [reports.record(1, accounts) for accounts in ACCOUNTS]
-    _sweep_bytes(shown, 'accounts', ACCOUNTS, by_accounts)
+    _sweep_bytes(recorder, 'accounts', ACCOUNTS, by_accounts)
 
 
 def _sweep_bytes(
-    shown: ledger.Ledger,
+    recorder: ledger.Ledger,
     per: str,
     sizes: Sequence[int],
     records: Sequence[rollout_data.Record],
@@ -44,11 +49,11 @@
         fit.Point(size, (len(wire.encode(record)),))
         for size, record in zip(sizes, records)
     ]
-    shown.sweep(f'bytes of a roll-out record, by {per}', 'B', 'each', points)
+    recorder.sweep(f'bytes of a roll-out record, by {per}', 'B', 'each', points)
 
 
-def _held(make: state_kinds.Make) -> float:
-    """Return the KB that stay allocated for what a function makes."""
+def _allocated_kb(make: state_kinds.Make) -> float:
+    """Return the KB that stay allocated for the state a function creates."""
     gc.collect()
     tracemalloc.start()
     kept = [make()]
--- a/beryllug/bench/slopes/windows.py
+++ b/beryllug/bench/slopes/windows.py
@@ -1,4 +1,4 @@
-"""What a fleet does in a stretch of time, as rates a second."""
+"""Measures the resource use of a fleet over a time window, per second."""
 
 import asyncio
 import statistics
@@ -13,15 +13,18 @@
 
 
 class Rates(NamedTuple):
-    """Rates of one stretch.
+    """Rates over one time window.
 
     Attributes:
-        seconds: How long it was.
-        cpu: Processor time of each control, ms a second.
-        carried: Bytes a second that a control sent to others of ours.
-        packets: Packets a second that it sent.
-        platform: Bytes a second between a control and the object API.
-        calls: Calls of the object API a second, by kind, of all controls.
+        seconds: Length of the window.
+        cpu: Processor time of each control process, ms per second.
+        carried: Bytes per second at the ports of the control processes, per
+            process.
+        packets: Packets per second at these ports, per process.
+        platform: Bytes per second between a control process and the object
+            API, on average over the control processes.
+        calls: Calls to the object API per second, by kind, of all control
+            processes together.
     """
 
     seconds: float
@@ -33,12 +36,12 @@
 
     @property
     def cpu_ms(self) -> float:
-        """Return the mean over the controls."""
+        """Return the mean processor time of the control processes."""
         return statistics.mean(self.cpu)
 
 
-class _Reading(NamedTuple):
-    """All counters at one moment."""
+class _Counters(NamedTuple):
+    """All counters at one point in time."""
 
     at: float
     cpu: list[float]
@@ -52,27 +55,27 @@
     seconds: float,
     work: Callable[[], Awaitable[object]] | None = None,
 ) -> Rates:
-    """Measure a stretch of time, while some work is done in it.
+    """Measure a fleet over a time window, in which some work may run.
 
     Args:
         fleet: The fleet.
-        seconds: How long at least.
-        work: What to do meanwhile.
+        seconds: Minimum length of the window.
+        work: Work to run in the window; the window lasts until it ends.
     """
-    before = await _read(fleet)
-    pause = asyncio.create_task(asyncio.sleep(seconds))
+    before = await _read_counters(fleet)
+    timer = asyncio.create_task(asyncio.sleep(seconds))
     if work is not None:
         await work()
-    await pause
-    after = await _read(fleet)
+    await timer
+    after = await _read_counters(fleet)
     return _rates(before, after)
 
 
-async def _read(fleet: controls.Controls) -> _Reading:
+async def _read_counters(fleet: controls.Controls) -> _Counters:
     own = {controls.port_of(host.control) for host in fleet.hosts}
     platform = {controls.port_of(fleet.platform().address)}
     connections = await sockets.read(own | platform)
-    return _Reading(
+    return _Counters(
         time.monotonic(),
         fleet.cpu_s(),
         sockets.on(connections, own),
@@ -81,21 +84,22 @@
     )
 
 
-def _rates(before: _Reading, after: _Reading) -> Rates:
-    took_s = after.at - before.at
-    spent = tuple(
-        (now - then) * MS / took_s for now, then in zip(after.cpu, before.cpu)
+def _rates(before: _Counters, after: _Counters) -> Rates:
+    elapsed_s = after.at - before.at
+    cpu_ms_per_s = tuple(
+        (now - then) * MS / elapsed_s
+        for now, then in zip(after.cpu, before.cpu)
     )
     peers = sockets.between(before.peers, after.peers)
     platform = sockets.between(before.platform, after.platform)
-    share = took_s * len(spent)
+    control_seconds = elapsed_s * len(cpu_ms_per_s)
     calls = Counter(after.calls)
     calls.subtract(before.calls)
     return Rates(
-        took_s,
-        spent,
-        peers.carried / share,
-        peers.packets / share,
-        platform.carried / share,
-        {kind: made / took_s for kind, made in calls.items()},
+        elapsed_s,
+        cpu_ms_per_s,
+        peers.carried / control_seconds,
+        peers.packets / control_seconds,
+        platform.carried / control_seconds,
+        {kind: made / elapsed_s for kind, made in calls.items()},
     )
