--- a/beryllug/bench/slopes/controls.py
+++ b/beryllug/bench/slopes/controls.py
@@ -196,7 +196,7 @@
             status, _ = await self._get(name, '/readyz')
             if status != OK and time.monotonic() > deadline:
                 log = self.processes.log(name)
-                raise TimeoutError(f'{name} was not ready in time: {log}')
+                raise TimeoutError(f'{name} is not ready: {log}')
 
     async def _get(self, name: str, target: str) -> tuple[int, bytes]:
         address = fleet_settings.operators_of(name, self.hosts)
--- a/beryllug/bench/slopes/fit.py
+++ b/beryllug/bench/slopes/fit.py
@@ -47,7 +47,7 @@
         ValueError: There are too few distinct sizes, or repeats are missing.
     """
     if len({point.size for point in points}) < MIN_SIZES:
-        raise ValueError(f'a slope needs at least {MIN_SIZES} distinct sizes')
+        raise ValueError(f'a slope needs {MIN_SIZES} distinct sizes')
     sizes = [point.size for point in points]
     repeats = zip(*(point.measured for point in points), strict=True)
     fits = [statistics.linear_regression(sizes, ys) for ys in repeats]
--- a/beryllug/bench/slopes/fleet_run.py
+++ b/beryllug/bench/slopes/fleet_run.py
@@ -43,11 +43,11 @@
         idle: Windows without any change.
         changing: Windows with `CHANGES` changes of the configuration.
         crashes: Windows with one report of a lost backend server.
-        told_ms: Time until a report of a lost server was answered,
+        crash_report_ms: Time until a report of a lost server was answered,
             which is when all control processes know of it.
         taken_ms: Time from the acceptance of a change until the last
             process applied it.
-        entered_ms: Time from the acceptance of a change until it
+        entries_reached_ms: Time from the acceptance of a change until it
             reached the last entry.
         resident: Resident memory of each process, MB.
         private: Unshared resident memory of each process, MB.
@@ -69,7 +69,7 @@
     """Start a fleet, measure it and stop it.
 
     Args:
-        size: Count of control processes.
+        size: Number of control processes.
         watchers: How many processes of a zone watch the platform; 0 means
             all.
     """
@@ -137,7 +137,7 @@
 
     Args:
         accepted: When each revision was accepted.
-        taken: When each process applied each revision.
+        applied: When each process applied each revision.
     """
     return [
         max(_reached_at(when, revision) for when in applied.values()) * MS
--- a/beryllug/bench/slopes/member_slope.py
+++ b/beryllug/bench/slopes/member_slope.py
@@ -105,11 +105,11 @@
     restarted = own._replace(incarnation=size + 1, started=size + 1)
     tables[name].own = restarted
 
-    def knows(table: membership.Table) -> bool:  # noqa: WPS430
+    def has_learned(table: membership.Table) -> bool:  # noqa: WPS430
         found = membership.find(table, name)
         return found is not None and found.incarnation == restarted.incarnation
 
-    return _Replay(tables, frozenset()).run(knows)
+    return _Replay(tables, frozenset()).run(has_learned)
 
 
 def fail_zone(size: int) -> Spread:
@@ -121,13 +121,13 @@
     for name in failed:
         tables.pop(name)
 
-    def knows(table: membership.Table) -> bool:  # noqa: WPS430
+    def has_learned(table: membership.Table) -> bool:  # noqa: WPS430
         return all(
             table.known[name].member.status is member_data.Status.DEAD
             for name in failed
         )
 
-    return _Replay(tables, failed).run(knows)
+    return _Replay(tables, failed).run(has_learned)
 
 
 class _Replay:
@@ -149,13 +149,15 @@
         for table in tables.values():
             table.round = self._rng.randrange(MAX_ROUNDS)
 
-    def run(self, knows: Knows) -> Spread:
+    def run(self, has_learned: Knows) -> Spread:
         """Run rounds until all know of the change and no news is left."""
         rounds = 0
         count = len(self._tables)
         informed: frozenset[str] = frozenset()
         for number in range(1, MAX_ROUNDS):
-            informed = frozenset(filter(self._knows(knows), self._tables))
+            informed = frozenset(
+                filter(self._has_learned(has_learned), self._tables)
+            )
             if len(informed) < count:
                 rounds = number
             elif not any(table.sends for table in self._tables.values()):
@@ -163,8 +165,8 @@
             self._round(informed, number * BEAT_S)
         return Spread(rounds, self.sent / count, self.unlike / count)
 
-    def _knows(self, knows: Knows) -> Callable[[str], bool]:
-        return lambda name: knows(self._tables[name])
+    def _has_learned(self, has_learned: Knows) -> Callable[[str], bool]:
+        return lambda name: has_learned(self._tables[name])
 
     def _round(self, informed: frozenset[str], now: float) -> None:
         order = list(self._tables)
