--- a/beryllug/core/config_data.py
+++ b/beryllug/core/config_data.py
@@ -19,7 +19,7 @@
 
 
 class PoolKind(StrEnum):
-    """Kind of the backend servers of a pool."""
+    """What kind of backend servers a pool holds."""
 
     ENGINE = 'engine'
     PLAIN = 'plain'
