--- a/beryllug/bench/cascade_bench.py
+++ b/beryllug/bench/cascade_bench.py
@@ -17,7 +17,7 @@
 
 STRONG = cascade_data.AlwaysStrong()
 CHEAP = cascade_data.AlwaysCheap()
-LEARNT = cascade_data.Learnt(most_ratings=3)
+LEARNT = cascade_data.LearntPolicy(most_ratings=3)
 
 
 class Scale(NamedTuple):
--- a/beryllug/bench/config_bench.py
+++ b/beryllug/bench/config_bench.py
@@ -13,7 +13,7 @@
 from hdrh import histogram
 
 from beryllug.bench import config_fleet, recorder, report
-from beryllug.control import config_holder, view_push
+from beryllug.control import config_holder, config_exchange
 from beryllug.core import config_data, config_state, document_parts
 from beryllug.drivers import rpc_peers
 
@@ -21,15 +21,15 @@
 class _NoMembers:
     """An empty membership."""
 
-    def everyone(self) -> tuple[str, ...]:
+    def all_addresses(self) -> tuple[str, ...]:
         """Return no members."""
         return ()
 
-    def partners(self) -> tuple[str, ...]:
+    def gossip_addresses(self) -> tuple[str, ...]:
         """Return no members."""
         return ()
 
-    def children(self) -> tuple[str, ...]:
+    def push_addresses(self) -> tuple[str, ...]:
         """Return no members."""
         return ()
 
@@ -178,12 +178,12 @@
         'bytes that move, of the whole', moved / whole, MAX_BYTES_FRACTION
     )
     figures.bound('bytes of a push', _push_bytes(old, new), MAX_PUSH_BYTES)
-    empty = config_state.Held()
+    empty = config_state.ProcessConfig()
     began = time.process_time()
-    held = config_state.hold(1, old, empty)
+    held = config_state.build_config(1, old, empty)
     whole_s = time.process_time() - began
     began = time.process_time()
-    config_state.hold(2, new, held)
+    config_state.build_config(2, new, held)
     change_s = time.process_time() - began
     figures.figure('processor time to take it whole, ms', whole_s * MS)
     figures.figure('processor time to take the change, ms', change_s * MS)
@@ -198,11 +198,15 @@
     """Return the size of the message that sends the change to a peer."""
     holder = config_holder.ConfigHolder()
     calls = rpc_peers.Peers(config_fleet.KEYS)
-    push = view_push.ViewPush(holder, calls, _NoMembers(), '127.0.0.1:1')
-    before = config_state.hold(1, old, holder.held)
-    holder.take(config_state.hold(2, new, before), 'platform')
-    push.spread(before)
-    return len(msgspec.msgpack.encode(push.news()))
+    push = config_exchange.ConfigExchange(
+        holder, calls, _NoMembers(), '127.0.0.1:1'
+    )
+    before = config_state.build_config(1, old, holder.held)
+    holder.accept_if_newer(
+        config_state.build_config(2, new, before), 'platform'
+    )
+    push.push_to_children(before)
+    return len(msgspec.msgpack.encode(push.delta_offer()))
 
 
 def _parts(document: config_data.Document) -> dict[str, bytes]:
--- a/beryllug/bench/config_fleet.py
+++ b/beryllug/bench/config_fleet.py
@@ -135,7 +135,9 @@
             self._client, self.platform.address, PLATFORM_S
         )
         apply_id = f'apply-{next(self._ids)}'
-        req = config_store.Apply(document, self._revision, 'bench', apply_id)
+        req = config_store.ApplyRequest(
+            document, self._revision, 'bench', apply_id
+        )
         store = config_store.ConfigStore(api)
         outcome = await store.apply(req, time.time())
         revision = outcome.unwrap()
--- a/beryllug/bench/entry_host.py
+++ b/beryllug/bench/entry_host.py
@@ -107,7 +107,7 @@
 
     def report(self, loads: tuple[view_data.ServerLoad, ...]) -> None:
         """Process reported loads of backend servers."""
-        server_load.report(self._balance, loads, 0)
+        server_load.apply_reports(self._balance, loads, 0)
 
     def take(self, req: workload.Request, asked: int = 1) -> None:
         """Handle a request; `asked` counts its submissions, from 1."""
@@ -148,7 +148,7 @@
     def _admit(self, call: Call) -> limits.Refused | None:
         now = self._simulation.clock.now
         estimate = estimates.get(self._estimates, call.key)
-        ask = limits.Ask(
+        ask = limits.AdmissionRequest(
             workload.account_name(call.req.account),
             call.targets,
             estimate.first_token_s,
@@ -161,20 +161,20 @@
         call.ticket = decision
         return None
 
-    def _pool_room(self, pool_name: str, now: float) -> limits.Room:
+    def _pool_room(self, pool_name: str, now: float) -> limits.PoolCapacity:
         pool = self._fleet[pool_name]
         healthy = [
             server_track
             for server_track in self._tracks(pool_name)
-            if not ejection.is_out(server_track, now)
+            if not ejection.is_ejected(server_track, now)
         ]
         slots = pool.pool.concurrency * len(healthy)
         load = server_load.pool_load(healthy, deployments.ENTRIES, now)
-        return limits.Room(pool_name, slots, load, deployments.ENTRIES)
+        return limits.PoolCapacity(pool_name, slots, load, deployments.ENTRIES)
 
-    def _tracks(self, pool_name: str) -> list[balance_data.Track]:
+    def _tracks(self, pool_name: str) -> list[balance_data.ServerStats]:
         return [
-            server_load.track(self._balance, member.server.server_id)
+            server_load.stats_of(self._balance, member.server.server_id)
             for member in self._fleet[pool_name].members
         ]
 
@@ -201,19 +201,19 @@
     def _send(
         self, call: Call, server: view_data.BackendServer, now: float
     ) -> None:
-        server_track = server_load.track(self._balance, server.server_id)
+        server_track = server_load.stats_of(self._balance, server.server_id)
         slots = self._fleet[server.pool].pool.concurrency
         call.load_share = server_load.load_of(server_track, now) / slots
         call.server = server
         call.sent_at = now
         call.attempts += 1
         if call.attempts == 1:
-            retry.first_try(self._retries, server.pool)
+            retry.record_first_attempt(self._retries, server.pool)
         group = self._simulation.recording.group(call.req)
         if group is not None:
             group.tried += call.attempts == 1
             group.attempts += 1
-        server_load.dispatched(self._balance, server.server_id, now)
+        server_load.record_dispatch(self._balance, server.server_id, now)
         network_s = SAME_ZONE_S if server.zone == self._zone else CROSS_ZONE_S
         self._simulation.clock.call_later(
             network_s,
@@ -250,16 +250,18 @@
             call.req, call.targets, call.asked_at, now
         )
         assert call.server is not None
-        server_track = server_load.track(self._balance, call.server.server_id)
+        server_track = server_load.stats_of(
+            self._balance, call.server.server_id
+        )
         estimate = estimates.get(self._estimates, call.key)
         ratio = (now - call.sent_at) / estimate.first_token_s
-        ejection.succeeded(server_track, ratio)
+        ejection.record_success(server_track, ratio)
         ejection.eject_slow(self._tracks(call.req.kind.pool), now)
 
     def _done(self, call: Call) -> None:
         now = self._simulation.clock.now
         assert call.server is not None
-        server_load.finished(self._balance, call.server.server_id, now)
+        server_load.record_end(self._balance, call.server.server_id, now)
         estimates.observe(
             self._estimates,
             call.key,
@@ -273,12 +275,14 @@
         now = self._simulation.clock.now
         assert call.server is not None
         server_id = call.server.server_id
-        server_load.finished(self._balance, server_id, now)
-        ejection.failed(server_load.track(self._balance, server_id), now)
+        server_load.record_end(self._balance, server_id, now)
+        ejection.record_failure(
+            server_load.stats_of(self._balance, server_id), now
+        )
         call.tried |= {server_id}
         delay_s = self._retry_delay_s(call, failure)
         if delay_s is None:
-            self._end(call, refused=retry.ran_for_sure_not(failure))
+            self._end(call, refused=retry.did_not_run(failure))
         else:
             self._simulation.clock.call_later(delay_s, self._dispatch, call)
 
@@ -303,7 +307,7 @@
             )
         now = self._simulation.clock.now
         decision = retry.may_retry(state, attempt, now, self._rng.random())
-        if isinstance(decision, retry.Again):
+        if isinstance(decision, retry.RetryAfter):
             return decision.delay_s
         return None
 
--- a/beryllug/bench/journal_bench.py
+++ b/beryllug/bench/journal_bench.py
@@ -12,7 +12,7 @@
 import msgspec
 from hdrh import histogram
 
-from beryllug.bench import journal_world, report
+from beryllug.bench import journal_harness, report
 from beryllug.core import (
     digest_index,
     journal,
@@ -59,14 +59,14 @@
     """Send requests at a constant rate and count platform calls."""
     figures.section(f'journal, {per_s} requests/s, {SHARDS} shards')
     cfg = settings_data.Control(
-        journal_world.ADDRESS,
+        journal_harness.ADDRESS,
         (),
         '',
         '',
         shards=SHARDS,
         commits_per_s=COMMITS_PER_S,
     )
-    harness = journal_world.JournalHarness(cfg)
+    harness = journal_harness.JournalHarness(cfg)
     await harness.start()
     usage = await _send_load(harness, per_s)
     allowed = SHARDS * COMMITS_PER_S * (1 + BURST_S / usage.elapsed_s)
@@ -111,7 +111,7 @@
 
 
 async def _send_load(
-    harness: journal_world.JournalHarness, per_s: int
+    harness: journal_harness.JournalHarness, per_s: int
 ) -> Usage:
     before = harness.api.calls.copy()
     bytes_written = harness.api.bytes_written
@@ -158,7 +158,7 @@
         _bytes_of(lambda: _open_tries(state)) / KEYS,
         upper=MAX_TRY_BYTES,
     )
-    row = journal_world.outcome(journal_world.intent('1'))
+    row = journal_harness.outcome(journal_harness.intent('1'))
     encoded = len(msgspec.msgpack.encode(row))
     figures.figure('bytes an outcome row in the log', encoded)
 
@@ -171,9 +171,9 @@
 
 def _open_tries(state: shard_state.ShardState) -> None:
     for number in range(KEYS):
-        row = journal_world.intent(str(number))
+        row = journal_harness.intent(str(number))
         journal.begin(state, row, 0)
-        journal_log.committed(state, row, 1, 0)
+        journal_log.apply_committed(state, row, 1, 0)
 
 
 def _members(figures: report.Report) -> None:
@@ -182,7 +182,7 @@
     table = membership.Table(_member(0))
     used = _bytes_of(lambda: membership.merge_all(table, _others(), 0))
     figures.bound('bytes a known member', used / NODES, upper=MAX_MEMBER_BYTES)
-    news, notes = membership.take_news(table, table.ring[1])
+    news, notes = membership.pop_updates(table, table.ring[1])
     heartbeat = member_data.Heartbeat(table.own, news, notes, 1, 1)
     size = len(msgspec.msgpack.encode(heartbeat))
     figures.bound(
@@ -206,7 +206,7 @@
 
 
 def _spread(figures: report.Report, names: list[str]) -> None:
-    spread = lease_spread.Spread()
+    spread = lease_spread.LeasePreferences()
     wanted = [f'journal/{shard}' for shard in range(LEASES)]
     whole_s = _cpu_seconds(
         lambda: lease_spread.update(spread, wanted, names[:-1])
--- a/beryllug/bench/journal_world.py
+++ b/beryllug/bench/journal_harness.py
@@ -97,7 +97,7 @@
         owner = lease_data.Owner(NAME, BOOT, ADDRESS)
         calls = rpc_peers.Peers(fleet_key.KeyRing(('key',)))
         self._leases = leases.Leases(self.api, owner, cfg.lease_s, members)
-        shard_parts = shards.Parts(self.api, self._leases, calls)
+        shard_parts = shards.JournalServices(self.api, self._leases, calls)
         self.journal = journal.Journal(shard_parts, cfg, BOOT)
         self._shards = cfg.shards
         self.begin_us = recorder.new_histogram()
--- a/beryllug/bench/quality_run.py
+++ b/beryllug/bench/quality_run.py
@@ -103,7 +103,7 @@
             run,
             case,
             state,
-            cascade_data.Given(question, _answer(begin), False),
+            cascade_data.CompletedAnswer(question, _answer(begin), False),
         )
         return
     _outcome(run, case).checked += 1
@@ -116,12 +116,14 @@
         question = _question(run, case, spent_s)
         decision = cascade.after(policy, state, question, (answer,))
     cascade.learn(state, question, answer, escalated=False)
-    if isinstance(decision, cascade_data.GiveOut):
-        given = cascade_data.Given(question, answer, escalated=False)
+    if isinstance(decision, cascade_data.ReturnAnswer):
+        given = cascade_data.CompletedAnswer(question, answer, escalated=False)
         _return_answer(run, case, state, given)
         return
     _outcome(run, case).cost += _cost(run, case, begin.stage)
-    given = cascade_data.Given(question, _answer(decision), escalated=True)
+    given = cascade_data.CompletedAnswer(
+        question, _answer(decision), escalated=True
+    )
     _return_answer(run, case, state, given)
 
 
@@ -144,7 +146,7 @@
     run: _Run,
     case: quality.Case,
     state: cascade_data.CascadeState,
-    given: cascade_data.Given,
+    given: cascade_data.CompletedAnswer,
 ) -> None:
     stage = given.answer.stage
     offer = given.question.offers[stage]
@@ -156,7 +158,9 @@
     rated = given.answer.rating is not None
     wait_s = 0 if rated else offer.first_token_s
     outcome.late += wait_s > given.question.first_token_left_s
-    cascade.given_out(state, given.question, given.answer, given.escalated)
+    cascade.record_returned(
+        state, given.question, given.answer, given.escalated
+    )
     drawn = cascade.sample(
         run.plan.policy, state, given, case.at, run.rng.random()
     )
@@ -185,7 +189,7 @@
     run: _Run,
     case: quality.Case,
     state: cascade_data.CascadeState,
-    sampled: tuple[cascade_data.Given, cascade_data.Sample],
+    sampled: tuple[cascade_data.CompletedAnswer, cascade_data.Sample],
 ) -> None:
     given, drawn = sampled
     stage = given.answer.stage
@@ -194,7 +198,7 @@
         rating_health.missed(state.judge, 0, case.at)
         return
     run.clock.call_later(
-        delay_s, cascade.take_sample, state, given, drawn, rating
+        delay_s, cascade.record_sample, state, given, drawn, rating
     )
     run.clock.call_later(delay_s, rating_health.rated, state.judge, delay_s)
     _probe_rater(run, case, state, (stage, rating))
@@ -206,7 +210,7 @@
     state: cascade_data.CascadeState,
     rated: tuple[int, float],
 ) -> None:
-    if not isinstance(run.plan.policy, cascade_data.Learnt):
+    if not isinstance(run.plan.policy, cascade_data.LearntPolicy):
         return
     stage, first = rated
     match rating_health.probe(run.rng.random()):
@@ -240,7 +244,7 @@
 
 def _question(
     run: _Run, case: quality.Case, spent_s: float
-) -> cascade_data.Question:
+) -> cascade_data.CascadeRequest:
     declared = run.declared
     offers = tuple(
         cascade_data.Offer(
@@ -254,7 +258,7 @@
         for model in declared['models']
     )
     names = tuple(model.name for model in declared['models'])
-    return cascade_data.Question(
+    return cascade_data.CascadeRequest(
         workload.account_name(case.account),
         case.kind.name,
         config_data.Cascade(
--- a/beryllug/bench/rollout_cases.py
+++ b/beryllug/bench/rollout_cases.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from beryllug.bench import rollout_world
+from beryllug.bench import rollout_simulation
 
 PATH = pathlib.Path(__file__).with_name('rollout_cases.json')
 
@@ -25,7 +25,7 @@
     name: str
     upper: float
     ticks: int
-    fault: rollout_world.Fault
+    fault: rollout_simulation.Fault
 
 
 class Good(TypedDict):
@@ -75,6 +75,6 @@
         name, upper, ticks = (
             fields.pop(key) for key in ('name', 'most', 'ticks')
         )
-        quality = rollout_world.Quality(**fields.pop('quality'))
-        fault = rollout_world.Fault(quality, **fields)
+        quality = rollout_simulation.Quality(**fields.pop('quality'))
+        fault = rollout_simulation.Fault(quality, **fields)
         yield Case(name, upper, ticks, fault)
--- a/beryllug/bench/rollout_policies.py
+++ b/beryllug/bench/rollout_policies.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass, field
 
-from beryllug.bench import rollout_world
+from beryllug.bench import rollout_simulation
 from beryllug.core import (
-    brake,
+    circuit_breaker,
     config_data,
     evidence_book,
     rollout,
@@ -20,8 +20,8 @@
 NEW_REF = config_data.VersionRef(MODEL, NEW)
 OLD_REF = config_data.VersionRef(MODEL, OLD)
 
-Answer = rollout_world.Answer
-Session = rollout_world.Session
+Answer = rollout_simulation.Answer
+Session = rollout_simulation.Session
 
 
 @dataclass(slots=True)
@@ -131,8 +131,8 @@
 class Entry:
     """Roll-out state of one entry process: its brake and evidence."""
 
-    book: evidence_book.Book
-    brake: brake.Brake
+    book: evidence_book.EvidenceBuffer
+    brake: circuit_breaker.CircuitBreaker
 
 
 class EvidenceBased:
@@ -145,7 +145,10 @@
         self.declared = declared
         self.record = rollout.begin(declared, accounts, None)
         self.entries = [
-            Entry(evidence_book.Book(f'entry-{number}'), brake.Brake())
+            Entry(
+                evidence_book.EvidenceBuffer(f'entry-{number}'),
+                circuit_breaker.CircuitBreaker(),
+            )
             for number in range(entries)
         ]
 
@@ -155,10 +158,12 @@
             case view_data.Verdict.STOPPED:
                 return False
             case view_data.Verdict.PROMOTED:
-                return not brake.is_held(
+                return not circuit_breaker.is_blocked(
                     self.entries[session.entry].brake, tick
                 )
-        left = brake.remaining(self.entries[session.entry].brake, tick)
+        left = circuit_breaker.remaining(
+            self.entries[session.entry].brake, tick
+        )
         return session.percentile < self.record.percent and left > 0
 
     def is_stopped(self) -> bool:
@@ -175,7 +180,7 @@
 
     def candidate_asked(self, session: Session) -> None:
         """Count a request against the exposure budget of its entry."""
-        brake.give(self.entries[session.entry].brake)
+        circuit_breaker.record_dispatch(self.entries[session.entry].brake)
 
     def ended(self, answer: Answer, tick: int) -> None:
         """Record an answer as evidence of its entry."""
@@ -186,7 +191,7 @@
             evidence_book.Answer(answer.failed, answer.late, answer.crashed),
         )
         if answer.candidate:
-            brake.end(entry.brake, _outcome(answer), tick)
+            circuit_breaker.record_outcome(entry.brake, _outcome(answer), tick)
         if answer.rating is None and not answer.failed:
             evidence_book.skip_rating(entry.book, _subject(answer))
 
@@ -206,16 +211,22 @@
             if entry.book.counts or tick % IDLE_REPORT_S == 0:
                 self._report(entry, tick)
         decision = rollout.decide(self.record, self.declared)
-        self.record = rollout.carry_out(self.record, self.declared, decision)
-        self.record = rollout.deal(self.record, self.declared, tick)
+        self.record = rollout.apply_decision(
+            self.record, self.declared, decision
+        )
+        self.record = rollout.allocate(self.record, self.declared, tick)
         for entry in self.entries:
             share = self.record.exposure.shares[entry.book.entry]
-            brake.deal(entry.brake, share.dealt)
+            circuit_breaker.raise_total(entry.brake, share.dealt)
 
     def _report(self, entry: Entry, tick: int) -> None:
-        braked = (NEW_REF,) if brake.is_held(entry.brake, tick) else ()
+        braked = (
+            (NEW_REF,) if circuit_breaker.is_blocked(entry.brake, tick) else ()
+        )
         report = evidence_book.report(entry.book, braked)
-        self.record = rollout.absorb(self.record, self.declared, report, tick)
+        self.record = rollout.include_report(
+            self.record, self.declared, report, tick
+        )
         evidence_book.acknowledge(entry.book, report.sequence)
 
 
@@ -224,7 +235,11 @@
     return evidence_book.Subject(ref, answer.session.account)
 
 
-def _outcome(answer: Answer) -> brake.Outcome:
+def _outcome(answer: Answer) -> circuit_breaker.Outcome:
     if answer.crashed:
-        return brake.Outcome.CRASHED
-    return brake.Outcome.FAILED if answer.failed else brake.Outcome.GOOD
+        return circuit_breaker.Outcome.CRASHED
+    return (
+        circuit_breaker.Outcome.FAILED
+        if answer.failed
+        else circuit_breaker.Outcome.GOOD
+    )
--- a/beryllug/bench/rollout_trials.py
+++ b/beryllug/bench/rollout_trials.py
@@ -5,7 +5,7 @@
 from concurrent import futures
 from typing import NamedTuple
 
-from beryllug.bench import rollout_policies, rollout_world
+from beryllug.bench import rollout_policies, rollout_simulation
 from beryllug.core import config_data
 
 WORKERS = 3
@@ -30,12 +30,12 @@
     MAX_ERROR_RATE,
     MIN_RATING,
 )
-LOAD = rollout_world.Load()
+LOAD = rollout_simulation.Load()
 
-Fault = rollout_world.Fault
-Result = rollout_world.Result
+Fault = rollout_simulation.Fault
+Result = rollout_simulation.Result
 Policy = Callable[
-    [config_data.Rollout, rollout_world.Load], rollout_world.Policy
+    [config_data.Rollout, rollout_simulation.Load], rollout_simulation.Policy
 ]
 
 
@@ -45,30 +45,30 @@
     seed: int
     policy: Policy
     fault: Fault | None = None
-    load: rollout_world.Load = LOAD
+    load: rollout_simulation.Load = LOAD
     declared: config_data.Rollout = DECLARED
     ticks: int = TICKS
 
 
 def by_evidence(
-    declared: config_data.Rollout, load: rollout_world.Load
-) -> rollout_world.Policy:
+    declared: config_data.Rollout, load: rollout_simulation.Load
+) -> rollout_simulation.Policy:
     """Make the evidence-based policy."""
     return rollout_policies.EvidenceBased(
-        declared, load.entries, len(rollout_world.ACCOUNTS)
+        declared, load.entries, len(rollout_simulation.ACCOUNTS)
     )
 
 
 def fixed_steps(
-    declared: config_data.Rollout, load: rollout_world.Load
-) -> rollout_world.Policy:
+    declared: config_data.Rollout, load: rollout_simulation.Load
+) -> rollout_simulation.Policy:
     """Make a baseline with ten-minute stages, checked at their ends."""
     return rollout_policies.FixedSteps(declared, DWELL_S, DWELL_S)
 
 
 def checked_steps(
-    declared: config_data.Rollout, load: rollout_world.Load
-) -> rollout_world.Policy:
+    declared: config_data.Rollout, load: rollout_simulation.Load
+) -> rollout_simulation.Policy:
     """Make a baseline that is checked every minute as well."""
     return rollout_policies.FixedSteps(
         declared, DWELL_S, CHECK_S, CHECK_MIN_ANSWERS
@@ -76,8 +76,8 @@
 
 
 def steps_by_account(
-    declared: config_data.Rollout, load: rollout_world.Load
-) -> rollout_world.Policy:
+    declared: config_data.Rollout, load: rollout_simulation.Load
+) -> rollout_simulation.Policy:
     """Make a baseline that checks each account as well."""
     return rollout_policies.FixedSteps(
         declared, DWELL_S, DWELL_S, ACCOUNT_MIN_ANSWERS, by_account=True
@@ -87,7 +87,9 @@
 def run(job: Job) -> Result:
     """Run one job."""
     policy = job.policy(job.declared, job.load)
-    return rollout_world.run(job.seed, job.load, job.fault, policy, job.ticks)
+    return rollout_simulation.run(
+        job.seed, job.load, job.fault, policy, job.ticks
+    )
 
 
 def run_all(jobs: Iterable[Job]) -> list[Result]:
--- a/beryllug/bench/slopes/__main__.py
+++ b/beryllug/bench/slopes/__main__.py
@@ -26,7 +26,7 @@
 )
 
 EXIT_USAGE = 2
-Section = Callable[[ledger.Ledger], Awaitable[None]]
+Section = Callable[[ledger.Recorder], Awaitable[None]]
 # Sections of a group run concurrently: they mostly wait, and no group has more
 # than 200 processes.
 GROUPS: tuple[Mapping[str, Section], ...] = (
@@ -85,7 +85,7 @@
 
 async def _section(name: str, run: Section) -> bool:
     """Run one section and print it at its end; return whether it succeeded."""
-    recorder = ledger.Ledger()
+    recorder = ledger.Recorder()
     try:
         await run(recorder)
     except Exception:
@@ -97,7 +97,7 @@
     return True
 
 
-def _print(recorder: ledger.Ledger) -> None:
+def _print(recorder: ledger.Recorder) -> None:
     lines = '\n'.join(recorder.lines())
     sys.stdout.write(f'{lines}\n')
     sys.stdout.flush()
--- a/beryllug/bench/slopes/controls.py
+++ b/beryllug/bench/slopes/controls.py
@@ -31,9 +31,9 @@
 from beryllug.standins import fleet_settings, processes
 
 OK = 200
-READY_S = 60.0
+READY_TIMEOUT_S = 60.0
 POLL_S = 0.3
-PLATFORM_S = 5.0
+PLATFORM_TIMEOUT_S = 5.0
 FIRST_PORT = 12000
 LAST_PORT = 32000
 _CONFIG_TAKEN = re.compile(
@@ -82,7 +82,7 @@
         ]
         self.processes = processes.Processes()
         self.revision = 0
-        self._parties: dict[str, parties.Party] = {}
+        self._parties: dict[str, parties.StandInProcess] = {}
 
     async def start(self) -> None:
         """Start all processes and wait until every one is ready."""
@@ -108,7 +108,7 @@
             for index in range(self.plan.entries)
         ]
 
-    def platform(self) -> parties.Party:
+    def platform(self) -> parties.StandInProcess:
         """Return the stand-in for the object API."""
         return self._parties['platform']
 
@@ -127,9 +127,9 @@
     async def apply(self, document: config_data.Document) -> float:
         """Apply a document; return the wall-clock time of its acceptance."""
         api = object_api.HttpObjectApi(
-            self.client, self.platform().address, PLATFORM_S
+            self.client, self.platform().address, PLATFORM_TIMEOUT_S
         )
-        req = config_store.Apply(
+        req = config_store.ApplyRequest(
             document, self.revision, 'slopes', f'apply-{self.revision}'
         )
         outcome = await config_store.ConfigStore(api).apply(req, time.time())
@@ -176,7 +176,7 @@
             raise RuntimeError(f'{name} has exited: {log}') from exc
 
     async def _spawn(self, name: str) -> None:
-        sites = fleet_settings.Sites(
+        sites = fleet_settings.DeploymentAddresses(
             hosts=tuple(self.hosts),
             zones=self.plan.zones,
             platform=self.platform().address,
@@ -189,7 +189,7 @@
         await self.processes.spawn(name, fleet_settings.render(name, sites))
 
     async def _wait_ready(self, name: str) -> None:
-        deadline = time.monotonic() + READY_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         status = 0
         while status != OK:
             await asyncio.sleep(POLL_S)
@@ -199,7 +199,7 @@
                 raise TimeoutError(f'{name} is not ready: {log}')
 
     async def _get(self, name: str, target: str) -> tuple[int, bytes]:
-        address = fleet_settings.operators_of(name, self.hosts)
+        address = fleet_settings.operator_address(name, self.hosts)
         outgoing = http_data.Outgoing(
             'GET',
             target,
--- a/beryllug/bench/slopes/counters_test.py
+++ b/beryllug/bench/slopes/counters_test.py
@@ -64,13 +64,17 @@
             with self.subTest(title):
                 before = sockets.parse(BEFORE, ports)
                 after = sockets.parse(AFTER, ports)
-                self.assertEqual(sockets.between(before, after), expected)
+                self.assertEqual(
+                    sockets.traffic_between(before, after), expected
+                )
 
     def test_on(self) -> None:
         """Connections are selected by the port that accepted them."""
         found = sockets.parse(AFTER, {7000, 7001})
         self.assertEqual(len(found), 3)
-        self.assertEqual(list(sockets.on(found, {7001})), [(OTHER, FAR)])
+        self.assertEqual(
+            list(sockets.accepted_on(found, {7001})), [(OTHER, FAR)]
+        )
 
 
 class DelaysTest(unittest.TestCase):
--- a/beryllug/bench/slopes/decision_slope.py
+++ b/beryllug/bench/slopes/decision_slope.py
@@ -35,7 +35,7 @@
 SHARDS = 48
 LEASES = tuple(f'journal/{shard}' for shard in range(SHARDS))
 REPEATS = 5
-LEAST_S = 0.02
+MIN_MEASURE_S = 0.02
 MS = 1000
 PORT = 8000
 PER_PROCESS = 'a process'
@@ -54,7 +54,7 @@
     prepare: Callable[[int], Work]
 
 
-async def run(recorder: ledger.Ledger) -> None:
+async def run(recorder: ledger.Recorder) -> None:
     """Measure the time of each decision and the size of each message."""
     recorder.section('processor time of decisions and messages')
     for title, per, sizes, prepare in DECISIONS:
@@ -80,7 +80,7 @@
     count = 0
     began = time.process_time()
     spent_s = 0.0
-    while spent_s < LEAST_S:
+    while spent_s < MIN_MEASURE_S:
         work()
         count += 1
         spent_s = time.process_time() - began
@@ -90,7 +90,7 @@
 def _select_news(size: int) -> Work:
     table = member_tables.table_of(member_tables.members(size))
     table.sends.clear()
-    return lambda: membership.take_news(table, member_tables.name_of(1))
+    return lambda: membership.pop_updates(table, member_tables.name_of(1))
 
 
 def _learn_table(size: int) -> Work:
@@ -120,14 +120,14 @@
 
 def _assign_leases(size: int) -> Work:
     names = [member_tables.name_of(number) for number in range(size)]
-    spread = lease_spread.Spread()
+    spread = lease_spread.LeasePreferences()
     return lambda: lease_spread.update(spread, LEASES, names)
 
 
 def _reassign_leases(size: int) -> Work:
     """One member leaves and rejoins."""
     names = [member_tables.name_of(number) for number in range(size)]
-    spread = lease_spread.Spread()
+    spread = lease_spread.LeasePreferences()
 
     def work() -> None:  # noqa: WPS430
         lease_spread.update(spread, LEASES, names[:-1])
@@ -143,7 +143,7 @@
         document=documents.document(),
         servers=documents.servers(size, PORT),
     )
-    known = view_merge.merge(view_merge.Known(), full_view)
+    known = view_merge.merge(view_merge.EntryState(), full_view)
     raw = wire.encode(rpc_data.ViewUpdate(1, loads=documents.loads(size)))
     decode = wire.decoder(rpc_data.ViewUpdate)
     state = balance_data.BalanceState()
@@ -152,7 +152,7 @@
         after = view_merge.merge(known, decode(raw))
         if after.view != known.view:
             view_index.build(after.view)
-        server_load.report(state, after.view.loads, 0)
+        server_load.apply_reports(state, after.view.loads, 0)
 
     return work
 
@@ -172,10 +172,12 @@
     """A control that holds a document applies a change of one account."""
     old = documents.document(accounts=size)
     new = documents.changed(old, 2)
-    empty = config_state.Held()
-    before = config_state.hold(1, dict(document_parts.split(old)), empty)
+    empty = config_state.ProcessConfig()
+    before = config_state.build_config(
+        1, dict(document_parts.split(old)), empty
+    )
     parts = dict(document_parts.split(new))
-    return lambda: config_state.hold(2, parts, before)
+    return lambda: config_state.build_config(2, parts, before)
 
 
 def _apply_document(size: int) -> Work:
@@ -185,7 +187,7 @@
     decode = wire.decoder(rpc_data.ViewUpdate)
 
     def work() -> None:  # noqa: WPS430
-        known = view_merge.merge(view_merge.Known(), decode(raw))
+        known = view_merge.merge(view_merge.EntryState(), decode(raw))
         view_index.build(known.view)
 
     return work
@@ -193,7 +195,7 @@
 
 def _full_heartbeat(size: int) -> member_data.Heartbeat:
     table = member_tables.table_of(member_tables.members(size))
-    return member_data.Heartbeat(table.own, *membership.everything(table))
+    return member_data.Heartbeat(table.own, *membership.full_state(table))
 
 
 def _loads(size: int) -> rpc_data.ViewUpdate:
--- a/beryllug/bench/slopes/documents.py
+++ b/beryllug/bench/slopes/documents.py
@@ -10,7 +10,7 @@
 KEY = 'key-of-account-0'
 CONCURRENCY = 512
 VERSIONS = 18
-ROW = 250
+SUBNET_SIZE = 250
 COST_MICRO = 300
 TARGET_FIRST_TOKEN_MS = 20000
 TARGET_TOTAL_MS = 120000
@@ -71,7 +71,7 @@
     return tuple(
         view_data.BackendServer(
             f'runner-{number:05}',
-            f'127.0.{number // ROW}.{number % ROW + 1}:{port}',
+            f'127.0.{number // SUBNET_SIZE}.{number % SUBNET_SIZE + 1}:{port}',
             'zone-0',
             POOL,
             view_data.ServerState.LIVE,
--- a/beryllug/bench/slopes/entry_slope.py
+++ b/beryllug/bench/slopes/entry_slope.py
@@ -57,14 +57,14 @@
     requesting: list[_Sample]
 
 
-async def run(recorder: ledger.Ledger) -> None:
+async def run(recorder: ledger.Recorder) -> None:
     """Measure each size, with concurrent fleets."""
     recorder.section(
         f'an entry: {STREAMS} open streams, then {RATES} requests/s'
     )
     measured = await asyncio.gather(*map(_measure, STREAMS, RATES))
     streaming = [one.streaming for one in measured]
-    for row in STREAMING:
+    for row in STREAM_ROWS:
         _sweep(recorder, row, streaming)
     requesting = [one.requesting for one in measured]
     for row in REQUEST_ROWS:
@@ -81,7 +81,7 @@
     figure: Callable[[_Sample], float]
 
 
-STREAMING = (
+STREAM_ROWS = (
     _Row(
         'streams: processor time of the entry',
         'ms/s',
@@ -116,7 +116,7 @@
 
 
 def _sweep(
-    recorder: ledger.Ledger, row: _Row, measured: Sequence[list[_Sample]]
+    recorder: ledger.Recorder, row: _Row, measured: Sequence[list[_Sample]]
 ) -> None:
     points = [
         fit.Point(size, tuple(map(row.figure, samples)))
--- a/beryllug/bench/slopes/fit.py
+++ b/beryllug/bench/slopes/fit.py
@@ -17,11 +17,12 @@
 
     Attributes:
         size: The independent variable.
-        measured: The figure of each repeat; every size has as many repeats.
+        repeat_values: The figure of each repeat; every size has as many
+            repeats.
     """
 
     size: float
-    measured: tuple[float, ...]
+    repeat_values: tuple[float, ...]
 
 
 class Line(NamedTuple):
@@ -31,16 +32,16 @@
         slope: Median slope of the repeats, per unit of size.
         low: Smallest slope of a repeat.
         high: Largest slope of a repeat.
-        base: Median intercept of the repeats, the figure at size 0.
+        y_intercept: Median intercept of the repeats, the figure at size 0.
     """
 
     slope: float
     low: float
     high: float
-    base: float
+    y_intercept: float
 
 
-def line(points: Sequence[Point]) -> Line:
+def fit_line(points: Sequence[Point]) -> Line:
     """Fit a least-squares line to each repeat.
 
     Raises:
@@ -49,7 +50,7 @@
     if len({point.size for point in points}) < MIN_SIZES:
         raise ValueError(f'a slope needs {MIN_SIZES} distinct sizes')
     sizes = [point.size for point in points]
-    repeats = zip(*(point.measured for point in points), strict=True)
+    repeats = zip(*(point.repeat_values for point in points), strict=True)
     fits = [statistics.linear_regression(sizes, ys) for ys in repeats]
     slopes = [fitted.slope for fitted in fits]
     return Line(
@@ -60,6 +61,6 @@
     )
 
 
-def at(fitted: Line, size: float) -> float:
+def evaluate(fitted: Line, size: float) -> float:
     """Return the value of a line at a size."""
-    return fitted.base + fitted.slope * size
+    return fitted.y_intercept + fitted.slope * size
--- a/beryllug/bench/slopes/fit_test.py
+++ b/beryllug/bench/slopes/fit_test.py
@@ -49,7 +49,7 @@
         """The result has median, lowest and highest slope, and median base."""
         for title, rows, expected in LINES:
             with self.subTest(title):
-                fitted = fit.line(_points(rows))
+                fitted = fit.fit_line(_points(rows))
                 for got, wanted in zip(fitted, expected, strict=True):
                     self.assertAlmostEqual(got, wanted)
 
@@ -57,12 +57,12 @@
         """Fewer than three sizes, or a missing repeat, raise an error."""
         for title, rows in INVALID:
             with self.subTest(title), self.assertRaises(ValueError):
-                fit.line(_points(rows))
+                fit.fit_line(_points(rows))
 
     def test_at(self) -> None:
         """A line can be evaluated at a size that was not measured."""
-        fitted = fit.line(_points(LINES[0][1]))
-        self.assertAlmostEqual(fit.at(fitted, 890), 1783)
+        fitted = fit.fit_line(_points(LINES[0][1]))
+        self.assertAlmostEqual(fit.evaluate(fitted, 890), 1783)
 
 
 class LedgerTest(unittest.TestCase):
@@ -70,7 +70,7 @@
 
     def test_lines(self) -> None:
         """A sweep prints each size with its range, and the slope."""
-        recorder = ledger.Ledger()
+        recorder = ledger.Recorder()
         recorder.section('members')
         points = _points(LINES[1][1])
         recorder.sweep('processor time', 'ms/s', 'a member', points)
--- a/beryllug/bench/slopes/fleet_run.py
+++ b/beryllug/bench/slopes/fleet_run.py
@@ -45,7 +45,7 @@
         crashes: Windows with one report of a lost backend server.
         crash_report_ms: Time until a report of a lost server was answered,
             which is when all control processes know of it.
-        taken_ms: Time from the acceptance of a change until the last
+        applied_ms: Time from the acceptance of a change until the last
             process applied it.
         entries_reached_ms: Time from the acceptance of a change until it
             reached the last entry.
@@ -59,7 +59,7 @@
     changing: list[windows.Rates]
     crashes: list[windows.Rates]
     crash_report_ms: list[float]
-    taken_ms: list[float]
+    applied_ms: list[float]
     entries_reached_ms: list[float]
     resident: list[float]
     private: list[float]
@@ -88,11 +88,15 @@
 ) -> Measured:
     started = [spent_s * MS for spent_s in fleet.cpu_s()]
     await asyncio.sleep(SETTLE_S)
-    idle = [await windows.watch(fleet, WINDOW_S) for _ in range(REPEATS)]
+    idle = [
+        await windows.measure_window(fleet, WINDOW_S) for _ in range(REPEATS)
+    ]
     accepted: dict[int, float] = {}
     change = functools.partial(_change, fleet, accepted)
-    changing = [await windows.watch(fleet, 0, change) for _ in range(REPEATS)]
-    await entries.reached(fleet.revision)
+    changing = [
+        await windows.measure_window(fleet, 0, change) for _ in range(REPEATS)
+    ]
+    await entries.wait_for_revision(fleet.revision)
     applied = {name: fleet.applied_at(name) for name in fleet.names}
     resident = _memory_mb(fleet, process_stats.resident)
     private = _memory_mb(fleet, process_stats.private)
@@ -105,7 +109,7 @@
         crashes,
         crash_report_ms,
         delays_ms(accepted, applied),
-        delays_ms(accepted, entries.seen),
+        delays_ms(accepted, entries.received_at),
         resident,
         private,
     )
@@ -118,7 +122,8 @@
     crash_report_ms: list[float] = []
     report_crash = functools.partial(_report_crash, fleet, crash_report_ms)
     rates = [
-        await windows.watch(fleet, 0, report_crash) for _ in range(REPEATS)
+        await windows.measure_window(fleet, 0, report_crash)
+        for _ in range(REPEATS)
     ]
     return crash_report_ms, rates
 
--- a/beryllug/bench/slopes/fleet_slope.py
+++ b/beryllug/bench/slopes/fleet_slope.py
@@ -13,7 +13,7 @@
 SIZES = (8, 32, 100)
 WATCHERS = 2
 ALL_SIZES = (8, 16, 32)
-ALL = 0
+ALL_WATCH = 0
 PER = 'a process'
 CPU = 'processor time of a control'
 SENT = 'bytes that a control sends to others'
@@ -32,7 +32,7 @@
 IDLE: tuple[Row, ...] = (
     (CPU, 'ms/s', lambda rates: rates.cpu_ms),
     (f'{CPU}, the busiest', 'ms/s', lambda rates: max(rates.cpu)),
-    (SENT, 'B/s', lambda rates: rates.carried),
+    (SENT, 'B/s', lambda rates: rates.peer_bytes_per_s),
     ('packets that a control sends', '1/s', lambda rates: rates.packets),
     ('bytes to and from the platform', 'B/s', lambda rates: rates.platform),
     (READS, '1/s', _calls('read')),
@@ -41,19 +41,19 @@
 )
 CHANGE: tuple[Row, ...] = (
     (CPU, 'ms', lambda rates: rates.cpu_ms),
-    (SENT, 'B', lambda rates: rates.carried),
+    (SENT, 'B', lambda rates: rates.peer_bytes_per_s),
     (READS, 'calls', _calls('read')),
     ('platform writes, those of the apply too', 'calls', _calls('write')),
     (WATCHES, 'calls', _calls('watch')),
 )
 CRASH: tuple[Row, ...] = (
     ('processor time of its control', 'ms', lambda rates: rates.cpu[0]),
-    (SENT, 'B', lambda rates: rates.carried),
+    (SENT, 'B', lambda rates: rates.peer_bytes_per_s),
 )
 PLATFORM_ROWS = (READS, WATCHES)
 
 
-async def run(recorder: ledger.Ledger) -> None:
+async def run(recorder: ledger.Recorder) -> None:
     """Measure fleets with `WATCHERS` watchers per zone."""
     recorder.section(f'{SIZES} control processes, {WATCHERS} of a zone watch')
     if not sockets.available():
@@ -80,11 +80,11 @@
         _sweep(recorder, title, unit, measured, get)
 
 
-async def run_all_watch(recorder: ledger.Ledger) -> None:
+async def run_all_watch(recorder: ledger.Recorder) -> None:
     """Measure only platform calls, in fleets where all processes watch."""
     recorder.section(f'{ALL_SIZES} control processes, all watch')
     measured = await asyncio.gather(
-        *(fleet_run.measure(size, ALL) for size in ALL_SIZES)
+        *(fleet_run.measure(size, ALL_WATCH) for size in ALL_SIZES)
     )
     for title, unit, figure in IDLE:
         if title in PLATFORM_ROWS:
@@ -95,15 +95,15 @@
             _sweep(recorder, name, unit, measured, _change(figure))
 
 
-Get = Callable[[Measured], Sequence[float]]
+Getter = Callable[[Measured], Sequence[float]]
 
 
 def _sweep(
-    recorder: ledger.Ledger,
+    recorder: ledger.Recorder,
     name: str,
     unit: str,
     measured: Sequence[Measured],
-    get: Get,
+    get: Getter,
 ) -> None:
     points = [
         fit.Point(measurement.size, tuple(get(measurement)))
@@ -112,11 +112,11 @@
     recorder.sweep(name, unit, PER, points)
 
 
-def _idle(figure: Figure) -> Get:
+def _idle(figure: Figure) -> Getter:
     return lambda measurement: [figure(rates) for rates in measurement.idle]
 
 
-def _change(figure: Figure) -> Get:
+def _change(figure: Figure) -> Getter:
     """Return the cost of one change in excess of the idle rates."""
     return lambda measurement: [
         (figure(rates) - _idle_median(measurement, figure))
@@ -126,7 +126,7 @@
     ]
 
 
-def _crash(figure: Figure) -> Get:
+def _crash(figure: Figure) -> Getter:
     """Return the cost of one report in excess of the idle rates."""
     return lambda measurement: [
         (figure(rates) - _idle_median(measurement, figure)) * rates.seconds
@@ -138,12 +138,12 @@
     return statistics.median(figure(rates) for rates in measurement.idle)
 
 
-def _quartiles(get: Get) -> Get:
+def _quartiles(get: Getter) -> Getter:
     """Return the quartiles over the processes, used in place of repeats."""
     return lambda measurement: statistics.quantiles(get(measurement))
 
 
-PROCESSES: tuple[tuple[str, str, Get], ...] = (
+PROCESSES: tuple[tuple[str, str, Getter], ...] = (
     (
         'processor time of a control until all are ready',
         'ms',
@@ -160,10 +160,10 @@
         _quartiles(lambda measurement: measurement.private),
     ),
 )
-TIMES: tuple[tuple[str, Get], ...] = (
+TIMES: tuple[tuple[str, Getter], ...] = (
     (
         'one change: accepted until in force at the last control',
-        lambda measurement: sorted(measurement.taken_ms),
+        lambda measurement: sorted(measurement.applied_ms),
     ),
     (
         'one change: accepted until it reached the last entry',
--- a/beryllug/bench/slopes/followers.py
+++ b/beryllug/bench/slopes/followers.py
@@ -18,13 +18,13 @@
     """Simulates one entry process at each control process.
 
     Attributes:
-        seen: For each control process and revision, the wall-clock time in
-            seconds at which the first update with the revision arrived.
+        received_at: For each control process and revision, the wall-clock time
+            in seconds at which the first update with the revision arrived.
     """
 
     def __init__(self, fleet: controls.Controls) -> None:
         """Create a client for each control process; `start` begins to watch."""
-        self.seen: dict[str, dict[int, float]] = {}
+        self.received_at: dict[str, dict[int, float]] = {}
         keys = fleet_key.KeyRing((fleet_settings.FLEET_KEY,))
         self._clients = {
             name: rpc.RpcClient(host.control, keys)
@@ -46,18 +46,18 @@
         for client in self._clients.values():
             await client.close()
 
-    async def reached(self, revision: int) -> None:
+    async def wait_for_revision(self, revision: int) -> None:
         """Wait until every entry has a revision, up to `REACH_TIMEOUT_S`."""
         deadline = time.monotonic() + REACH_TIMEOUT_S
         while time.monotonic() < deadline:
-            if all(revision in seen for seen in self.seen.values()):
+            if all(revision in seen for seen in self.received_at.values()):
                 return
             await asyncio.sleep(POLL_S)
 
     async def _follow(self, name: str) -> None:
         """Watch one control process; reconnect when the stream ends."""
-        request = rpc_data.ViewAsk(f'entry-of-{name}', ZONE)
-        seen = self.seen.setdefault(name, {})
+        request = rpc_data.ViewRequest(f'entry-of-{name}', ZONE)
+        seen = self.received_at.setdefault(name, {})
         while True:
             updates = self._clients[name].stream(methods.WATCH_VIEW, request)
             with contextlib.suppress(rpc.RpcError):
--- a/beryllug/bench/slopes/heartbeat_slope.py
+++ b/beryllug/bench/slopes/heartbeat_slope.py
@@ -20,7 +20,7 @@
 PLAN = controls.Plan(documents.document(), CONTROLS)
 
 
-async def run(recorder: ledger.Ledger) -> None:
+async def run(recorder: ledger.Recorder) -> None:
     """Measure each interval, with concurrent fleets."""
     recorder.section(f'heartbeats every {INTERVALS_S} s, {CONTROLS} controls')
     measured = await asyncio.gather(*map(_measure, INTERVALS_S))
@@ -33,7 +33,10 @@
         (
             'bytes that a control sends to others',
             'B/s',
-            [[rates.carried for rates in repeats] for repeats in measured],
+            [
+                [rates.peer_bytes_per_s for rates in repeats]
+                for repeats in measured
+            ],
         ),
         (
             'packets that a control sends',
@@ -52,4 +55,7 @@
     settings = (*SETTINGS, f'heartbeat_s = {interval_s}')
     async with controls.running(PLAN._replace(settings=settings)) as fleet:
         await asyncio.sleep(SETTLE_S)
-        return [await windows.watch(fleet, WINDOW_S) for _ in range(REPEATS)]
+        return [
+            await windows.measure_window(fleet, WINDOW_S)
+            for _ in range(REPEATS)
+        ]
--- a/beryllug/bench/slopes/import_slope.py
+++ b/beryllug/bench/slopes/import_slope.py
@@ -37,7 +37,7 @@
     private: float
 
 
-async def run(recorder: ledger.Ledger) -> None:
+async def run(recorder: ledger.Recorder) -> None:
     """Measure the memory that each group of imports adds to those before."""
     recorder.section(
         'imports: resident memory, each group after those above it'
--- a/beryllug/bench/slopes/journal_kinds.py
+++ b/beryllug/bench/slopes/journal_kinds.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from beryllug.bench import journal_world
+from beryllug.bench import journal_harness
 from beryllug.core import (
     digest_index,
     journal,
@@ -13,13 +13,13 @@
 )
 from beryllug.drivers import wire
 
-Make = Callable[[], Any]
+StateFactory = Callable[[], Any]
 
 
-def tries(count: int) -> Make:
+def open_requests(count: int) -> StateFactory:
     """Return a builder of open non-idempotent requests."""
     raws = [
-        wire.encode(journal_world.intent(f'{number}'))
+        wire.encode(journal_harness.intent(f'{number}'))
         for number in range(count)
     ]
     decode = wire.decoder(journal_data.Row)
@@ -29,28 +29,28 @@
         for raw in raws:
             row = decode(raw)
             journal.begin(state, row, 0)
-            journal_log.committed(state, row, 1, 0)
+            journal_log.apply_committed(state, row, 1, 0)
         return state
 
     return make
 
 
-def bills(count: int) -> Make:
+def finished_requests(count: int) -> StateFactory:
     """Return a builder of finished requests without an idempotency key."""
-    outcome_row = journal_world.outcome(journal_world.intent('0'))
+    outcome_row = journal_harness.outcome(journal_harness.intent('0'))
 
     def make() -> Any:  # noqa: WPS430
         state = shard_state.ShardState()
         for number in range(count):
             name = f'{number}'
             row = outcome_row._replace(request_id=name, shard_key=name)
-            journal_log.committed(state, row, 1, 0)
+            journal_log.apply_committed(state, row, 1, 0)
         return state
 
     return make
 
 
-def sessions(count: int) -> Make:
+def sessions(count: int) -> StateFactory:
     """Return a builder of an index with positions of session records."""
 
     def make() -> Any:  # noqa: WPS430
--- a/beryllug/bench/slopes/journal_slope.py
+++ b/beryllug/bench/slopes/journal_slope.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Callable, Coroutine, Iterator
 
-from beryllug.bench import journal_world
+from beryllug.bench import journal_harness
 from beryllug.bench.slopes import (
     controls,
     documents,
@@ -27,14 +27,14 @@
 SETTLE_S = 20.0
 WINDOW_S = 3.0
 REPEATS = 3
-CALL_S = 8.0
+CALL_TIMEOUT_S = 8.0
 PER = 'a request a second'
 PLAN = controls.Plan(documents.document(), controls=1)
 
 Request = Callable[[rpc.RpcClient, str], Coroutine[None, None, None]]
 
 
-async def run(recorder: ledger.Ledger) -> None:
+async def run(recorder: ledger.Recorder) -> None:
     """Measure each kind of request and rate with one and two controls."""
     recorder.section(f'journal rows, {RATES} requests/s, one row a message')
     alone, pair = await asyncio.gather(_measure(1), _measure(2))
@@ -42,22 +42,24 @@
         _show(recorder, kind, alone[kind], pair[kind])
 
 
-async def bill(client: rpc.RpcClient, name: str) -> None:
+async def write_outcome(client: rpc.RpcClient, name: str) -> None:
     """Write the outcome of an idempotent request."""
-    row = journal_world.outcome(journal_world.intent(name))
+    row = journal_harness.outcome(journal_harness.intent(name))
     batch = rpc_data.OutcomeBatch((row,))
-    await client.call(methods.FINISH, batch, CALL_S)
+    await client.call(methods.FINISH, batch, CALL_TIMEOUT_S)
 
 
 async def write_intent_and_outcome(client: rpc.RpcClient, name: str) -> None:
     """Write the intent and then the outcome of a non-idempotent request."""
-    row = journal_world.intent(name)
-    await client.call(methods.BEGIN, rpc_data.IntentBatch((row,)), CALL_S)
-    await bill(client, name)
+    row = journal_harness.intent(name)
+    await client.call(
+        methods.BEGIN, rpc_data.IntentBatch((row,)), CALL_TIMEOUT_S
+    )
+    await write_outcome(client, name)
 
 
 KINDS: tuple[tuple[str, Request], ...] = (
-    ('bill only', bill),
+    ('bill only', write_outcome),
     ('intent and bill', write_intent_and_outcome),
 )
 
@@ -107,11 +109,11 @@
             tasks.append(asyncio.create_task(work))
         await asyncio.gather(*tasks)
 
-    return await windows.watch(fleet, 0, send)
+    return await windows.measure_window(fleet, 0, send)
 
 
 def _show(
-    recorder: ledger.Ledger,
+    recorder: ledger.Recorder,
     kind: str,
     alone: list[list[windows.Rates]],
     pair: list[list[windows.Rates]],
--- a/beryllug/bench/slopes/lease_slope.py
+++ b/beryllug/bench/slopes/lease_slope.py
@@ -25,7 +25,7 @@
 PLAN = controls.Plan(documents.document(), CONTROLS)
 
 
-async def run(recorder: ledger.Ledger) -> None:
+async def run(recorder: ledger.Recorder) -> None:
     """Measure each number of shards, with concurrent fleets."""
     recorder.section(f'leases of {SHARDS} shards, {CONTROLS} controls, idle')
     measured = await asyncio.gather(*map(_measure, SHARDS))
@@ -49,7 +49,10 @@
     settings = ('watchers = 2', f'shards = {shards}')
     async with controls.running(PLAN._replace(settings=settings)) as fleet:
         await asyncio.sleep(SETTLE_S)
-        samples = [await windows.watch(fleet, WINDOW_S) for _ in range(REPEATS)]
+        samples = [
+            await windows.measure_window(fleet, WINDOW_S)
+            for _ in range(REPEATS)
+        ]
         resident = [process_stats.resident(pid) / MB for pid in fleet.pids()]
     return [
         tuple(rates.cpu_ms for rates in samples),
--- a/beryllug/bench/slopes/ledger.py
+++ b/beryllug/bench/slopes/ledger.py
@@ -7,11 +7,11 @@
 
 from beryllug.bench.slopes import fit
 
-DIGITS = 4
+SIGNIFICANT_DIGITS = 4
 
 
 @dataclass(slots=True)
-class Ledger:
+class Recorder:
     """Lines of text in the order in which they were added."""
 
     _lines: list[str] = field(default_factory=list)
@@ -35,9 +35,9 @@
         Returns:
             The fitted line.
         """
-        fitted = fit.line(points)
+        fitted = fit.fit_line(points)
         sizes = '  '.join(
-            f'{point.size:g}: {_format_range(point.measured)}'
+            f'{point.size:g}: {_format_range(point.repeat_values)}'
             for point in points
         )
         slope_range = f'{_format(fitted.low)}..{_format(fitted.high)}'
@@ -45,7 +45,7 @@
         self._append(f'    {sizes}')
         self._append(
             f'    slope {_format(fitted.slope)} ({slope_range}) {unit} {per}; '
-            f'{_format(fitted.base)} at none'
+            f'{_format(fitted.y_intercept)} at none'
         )
         return fitted
 
@@ -73,4 +73,4 @@
 
 
 def _format(number: float) -> str:
-    return f'{number:.{DIGITS}g}'
+    return f'{number:.{SIGNIFICANT_DIGITS}g}'
--- a/beryllug/bench/slopes/member_slope.py
+++ b/beryllug/bench/slopes/member_slope.py
@@ -17,32 +17,32 @@
 # Smaller sizes, as each lost member takes work in every other table.
 ZONE_LOSS_SIZES = (20, 100, 300)
 SEED = 7
-BEAT_S = 1.0
+HEARTBEAT_S = 1.0
 MAX_ROUNDS = 200
 ZONE_DIVISOR = 20
 PER = 'a process'
 
 Tables = dict[str, membership.Table]
-Knows = Callable[[membership.Table], bool]
+Predicate = Callable[[membership.Table], bool]
 
 
-class Spread(NamedTuple):
+class Propagation(NamedTuple):
     """How a change was disseminated.
 
     Attributes:
         rounds: Rounds until all processes had learned of it.
         sent: Mean bytes that a process sent, over all rounds until no table
             had news to send.
-        unlike: Sum over the rounds of the fraction of processes whose probe
+        mismatched: Sum over the rounds of the fraction of processes whose probe
             connected two processes of which only one knew of the change.
     """
 
     rounds: int
     sent: float
-    unlike: float
+    mismatched: float
 
 
-async def run(recorder: ledger.Ledger) -> None:
+async def run(recorder: ledger.Recorder) -> None:
     """Simulate a restart and the loss of a zone at each size."""
     recorder.section(f'membership of {SIZES} processes, replayed')
     restarts = [restart(size) for size in SIZES]
@@ -65,7 +65,7 @@
         'a restart: sum over rounds of the part of probes between unlike ends',
         'rounds',
         SIZES,
-        [found.unlike for found in restarts],
+        [found.mismatched for found in restarts],
     )
     losses = [fail_zone(size) for size in ZONE_LOSS_SIZES]
     _sweep(
@@ -85,7 +85,7 @@
 
 
 def _sweep(
-    recorder: ledger.Ledger,
+    recorder: ledger.Recorder,
     name: str,
     unit: str,
     sizes: Sequence[int],
@@ -97,7 +97,7 @@
     recorder.sweep(name, unit, PER, points)
 
 
-def restart(size: int) -> Spread:
+def restart(size: int) -> Propagation:
     """Simulate the restart of one process."""
     tables = member_tables.tables(size)
     name = member_tables.name_of(0)
@@ -112,7 +112,7 @@
     return _Replay(tables, frozenset()).run(has_learned)
 
 
-def fail_zone(size: int) -> Spread:
+def fail_zone(size: int) -> Propagation:
     """Simulate the simultaneous loss of all processes of one zone."""
     tables = member_tables.tables(size)
     failed = frozenset(
@@ -135,7 +135,7 @@
 
     Attributes:
         sent: Bytes of news that were sent.
-        unlike: Probes between two processes of which only one knew of the
+        mismatched: Probes between two processes of which only one knew of the
             change.
     """
 
@@ -145,11 +145,11 @@
         self._tables = tables
         self._failed = failed
         self.sent = 0
-        self.unlike = 0
+        self.mismatched = 0
         for table in tables.values():
             table.round = self._rng.randrange(MAX_ROUNDS)
 
-    def run(self, has_learned: Knows) -> Spread:
+    def run(self, has_learned: Predicate) -> Propagation:
         """Run rounds until all know of the change and no news is left."""
         rounds = 0
         count = len(self._tables)
@@ -162,10 +162,10 @@
                 rounds = number
             elif not any(table.sends for table in self._tables.values()):
                 break
-            self._round(informed, number * BEAT_S)
-        return Spread(rounds, self.sent / count, self.unlike / count)
+            self._round(informed, number * HEARTBEAT_S)
+        return Propagation(rounds, self.sent / count, self.mismatched / count)
 
-    def _has_learned(self, has_learned: Knows) -> Callable[[str], bool]:
+    def _has_learned(self, has_learned: Predicate) -> Callable[[str], bool]:
         return lambda name: has_learned(self._tables[name])
 
     def _round(self, informed: frozenset[str], now: float) -> None:
@@ -176,8 +176,8 @@
             target = membership.next_target(table)
             if target is not None:
                 self._probe(table, target.name, now)
-                self.unlike += len(informed & {name, target.name}) == 1
-            membership.expire(table, BEAT_S, now)
+                self.mismatched += len(informed & {name, target.name}) == 1
+            membership.expire(table, HEARTBEAT_S, now)
 
     def _probe(self, table: membership.Table, target: str, now: float) -> None:
         if target in self._failed:
@@ -198,7 +198,7 @@
 
 
 def _heartbeat(table: membership.Table, receiver: str) -> member_data.Heartbeat:
-    news, notes = membership.take_news(table, receiver)
+    news, notes = membership.pop_updates(table, receiver)
     return member_data.Heartbeat(table.own, news, notes)
 
 
--- a/beryllug/bench/slopes/member_tables.py
+++ b/beryllug/bench/slopes/member_tables.py
@@ -47,7 +47,7 @@
         name: membership.Table(
             own=by_name[name],
             known={
-                member.name: membership.Known(member, 0)
+                member.name: membership.MemberEntry(member, 0)
                 for member in known
                 if member.name != name
             },
--- a/beryllug/bench/slopes/parties.py
+++ b/beryllug/bench/slopes/parties.py
@@ -13,7 +13,7 @@
 START_S = 30.0
 
 
-class Party(NamedTuple):
+class StandInProcess(NamedTuple):
     """A running stand-in process."""
 
     process: asyncio.subprocess.Process
@@ -21,7 +21,7 @@
     control: str
 
 
-async def start(kind: str, **options: object) -> Party:
+async def start(kind: str, **options: object) -> StandInProcess:
     """Start a stand-in with `standins.serve` and wait until it is serving.
 
     Args:
@@ -43,17 +43,17 @@
     async with asyncio.timeout(START_S):
         ready = await process.stdout.readline()
     _, address, control = ready.decode().split()
-    return Party(process, address, control)
+    return StandInProcess(process, address, control)
 
 
-async def stop(party: Party) -> None:
+async def stop(party: StandInProcess) -> None:
     """Terminate a stand-in and wait for its exit."""
     party.process.terminate()
     await party.process.wait()
 
 
 async def record(
-    client: http_client.HttpClient, party: Party
+    client: http_client.HttpClient, party: StandInProcess
 ) -> dict[str, Any]:
     """Return what a stand-in has recorded so far."""
     outgoing = http_data.Outgoing('GET', '/record', {})
--- a/beryllug/bench/slopes/process_stats.py
+++ b/beryllug/bench/slopes/process_stats.py
@@ -4,7 +4,7 @@
 import time
 from pathlib import Path
 
-PAGE = os.sysconf('SC_PAGE_SIZE')
+PAGE_SIZE = os.sysconf('SC_PAGE_SIZE')
 CPUCLOCK_BITS = 3
 CPUCLOCK_SCHED = 2
 
@@ -22,7 +22,7 @@
 def resident(pid: int) -> int:
     """Return the resident memory of a process, in bytes."""
     fields = Path(f'/proc/{pid}/statm').read_text(encoding='ascii').split()
-    return int(fields[1]) * PAGE
+    return int(fields[1]) * PAGE_SIZE
 
 
 def private(pid: int) -> int:
@@ -32,4 +32,4 @@
     a host share.
     """
     fields = Path(f'/proc/{pid}/statm').read_text(encoding='ascii').split()
-    return (int(fields[1]) - int(fields[2])) * PAGE
+    return (int(fields[1]) - int(fields[2])) * PAGE_SIZE
--- a/beryllug/bench/slopes/reports.py
+++ b/beryllug/bench/slopes/reports.py
@@ -65,8 +65,8 @@
     rollout_record = rollout.begin(ROLLOUT, accounts, None)
     for number in range(entries):
         evidence = report(entry_name(number), 1, accounts)
-        rollout_record = rollout.absorb(
+        rollout_record = rollout.include_report(
             rollout_record, ROLLOUT, evidence, number
         )
-        rollout_record = rollout.deal(rollout_record, ROLLOUT, number)
+        rollout_record = rollout.allocate(rollout_record, ROLLOUT, number)
     return rollout_record
--- a/beryllug/bench/slopes/rollout_slope.py
+++ b/beryllug/bench/slopes/rollout_slope.py
@@ -22,8 +22,8 @@
 SETTLE_S = 15.0
 WINDOW_S = 5.0
 REPEATS = 3
-REPORT_EVERY_S = 0.25
-REPORT_S = 3.0
+REPORT_INTERVAL_S = 0.25
+REPORT_TIMEOUT_S = 3.0
 ACCOUNTS = 2
 PER = 'a process'
 SETTINGS = ('watchers = 2', 'shards = 1')
@@ -43,7 +43,7 @@
     (
         'bytes that a control sends to others',
         'B/s',
-        lambda rates: rates.carried,
+        lambda rates: rates.peer_bytes_per_s,
     ),
     (
         'bytes of all to and from the platform',
@@ -58,7 +58,7 @@
 )
 
 
-async def run(recorder: ledger.Ledger) -> None:
+async def run(recorder: ledger.Recorder) -> None:
     """Measure each size, with concurrent fleets."""
     recorder.section(f'a roll-out, {SIZES} controls with a busy entry each')
     measured = await asyncio.gather(*map(_measure, SIZES))
@@ -81,7 +81,10 @@
             for number, client in enumerate(clients)
         ]
         await asyncio.sleep(WINDOW_S)
-        rates = [await windows.watch(fleet, WINDOW_S) for _ in range(REPEATS)]
+        rates = [
+            await windows.measure_window(fleet, WINDOW_S)
+            for _ in range(REPEATS)
+        ]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -93,11 +96,11 @@
     """Send reports until cancelled; resend a report that was not accepted."""
     sequence = 1
     while True:
-        await asyncio.sleep(REPORT_EVERY_S)
+        await asyncio.sleep(REPORT_INTERVAL_S)
         evidence_report = reports.report(entry, sequence, ACCOUNTS)
         try:
             reply = await client.call(
-                methods.EVIDENCE, evidence_report, REPORT_S
+                methods.EVIDENCE, evidence_report, REPORT_TIMEOUT_S
             )
         except rpc.RpcError:
             continue
--- a/beryllug/bench/slopes/runner_slope.py
+++ b/beryllug/bench/slopes/runner_slope.py
@@ -46,7 +46,7 @@
     link: sockets.Connections
 
 
-async def run(recorder: ledger.Ledger) -> None:
+async def run(recorder: ledger.Recorder) -> None:
     """Measure each number of runners, with concurrent fleets."""
     recorder.section(f'{RUNNERS} runners, a control and its entry, no requests')
     measured = await asyncio.gather(*map(_measure, RUNNERS))
@@ -77,11 +77,11 @@
     before = await _read_counters(fleet)
     await asyncio.sleep(WINDOW_S)
     after = await _read_counters(fleet)
-    link = sockets.between(before.link, after.link)
+    link = sockets.traffic_between(before.link, after.link)
     return (
         (after.control_s - before.control_s) * MS / WINDOW_S,
         (after.entry_s - before.entry_s) * MS / WINDOW_S,
-        link.carried / WINDOW_S,
+        link.byte_count / WINDOW_S,
         process_stats.resident(fleet.pids()[0]) / MB,
         process_stats.resident(_entry(fleet)) / MB,
     )
--- a/beryllug/bench/slopes/sockets.py
+++ b/beryllug/bench/slopes/sockets.py
@@ -21,12 +21,12 @@
 class Traffic(NamedTuple):
     """Bytes and packets of connections, in both directions."""
 
-    carried: int = 0
+    byte_count: int = 0
     packets: int = 0
 
 
-Ends = tuple[str, str]
-Connections = Mapping[Ends, Traffic]
+Endpoints = tuple[str, str]
+Connections = Mapping[Endpoints, Traffic]
 
 
 def available() -> bool:
@@ -59,7 +59,9 @@
     return found
 
 
-def on(connections: Connections, ports: Collection[int]) -> Connections:
+def accepted_on(
+    connections: Connections, ports: Collection[int]
+) -> Connections:
     """Return those connections that were accepted on the given ports."""
     return {
         ends: traffic
@@ -68,12 +70,12 @@
     }
 
 
-def between(before: Connections, after: Connections) -> Traffic:
+def traffic_between(before: Connections, after: Connections) -> Traffic:
     """Return the traffic of the connections between two readings."""
     zero = Traffic()
     pairs = [(now, before.get(ends, zero)) for ends, now in after.items()]
     return Traffic(
-        sum(now.carried - then.carried for now, then in pairs),
+        sum(now.byte_count - then.byte_count for now, then in pairs),
         sum(now.packets - then.packets for now, then in pairs),
     )
 
--- a/beryllug/bench/slopes/state_kinds.py
+++ b/beryllug/bench/slopes/state_kinds.py
@@ -28,10 +28,10 @@
 )
 from beryllug.drivers import wire
 
-Make = Callable[[], Any]
+StateFactory = Callable[[], Any]
 SMALL = (100, 400, 1600)
 LARGE = (5000, 20000, 80000)
-FEW = (8, 80, 890)
+PROCESS_COUNTS = (8, 80, 890)
 PORT = 8000
 ENTRY = 'entry-0'
 ZONE = 'zone-0'
@@ -42,27 +42,27 @@
 
     title: str
     sizes: tuple[int, ...]
-    build: Callable[[int], Make]
+    build: Callable[[int], StateFactory]
 
 
-def _config(document: config_data.Document) -> Make:
-    return lambda: config_state.hold(
-        1, dict(document_parts.split(document)), config_state.Held()
+def _config(document: config_data.Document) -> StateFactory:
+    return lambda: config_state.build_config(
+        1, dict(document_parts.split(document)), config_state.ProcessConfig()
     )
 
 
-def _view(update: rpc_data.ViewUpdate) -> Make:
+def _view(update: rpc_data.ViewUpdate) -> StateFactory:
     raw = wire.encode(update)
     decode = wire.decoder(rpc_data.ViewUpdate)
 
     def make() -> Any:  # noqa: WPS430
-        known = view_merge.merge(view_merge.Known(), decode(raw))
+        known = view_merge.merge(view_merge.EntryState(), decode(raw))
         return known, view_index.build(known.view)
 
     return make
 
 
-def _control_servers(count: int) -> Make:
+def _control_servers(count: int) -> StateFactory:
     raw = wire.encode((documents.servers(count, PORT), documents.loads(count)))
     decode = wire.decoder(
         tuple[
@@ -73,7 +73,7 @@
     return lambda: decode(raw)
 
 
-def _entry_servers(count: int) -> Make:
+def _entry_servers(count: int) -> StateFactory:
     update = rpc_data.ViewUpdate(
         1,
         document=documents.document(),
@@ -85,20 +85,20 @@
     def make() -> Any:  # noqa: WPS430
         known, index = view()
         state = balance_data.BalanceState()
-        server_load.report(state, known.view.loads, 0)
+        server_load.apply_reports(state, known.view.loads, 0)
         fleet = balance.build_fleet(known.view, ENTRY, ZONE)
         return known, index, state, fleet
 
     return make
 
 
-def _members(count: int) -> Make:
+def _members(count: int) -> StateFactory:
     raw = wire.encode(member_tables.members(count))
     decode = wire.decoder(tuple[member_data.Member, ...])
     return lambda: member_tables.table_of(decode(raw))
 
 
-def _rollouts(count: int) -> Make:
+def _rollouts(count: int) -> StateFactory:
     raw = wire.encode(reports.record(count))
     decode = wire.decoder(type(reports.record(1)))
     return lambda: decode(raw)
@@ -116,19 +116,19 @@
         lambda count: _config(documents.document(versions=count)),
     ),
     Kind('control: a backend server and its load', SMALL, _control_servers),
-    Kind('control: a control process in the table', FEW, _members),
+    Kind('control: a control process in the table', PROCESS_COUNTS, _members),
     Kind(
         'control, owner: an open request that may not repeat',
         SMALL,
-        journal_kinds.tries,
+        journal_kinds.open_requests,
     ),
     Kind(
         'control, owner: a remembered request without a key',
         LARGE,
-        journal_kinds.bills,
+        journal_kinds.finished_requests,
     ),
     Kind('control, owner: a session record', LARGE, journal_kinds.sessions),
-    Kind('control, judge: an entry in a roll-out', FEW, _rollouts),
+    Kind('control, judge: an entry in a roll-out', PROCESS_COUNTS, _rollouts),
     Kind(
         'entry: a client account of the document',
         SMALL,
--- a/beryllug/bench/slopes/state_slope.py
+++ b/beryllug/bench/slopes/state_slope.py
@@ -9,7 +9,7 @@
 import tracemalloc
 from collections.abc import Sequence
 
-from beryllug.bench import journal_world
+from beryllug.bench import journal_harness
 from beryllug.bench.slopes import fit, ledger, reports, state_kinds
 from beryllug.core import rollout_data
 from beryllug.drivers import wire
@@ -19,7 +19,7 @@
 ACCOUNTS = (1, 16, 64)
 
 
-async def run(recorder: ledger.Ledger) -> None:
+async def run(recorder: ledger.Recorder) -> None:
     """Measure every kind of state, and the size of stored records."""
     recorder.section('state: memory of one more of it')
     for title, sizes, build in state_kinds.KINDS:
@@ -27,8 +27,8 @@
             fit.Point(size, (_allocated_kb(build(size)),)) for size in sizes
         ]
         recorder.sweep(title, 'KB', 'each', points)
-    intent = journal_world.intent('1')
-    outcome_row = journal_world.outcome(intent)
+    intent = journal_harness.intent('1')
+    outcome_row = journal_harness.outcome(intent)
     for name, row in (('an intent', intent), ('a bill', outcome_row)):
         recorder.figure(
             f'bytes in the log: {name}', 'B', [len(wire.encode(row))]
@@ -40,7 +40,7 @@
 
 
 def _sweep_bytes(
-    recorder: ledger.Ledger,
+    recorder: ledger.Recorder,
     per: str,
     sizes: Sequence[int],
     records: Sequence[rollout_data.Record],
@@ -52,7 +52,7 @@
     recorder.sweep(f'bytes of a roll-out record, by {per}', 'B', 'each', points)
 
 
-def _allocated_kb(make: state_kinds.Make) -> float:
+def _allocated_kb(make: state_kinds.StateFactory) -> float:
     """Return the KB that stay allocated for the state a function creates."""
     gc.collect()
     tracemalloc.start()
--- a/beryllug/bench/slopes/windows.py
+++ b/beryllug/bench/slopes/windows.py
@@ -18,8 +18,8 @@
     Attributes:
         seconds: Length of the window.
         cpu: Processor time of each control process, ms per second.
-        carried: Bytes per second at the ports of the control processes, per
-            process.
+        peer_bytes_per_s: Bytes per second at the ports of the control
+            processes, per process.
         packets: Packets per second at these ports, per process.
         platform: Bytes per second between a control process and the object
             API, on average over the control processes.
@@ -29,7 +29,7 @@
 
     seconds: float
     cpu: tuple[float, ...]
-    carried: float
+    peer_bytes_per_s: float
     packets: float
     platform: float
     calls: dict[str, float]
@@ -50,7 +50,7 @@
     calls: dict[str, int]
 
 
-async def watch(
+async def measure_window(
     fleet: controls.Controls,
     seconds: float,
     work: Callable[[], Awaitable[object]] | None = None,
@@ -78,8 +78,8 @@
     return _Counters(
         time.monotonic(),
         fleet.cpu_s(),
-        sockets.on(connections, own),
-        sockets.on(connections, platform),
+        sockets.accepted_on(connections, own),
+        sockets.accepted_on(connections, platform),
         await fleet.calls(),
     )
 
@@ -90,16 +90,16 @@
         (now - then) * MS / elapsed_s
         for now, then in zip(after.cpu, before.cpu)
     )
-    peers = sockets.between(before.peers, after.peers)
-    platform = sockets.between(before.platform, after.platform)
+    peers = sockets.traffic_between(before.peers, after.peers)
+    platform = sockets.traffic_between(before.platform, after.platform)
     control_seconds = elapsed_s * len(cpu_ms_per_s)
     calls = Counter(after.calls)
     calls.subtract(before.calls)
     return Rates(
         elapsed_s,
         cpu_ms_per_s,
-        peers.carried / control_seconds,
+        peers.byte_count / control_seconds,
         peers.packets / control_seconds,
-        platform.carried / control_seconds,
+        platform.byte_count / control_seconds,
         {kind: made / elapsed_s for kind, made in calls.items()},
     )
--- a/beryllug/checks/accounts.py
+++ b/beryllug/checks/accounts.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from beryllug.checks import places
+from beryllug.checks import finding_helpers
 from beryllug.core import config_data, finding
 
 Findings = Iterator[finding.Finding]
@@ -13,13 +13,13 @@
     for index, account in enumerate(document.accounts):
         if not (account.allowed or account.services):
             reason = 'may use no version and no service'
-            yield places.report(f'accounts[{index}]', reason)
+            yield finding_helpers.make_finding(f'accounts[{index}]', reason)
 
 
 def check_allowed(document: config_data.Document) -> Findings:
     """Report a version that is listed twice in an account's `allowed`."""
     for account_index, account in enumerate(document.accounts):
-        yield from places.repeats(
+        yield from finding_helpers.report_duplicates(
             (
                 (
                     f'accounts[{account_index}].allowed[{ref_index}]',
--- a/beryllug/checks/cascades.py
+++ b/beryllug/checks/cascades.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from beryllug.checks import places
+from beryllug.checks import finding_helpers
 from beryllug.core import config_data, finding
 
 Findings = Iterator[finding.Finding]
@@ -19,11 +19,13 @@
             (f'{path}[{inner_index}]', name)
             for inner_index, name in enumerate(cascade.stages)
         ]
-        yield from places.repeats(stages, 'stage')
-        yield from places.unknown(stages, {*models, *cascades}, 'model')
+        yield from finding_helpers.report_duplicates(stages, 'stage')
+        yield from finding_helpers.report_undeclared(
+            stages, {*models, *cascades}, 'model'
+        )
         for stage_path, name in stages:
             if name in cascades:
-                yield places.report(
+                yield finding_helpers.make_finding(
                     stage_path, _nesting_reason(cascade.name, name, cascades)
                 )
 
@@ -43,7 +45,7 @@
             if cost < highest_cost:
                 path = f'cascades[{outer_index}].stages[{inner_index}]'
                 reason = f'model {name!r} is cheaper than a stage before it'
-                yield places.report(path, reason)
+                yield finding_helpers.make_finding(path, reason)
             highest_cost = max(cost, highest_cost)
 
 
@@ -68,7 +70,7 @@
                     f'cascade {name!r} ends in model {stages[-1]!r}, of which '
                     'the account may use no version'
                 )
-                yield places.report(path, reason)
+                yield finding_helpers.make_finding(path, reason)
 
 
 def _nesting_reason(
@@ -96,7 +98,7 @@
 def _least_cost(document: config_data.Document, model: str) -> int | None:
     costs = (
         version.cost_micro
-        for _, version in places.versions(document)
+        for _, version in finding_helpers.versions(document)
         if version.ref.model == model and not version.withdrawn
     )
     return min(costs, default=None)
@@ -105,7 +107,9 @@
 def _is_allowed(
     document: config_data.Document, account: config_data.Account, model: str
 ) -> bool:
-    allowed_versions = places.covered(document, account, model)
+    allowed_versions = finding_helpers.find_allowed_versions(
+        document, account, model
+    )
     declared = any(
         declared_model.name == model for declared_model in document.models
     )
--- a/beryllug/checks/places.py
+++ b/beryllug/checks/finding_helpers.py
@@ -6,12 +6,12 @@
 from beryllug.core import config_data, finding
 
 
-def report(path: str, reason: str) -> finding.Finding:
+def make_finding(path: str, reason: str) -> finding.Finding:
     """Return a finding in the document being validated."""
     return finding.Finding('document', path, reason)
 
 
-def repeats(
+def report_duplicates(
     names: Iterable[tuple[str, str]], kind: str
 ) -> Iterator[finding.Finding]:
     """Report names that are declared more than once.
@@ -24,10 +24,12 @@
     counts = Counter(name for _, name in declarations)
     for path, name in declarations:
         if counts[name] > 1:
-            yield report(path, f'{kind} {name!r} is declared more than once')
+            yield make_finding(
+                path, f'{kind} {name!r} is declared more than once'
+            )
 
 
-def unknown(
+def report_undeclared(
     names: Iterable[tuple[str, str]], known: Iterable[str], kind: str
 ) -> Iterator[finding.Finding]:
     """Report names that are not declared.
@@ -40,7 +42,7 @@
     declared = set(known)
     for path, name in names:
         if name not in declared:
-            yield report(path, f'{kind} {name!r} is not declared')
+            yield make_finding(path, f'{kind} {name!r} is not declared')
 
 
 def versions(
@@ -52,7 +54,7 @@
             yield f'models[{model_index}].versions[{version_index}]', version
 
 
-def covered(
+def find_allowed_versions(
     document: config_data.Document, account: config_data.Account, model: str
 ) -> tuple[config_data.Version, ...]:
     """Return the versions of a model that an account is allowed to use."""
--- a/beryllug/checks/judge.py
+++ b/beryllug/checks/judge.py
@@ -13,7 +13,7 @@
 from beryllug.parsing import document
 
 Findings = list[finding.Finding]
-Judged = tuple[config_data.Document | None, Findings]
+ValidationResult = tuple[config_data.Document | None, Findings]
 
 
 def schema() -> dict[str, Any]:
@@ -21,7 +21,7 @@
     return document.schema()
 
 
-def judge(text: str | bytes, source: str) -> Judged:
+def judge(text: str | bytes, source: str) -> ValidationResult:
     """Parse and validate one document.
 
     Args:
@@ -38,7 +38,7 @@
     return (None, findings) if findings else (parsed, [])
 
 
-def judge_files(texts: Mapping[str, str], source: str) -> Judged:
+def judge_files(texts: Mapping[str, str], source: str) -> ValidationResult:
     """Parse and validate a document that is split into several files.
 
     Each file has some of the sections; lists of the same section are
--- a/beryllug/checks/names.py
+++ b/beryllug/checks/names.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from beryllug.checks import places
+from beryllug.checks import finding_helpers
 from beryllug.core import config_data, finding
 
 Findings = Iterator[finding.Finding]
@@ -16,7 +16,7 @@
         ('services', 'name'),
         ('targets', 'request_class'),
     ):
-        yield from places.repeats(
+        yield from finding_helpers.report_duplicates(
             (
                 (f'{section}[{index}].{field}', getattr(record, field))
                 for index, record in enumerate(getattr(document, section))
@@ -35,15 +35,17 @@
         (f'cascades[{index}].name', cascade.name)
         for index, cascade in enumerate(document.cascades)
     ]
-    yield from places.repeats([*models, *cascades], 'model or cascade')
+    yield from finding_helpers.report_duplicates(
+        [*models, *cascades], 'model or cascade'
+    )
 
 
 def check_versions(document: config_data.Document) -> Findings:
     """Report a version that a model declares twice."""
-    yield from places.repeats(
+    yield from finding_helpers.report_duplicates(
         (
             (f'{path}.version', f'{version.ref.model}/{version.ref.version}')
-            for path, version in places.versions(document)
+            for path, version in finding_helpers.versions(document)
         ),
         'version',
     )
@@ -52,7 +54,7 @@
 def check_operations(document: config_data.Document) -> Findings:
     """Report an operation that a service declares twice."""
     for outer_index, service in enumerate(document.services):
-        yield from places.repeats(
+        yield from finding_helpers.report_duplicates(
             (
                 (
                     f'services[{outer_index}].operations[{inner_index}]',
@@ -70,7 +72,7 @@
     A caller is identified by its key alone. With the same key in two accounts,
     its requests could be billed to either and use the permissions of either.
     """
-    yield from places.repeats(
+    yield from finding_helpers.report_duplicates(
         (
             (f'accounts[{outer_index}].key_hashes[{inner_index}]', key_hash)
             for outer_index, account in enumerate(document.accounts)
--- a/beryllug/checks/references.py
+++ b/beryllug/checks/references.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Iterator
 
-from beryllug.checks import places
+from beryllug.checks import finding_helpers
 from beryllug.core import config_data, finding
 
 Findings = Iterator[finding.Finding]
@@ -13,14 +13,16 @@
     """Report pools that are not declared or are of the wrong kind."""
     engines = [
         (f'{path}.pool', version.pool)
-        for path, version in places.versions(document)
+        for path, version in finding_helpers.versions(document)
     ]
     services = [
         (f'services[{index}].pool', service.pool)
         for index, service in enumerate(document.services)
     ]
     known = [pool.name for pool in document.pools]
-    yield from places.unknown([*engines, *services], known, 'pool')
+    yield from finding_helpers.report_undeclared(
+        [*engines, *services], known, 'pool'
+    )
     yield from _wrong_kind(document, engines, config_data.PoolKind.ENGINE)
     yield from _wrong_kind(document, services, config_data.PoolKind.PLAIN)
 
@@ -29,20 +31,20 @@
     """Report allowed models and versions that are not declared."""
     models = {model.name for model in document.models}
     declared_versions = {
-        version.ref for _, version in places.versions(document)
+        version.ref for _, version in finding_helpers.versions(document)
     }
     for account_index, account in enumerate(document.accounts):
         for ref_index, ref in enumerate(account.allowed):
             path = f'accounts[{account_index}].allowed[{ref_index}]'
             if ref.model not in models:
                 reason = f'model {ref.model!r} is not declared'
-                yield places.report(f'{path}.model', reason)
+                yield finding_helpers.make_finding(f'{path}.model', reason)
             elif (
                 ref.version != config_data.ANY_VERSION
                 and ref not in declared_versions
             ):
                 reason = f'model {ref.model!r} has no version {ref.version!r}'
-                yield places.report(f'{path}.version', reason)
+                yield finding_helpers.make_finding(f'{path}.version', reason)
 
 
 def check_account_names(document: config_data.Document) -> Findings:
@@ -52,16 +54,20 @@
     for index, account in enumerate(document.accounts):
         path = f'accounts[{index}]'
         cascade_refs = _references(f'{path}.cascades', account.cascades)
-        yield from places.unknown(cascade_refs, cascades, 'cascade')
+        yield from finding_helpers.report_undeclared(
+            cascade_refs, cascades, 'cascade'
+        )
         service_refs = _references(f'{path}.services', account.services)
-        yield from places.unknown(service_refs, services, 'service')
+        yield from finding_helpers.report_undeclared(
+            service_refs, services, 'service'
+        )
 
 
 def check_rollouts(document: config_data.Document) -> Findings:
     """Report undeclared versions of a roll-out."""
     declared_versions = [
         f'{version.ref.model}/{version.ref.version}'
-        for _, version in places.versions(document)
+        for _, version in finding_helpers.versions(document)
     ]
     for index, rollout in enumerate(document.rollouts):
         path = f'rollouts[{index}]'
@@ -69,7 +75,9 @@
             (f'{path}.incumbent', f'{rollout.model}/{rollout.incumbent}'),
             (f'{path}.candidate', f'{rollout.model}/{rollout.candidate}'),
         ]
-        yield from places.unknown(references, declared_versions, 'version')
+        yield from finding_helpers.report_undeclared(
+            references, declared_versions, 'version'
+        )
 
 
 def _references(path: str, names: Iterable[str]) -> References:
@@ -87,7 +95,7 @@
     for path, name in references:
         if name in wrong_pools:
             reason = f'pool {name!r} must be of kind {kind.value!r}'
-            yield places.report(path, reason)
+            yield finding_helpers.make_finding(path, reason)
 
 
 VALIDATIONS = (check_pools, check_allowed, check_account_names, check_rollouts)
--- a/beryllug/checks/rollouts.py
+++ b/beryllug/checks/rollouts.py
@@ -3,7 +3,7 @@
 import itertools
 from collections.abc import Iterator
 
-from beryllug.checks import places
+from beryllug.checks import finding_helpers
 from beryllug.core import config_data, finding
 
 Findings = Iterator[finding.Finding]
@@ -15,8 +15,8 @@
     for rollout_index, rollout in enumerate(document.rollouts):
         if rollout.candidate == rollout.incumbent:
             path = f'rollouts[{rollout_index}].candidate'
-            yield places.report(path, 'is the incumbent itself')
-    yield from places.repeats(
+            yield finding_helpers.make_finding(path, 'is the incumbent itself')
+    yield from finding_helpers.report_duplicates(
         (
             (f'rollouts[{index}].model', declared.model)
             for index, declared in enumerate(document.rollouts)
@@ -33,11 +33,15 @@
         for before, after in itertools.pairwise(stages):
             if after <= before:
                 reason = f'{after} comes after {before}; shares must rise'
-                yield places.report(path, reason)
+                yield finding_helpers.make_finding(path, reason)
         if max(stages, default=0) > ALL_PERCENT:
-            yield places.report(path, f'a share is over {ALL_PERCENT}')
+            yield finding_helpers.make_finding(
+                path, f'a share is over {ALL_PERCENT}'
+            )
         if stages and stages[-1] != ALL_PERCENT:
-            yield places.report(path, f'the last share must be {ALL_PERCENT}')
+            yield finding_helpers.make_finding(
+                path, f'the last share must be {ALL_PERCENT}'
+            )
 
 
 def check_reachable(document: config_data.Document) -> Findings:
@@ -49,7 +53,9 @@
             for listed_account in document.accounts
         ):
             path = f'rollouts[{rollout_index}].candidate'
-            yield places.report(path, 'no account may use this version')
+            yield finding_helpers.make_finding(
+                path, 'no account may use this version'
+            )
 
 
 def _is_allowed(
@@ -57,7 +63,9 @@
     account: config_data.Account,
     ref: config_data.VersionRef,
 ) -> bool:
-    allowed_versions = places.covered(document, account, ref.model)
+    allowed_versions = finding_helpers.find_allowed_versions(
+        document, account, ref.model
+    )
     return any(version.ref == ref for version in allowed_versions)
 
 
--- a/beryllug/checks/targets.py
+++ b/beryllug/checks/targets.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from beryllug.checks import places
+from beryllug.checks import finding_helpers
 from beryllug.core import config_data, finding
 
 Findings = Iterator[finding.Finding]
@@ -16,7 +16,7 @@
     declared = {targets.request_class for targets in document.targets}
     for name in sorted(_required_classes(document) - declared):
         reason = f'class {name!r} has no targets'
-        yield places.report('targets', reason)
+        yield finding_helpers.make_finding('targets', reason)
 
 
 def check_order(document: config_data.Document) -> Findings:
@@ -24,7 +24,9 @@
     for index, targets in enumerate(document.targets):
         if targets.first_token_ms > targets.total_ms:
             path = f'targets[{index}].first_token_ms'
-            yield places.report(path, 'must not be over total_ms')
+            yield finding_helpers.make_finding(
+                path, 'must not be over total_ms'
+            )
 
 
 def _required_classes(document: config_data.Document) -> set[str]:
--- a/beryllug/checks/validations.py
+++ b/beryllug/checks/validations.py
@@ -18,7 +18,7 @@
 
 
 @functools.cache
-def table() -> tuple[Validation, ...]:
+def all_validations() -> tuple[Validation, ...]:
     """Return every validation, in the order of module names."""
     validations: list[Validation] = []
     for module in pkgutil.iter_modules(checks.__path__):
@@ -42,6 +42,6 @@
     """
     return [
         item._replace(source=source)
-        for validation in table()
+        for validation in all_validations()
         for item in validation(document)
     ]
--- a/beryllug/checks/validations_test.py
+++ b/beryllug/checks/validations_test.py
@@ -216,7 +216,7 @@
         """Every validation of the table reports at least one of the cases."""
         untested = [
             validation.__qualname__
-            for validation in validations.table()
+            for validation in validations.all_validations()
             if not any(
                 list(validation(_edited(edits))) for _, edits, _ in CASES
             )
--- a/beryllug/checks/withdrawals.py
+++ b/beryllug/checks/withdrawals.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from beryllug.checks import places
+from beryllug.checks import finding_helpers
 from beryllug.core import config_data, finding
 
 Findings = Iterator[finding.Finding]
@@ -24,20 +24,22 @@
             if _is_withdrawn(document, account, name)
         ]
         if allowed_models and len(withdrawn_models) == len(allowed_models):
-            yield places.report(path, 'every version of the list is withdrawn')
+            yield finding_helpers.make_finding(
+                path, 'every version of the list is withdrawn'
+            )
         for name in withdrawn_models:
             reason = (
                 f'model {name!r} has no version left for this account; allow '
                 'one that is not withdrawn or take the model off the list'
             )
-            yield places.report(path, reason)
+            yield finding_helpers.make_finding(path, reason)
 
 
 def check_stages(document: config_data.Document) -> Findings:
     """Report a cascade stage of which all versions are withdrawn."""
     active_models = {
         version.ref.model
-        for _, version in places.versions(document)
+        for _, version in finding_helpers.versions(document)
         if not version.withdrawn
     }
     withdrawn_models = {model.name for model in document.models} - active_models
@@ -46,14 +48,14 @@
             if name in withdrawn_models:
                 path = f'cascades[{cascade_index}].stages[{stage_index}]'
                 reason = f'every version of model {name!r} is withdrawn'
-                yield places.report(path, reason)
+                yield finding_helpers.make_finding(path, reason)
 
 
 def check_rollouts(document: config_data.Document) -> Findings:
     """Report a roll-out whose candidate or incumbent is withdrawn."""
     withdrawn = {
         version.ref
-        for _, version in places.versions(document)
+        for _, version in finding_helpers.versions(document)
         if version.withdrawn
     }
     for index, rollout in enumerate(document.rollouts):
@@ -61,13 +63,17 @@
             name = getattr(rollout, role)
             if config_data.VersionRef(rollout.model, name) in withdrawn:
                 reason = f'version {name!r} is withdrawn; end the roll-out'
-                yield places.report(f'rollouts[{index}].{role}', reason)
+                yield finding_helpers.make_finding(
+                    f'rollouts[{index}].{role}', reason
+                )
 
 
 def _is_withdrawn(
     document: config_data.Document, account: config_data.Account, model: str
 ) -> bool:
-    allowed_versions = places.covered(document, account, model)
+    allowed_versions = finding_helpers.find_allowed_versions(
+        document, account, model
+    )
     return bool(allowed_versions) and all(
         version.withdrawn for version in allowed_versions
     )
--- a/beryllug/control/answers.py
+++ b/beryllug/control/answers.py
@@ -18,16 +18,16 @@
 EXPIRY_LEASE = 'answers'
 EXPIRE_INTERVAL_S = 600.0
 # Limits the platform writes of a pass, however many answers have expired.
-DELETE_EVERY_S = 0.1
+DELETE_INTERVAL_S = 0.1
 EXPIRED_DAYS_CHECKED = 3
 PART_BYTES = 900000
-FIRST = 0
+FIRST_PART = 0
 
 
 class Leases(Protocol):
     """The methods of the lease service that are used here."""
 
-    def want(self, name: str) -> None:
+    def keep_acquiring(self, name: str) -> None:
         """Start to acquire a lease and keep it."""
 
     def held(self, name: str, now: float) -> object | None:
@@ -64,7 +64,7 @@
 
     async def start(self) -> None:
         """Start to delete answers that are older than the retention."""
-        self._leases.want(EXPIRY_LEASE)
+        self._leases.keep_acquiring(EXPIRY_LEASE)
         self._task = asyncio.create_task(self._run())
 
     async def stop(self, grace_s: float) -> None:
@@ -87,7 +87,7 @@
         # The first part holds the number of parts and is written last: a
         # reader that finds it also finds all others.
         for number in reversed(range(count)):
-            head = f'{count}\n'.encode() if number == FIRST else b''
+            head = f'{count}\n'.encode() if number == FIRST_PART else b''
             key = _key(request.name, number)
             if not await self._write(key, head + parts[number]):
                 self._counts['failed'] += 1
@@ -128,7 +128,7 @@
             for entry in listing.entries:
                 await self._api.delete(entry.key, entry.version)
                 self._counts['expired'] += 1
-                await asyncio.sleep(DELETE_EVERY_S)
+                await asyncio.sleep(DELETE_INTERVAL_S)
 
     async def _run(self) -> None:
         while True:
@@ -140,7 +140,7 @@
             await asyncio.sleep(EXPIRE_INTERVAL_S)
 
     async def _read(self, name: str) -> bytes | None:
-        first = await self._api.read(_key(name, FIRST))
+        first = await self._api.read(_key(name, FIRST_PART))
         if first is None:
             return None
         count, _, start = first.value.partition(b'\n')
--- a/beryllug/control/answers_test.py
+++ b/beryllug/control/answers_test.py
@@ -18,7 +18,7 @@
 
 
 class _Leases:
-    def want(self, name: str) -> None:
+    def keep_acquiring(self, name: str) -> None:
         """Do nothing."""
 
     def held(self, name: str, now: float) -> object | None:
@@ -55,7 +55,9 @@
         """
         body = bytes(2 * answers.PART_BYTES)
         request = answer_data.AnswerBody(answer_name.make('r', NOW), body)
-        self.platform.faulty = f'{answers.PREFIX}{request.name}/{answers.FIRST}'
+        self.platform.fault_prefix = (
+            f'{answers.PREFIX}{request.name}/{answers.FIRST_PART}'
+        )
         self.platform.faults.append(fake_platform_test.Fault.REFUSED)
         self.assertFalse((await self.service.store(request)).ok)
         key = answer_data.AnswerKey(request.name)
--- a/beryllug/control/lasting.py
+++ b/beryllug/control/background_tasks.py
@@ -17,7 +17,9 @@
     """Raised by a round to end its background task."""
 
 
-async def repeat(name: str, work: Callable[[], Awaitable[None]]) -> None:
+async def run_repeatedly(
+    name: str, work: Callable[[], Awaitable[None]]
+) -> None:
     """Run a round repeatedly until cancelled or done.
 
     Args:
--- a/beryllug/control/lasting_test.py
+++ b/beryllug/control/background_tasks_test.py
@@ -3,7 +3,7 @@
 import time
 import unittest
 
-from beryllug.control import lasting, virtual_time_test
+from beryllug.control import background_tasks, virtual_time_test
 
 
 class LastingTest(virtual_time_test.VirtualTimeCase):
@@ -20,15 +20,15 @@
         async def work() -> None:  # noqa: WPS430
             rounds.append(time.monotonic())
             if len(rounds) == 4:
-                raise lasting.DoneError
+                raise background_tasks.DoneError
             if len(rounds) > 1:
                 raise ValueError('not readable')
 
         with self.assertLogs(level='ERROR'):
-            await lasting.repeat('work', work)
+            await background_tasks.run_repeatedly('work', work)
         self.assertEqual(len(rounds), 4)
         pause_s = rounds[-1] - rounds[0]
-        self.assertAlmostEqual(pause_s, 2 * lasting.PAUSE_S, places=3)
+        self.assertAlmostEqual(pause_s, 2 * background_tasks.PAUSE_S, places=3)
 
 
 if __name__ == '__main__':
--- a/beryllug/control/candidate_calls.py
+++ b/beryllug/control/candidate_calls.py
@@ -17,7 +17,7 @@
     """Calls members by name; an RPC error counts as no answer."""
 
     def __init__(
-        self, leases: lease_outage.LeaseOutage, calls: rpc_peers.Caller
+        self, leases: lease_outage.LeaseOutage, calls: rpc_peers.PeerCaller
     ) -> None:
         """Use the member addresses that the leases service knows."""
         self._leases = leases
--- a/beryllug/control/commit.py
+++ b/beryllug/control/commit.py
@@ -12,7 +12,7 @@
 
 from absl import logging
 
-from beryllug.control import lasting, segments, takeover, waiters
+from beryllug.control import background_tasks, segments, takeover, waiters
 from beryllug.core import (
     journal_data,
     journal_log,
@@ -88,7 +88,7 @@
         self._task: asyncio.Task[None] | None = None
 
     @property
-    def down(self) -> bool:
+    def is_platform_down(self) -> bool:
         """Tell whether the platform is considered down."""
         return self._failures >= MAX_FAILURES
 
@@ -105,7 +105,7 @@
 
     async def ready(self, wait_s: float) -> bool:
         """Wait for the end of the takeover; tell whether rows are accepted."""
-        await waiters.set_within(self._takeover_ended, wait_s)
+        await waiters.wait_for_event(self._takeover_ended, wait_s)
         return self.serving
 
     async def flush(self, grace_s: float) -> bool:
@@ -129,7 +129,7 @@
         if row_id not in self.state.pending:
             return True
         self._wake.set()
-        is_unavailable = self.down or not self.serving
+        is_unavailable = self.is_platform_down or not self.serving
         return not is_unavailable and await self._waiters.wait(row_id, wait_s)
 
     def dump(self) -> dict[str, Any]:
@@ -142,11 +142,13 @@
             'tries': len(self.state.tries),
             'pending': len(self.state.pending),
             'unflushed': len(self.state.unflushed),
-            'platform_down': self.down,
+            'platform_down': self.is_platform_down,
         }
 
     async def _run(self) -> None:
-        await lasting.repeat(f'shard {self.cfg.shard}', self._round)
+        await background_tasks.run_repeatedly(
+            f'shard {self.cfg.shard}', self._round
+        )
         logging.warning('event=shard_lost shard=%d', self.cfg.shard)
         self._stop_serving()
 
@@ -211,7 +213,7 @@
     async def _commit_once(self) -> None:
         self._wake.clear()
         if self._append_uncertain:
-            appended = await self.log.settle()
+            appended = await self.log.resolve_append()
             self._append_uncertain = False
             self._apply_durable([segments.decode_row(raw) for raw in appended])
         rows = list(self.state.pending.values())
@@ -226,7 +228,9 @@
         totals = self.totals.setdefault(head.seq, usage.Totals())
         for row in rows:
             usage.add_row(totals, row)
-            journal_log.committed(self.state, row, head.seq, head.segment.at)
+            journal_log.apply_committed(
+                self.state, row, head.seq, head.segment.at
+            )
         row_ids = map(shard_state.row_id, rows)
         durable_ids = [rid for rid in row_ids if rid not in self.state.pending]
-        self._waiters.settle(durable_ids, durable=True)
+        self._waiters.complete(durable_ids, durable=True)
--- a/beryllug/control/config.py
+++ b/beryllug/control/config.py
@@ -14,11 +14,11 @@
 
 from beryllug.control import (
     config_holder,
-    config_tidy,
+    part_cleanup,
     config_watch,
-    neighbours,
+    exchange_peers,
     view_feed,
-    view_push,
+    config_exchange,
 )
 from beryllug.core import (
     config_data,
@@ -62,11 +62,13 @@
         process: settings_data.Process,
         cfg: settings_data.Control,
         api: object_api.ObjectApi,
-        calls: rpc_peers.Caller,
-        members: neighbours.Members | None = None,
+        calls: rpc_peers.PeerCaller,
+        members: exchange_peers.Members | None = None,
     ) -> None:
         """Connect the components; `start` starts the background tasks."""
-        others = neighbours.Neighbours(process, cfg, members, time.monotonic)
+        others = exchange_peers.ExchangePeers(
+            process, cfg, members, time.monotonic
+        )
         self._holder = config_holder.ConfigHolder()
         self.process = process
         self._cfg = cfg
@@ -74,9 +76,11 @@
         self._last_held = self._holder.held
         self._tasks: list[asyncio.Task[None]] = []
         self.watch = config_watch.ConfigWatch(
-            self._holder, api, others.watches, cfg.cut_off_s
+            self._holder, api, others.should_watch, cfg.cut_off_s
+        )
+        self.push = config_exchange.ConfigExchange(
+            self._holder, calls, others, cfg.listen
         )
-        self.push = view_push.ViewPush(self._holder, calls, others, cfg.listen)
         self.feed = view_feed.ViewFeed(cfg.heartbeat_s, self.accepts)
         self._collector = part_collector.PartCollector(self.watch.store, api)
         self._holder.listen(self._on_change)
@@ -98,7 +102,7 @@
     def serve(self, server: rpc.RpcServer) -> None:
         """Register the methods that entries and peers call."""
         server.stream(methods.WATCH_VIEW, self.feed.stream)
-        server.unary(methods.VIEW_SEEN, self.feed.on_seen)
+        server.unary(methods.VIEW_SEEN, self.feed.on_confirmation)
         self.push.serve(server)
 
     def publish(
@@ -134,7 +138,7 @@
         if changed:
             self.feed.replace_parts(self.feed.parts._replace(**changed))
 
-    async def seen(self, within_s: float) -> None:
+    async def wait_for_confirmation(self, within_s: float) -> None:
         """Wait until each entry confirmed the suspects, or time out."""
         await self.feed.wait_until_confirmed(within_s)
 
@@ -169,7 +173,9 @@
             asyncio.create_task(self.push.run(interval_s)),
             asyncio.create_task(self._refresh_keys()),
             asyncio.create_task(
-                config_tidy.run(self._collector, self.others.is_first)
+                part_cleanup.run(
+                    self._collector, self.others.runs_singleton_tasks
+                )
             ),
         ]
 
@@ -185,8 +191,8 @@
         return {
             **self._holder.dump(time.monotonic()),
             'accepts': self.accepts(),
-            'watches': self.others.watches(),
-            'others': list(self.others.everyone()),
+            'watches': self.others.should_watch(),
+            'others': list(self.others.all_addresses()),
             'entries': self.feed.dump(),
             'rollouts': [
                 status._asdict() for status in self.feed.parts.rollouts
@@ -229,7 +235,7 @@
             await asyncio.sleep(KEY_REFRESH_S)
 
     def _publish_keys(self) -> None:
-        keys = token_keys.in_use(self._holder.keys.listed, time.time())
+        keys = token_keys.valid_keys(self._holder.keys.listed, time.time())
         if keys != self.feed.parts.token_keys:
             self.feed.replace_parts(self.feed.parts._replace(token_keys=keys))
 
@@ -243,5 +249,5 @@
                     revision=held.revision, document=held.document
                 )
             )
-            self.push.spread(before)
+            self.push.push_to_children(before)
         self._publish_keys()
--- a/beryllug/control/config_desk.py
+++ b/beryllug/control/config_admin.py
@@ -91,7 +91,7 @@
 Outcome = result.Result[int, Refusal]
 
 
-class ConfigDesk:
+class ConfigAdmin:
     """Reads, validates, edits and applies configurations."""
 
     def __init__(self, view: config.Config) -> None:
@@ -121,7 +121,7 @@
         Raises:
             ObjectApiError: The platform can't be read.
         """
-        return await self._store.past(revision)
+        return await self._store.document_of_revision(revision)
 
     async def check_document(
         self, text: bytes, source: str = DOCUMENT_SOURCE
@@ -153,7 +153,7 @@
                 `CURRENT_REVISION`.
         """
         snapshot = await self.show()
-        revision = config_root.applied(snapshot.root, params.apply_id)
+        revision = config_root.revision_of_apply(snapshot.root, params.apply_id)
         if revision is not None:
             return result.Ok(revision)
         if params.expect_revision == CURRENT_REVISION:
@@ -171,7 +171,7 @@
         self, document: config_data.Document, params: ApplyParams
     ) -> Outcome:
         outcome = await self._store.apply(
-            config_store.Apply(document, *params), time.time()
+            config_store.ApplyRequest(document, *params), time.time()
         )
         logging.info(
             'event=config_apply author=%s apply_id=%s expect=%d outcome=%s',
--- a/beryllug/control/view_push.py
+++ b/beryllug/control/config_exchange.py
@@ -33,23 +33,23 @@
 class Others(Protocol):
     """Selection of the peers to exchange with."""
 
-    def everyone(self) -> tuple[str, ...]:
+    def all_addresses(self) -> tuple[str, ...]:
         """Return the addresses of all other control processes."""
 
-    def partners(self) -> tuple[str, ...]:
+    def gossip_addresses(self) -> tuple[str, ...]:
         """Return the addresses of the peers to compare with."""
 
-    def children(self) -> tuple[str, ...]:
+    def push_addresses(self) -> tuple[str, ...]:
         """Return the addresses of the peers to push to."""
 
 
-class ViewPush:
+class ConfigExchange:
     """Offers this process's configuration to peers and accepts newer ones."""
 
     def __init__(
         self,
         holder: config_holder.ConfigHolder,
-        calls: rpc_peers.Caller,
+        calls: rpc_peers.PeerCaller,
         others: Others,
         address: str,
     ) -> None:
@@ -66,7 +66,7 @@
         self._others = others
         self._address = address
         self._random = random.Random(address)
-        self._previous = config_state.Held()
+        self._previous = config_state.ProcessConfig()
         self._obtaining_revision = 0
         self._pushes: dict[str, asyncio.Task[None]] = {}
 
@@ -84,7 +84,7 @@
 
     async def compare_with_sample(self) -> None:
         """Compare with many peers concurrently, at the start."""
-        everyone = self._others.everyone()
+        everyone = self._others.all_addresses()
         sampled = self._random.sample(
             everyone, min(len(everyone), START_SAMPLE_SIZE)
         )
@@ -95,18 +95,18 @@
         while True:
             jitter = MIN_JITTER + self._random.random()
             await asyncio.sleep(interval_s * jitter)
-            partners = self._others.partners()
+            partners = self._others.gossip_addresses()
             if partners:
                 await self.compare(self._random.choice(partners))
 
-    def spread(self, before: config_state.Held) -> None:
+    def push_to_children(self, before: config_state.ProcessConfig) -> None:
         """Push the current configuration to this process's children.
 
         Args:
             before: The previous configuration; pushes contain the difference.
         """
         self._previous = before
-        for address in self._others.children():
+        for address in self._others.push_addresses():
             # A push in progress checks for a newer revision when its call
             # ends, so a slow peer has one open call and no backlog.
             if address not in self._pushes:
@@ -135,7 +135,7 @@
             return self.offer()._replace(keys=keys.raw)
         return self.offer()
 
-    async def on_fetch(self, ask: rpc_data.PartsAsk) -> rpc_data.PartsReply:
+    async def on_fetch(self, ask: rpc_data.PartsRequest) -> rpc_data.PartsReply:
         """Return the parts that a peer requests."""
         held = self._holder.held
         listed = document_parts.manifest(held.digests)
@@ -159,7 +159,7 @@
             keys_version=self._holder.keys.version,
         )
 
-    def news(self) -> rpc_data.ConfigOffer:
+    def delta_offer(self) -> rpc_data.ConfigOffer:
         """Return an offer with the difference to the previous revision."""
         held = self._holder.held
         before = self._previous
@@ -178,7 +178,7 @@
         try:
             while pushed < self._holder.held.revision:
                 pushed = self._holder.held.revision
-                await self._exchange(address, self.news())
+                await self._exchange(address, self.delta_offer())
         finally:
             self._pushes.pop(address, None)
 
@@ -205,7 +205,7 @@
         self._obtaining_revision = offer.revision
         try:
             held = self._holder.held
-            offered = await part_fetch.obtain(self._calls, offer, held)
+            offered = await part_fetch.fetch_config(self._calls, offer, held)
         except (rpc.RpcError, ValueError, LookupError) as exc:
             logging.warning(
                 'event=config_not_obtained peer=%s revision=%d error=%s',
@@ -214,13 +214,16 @@
                 exc,
             )
         else:
-            self._holder.take(offered, 'peer')
+            self._holder.accept_if_newer(offered, 'peer')
         finally:
             self._obtaining_revision = 0
 
 
 def _delta_part(
-    content: bytes, digest: str, before: config_state.Held, base: str | None
+    content: bytes,
+    digest: str,
+    before: config_state.ProcessConfig,
+    base: str | None,
 ) -> rpc_data.ConfigPart:
     """Return a part, encoded as a delta to the one that it replaces."""
     if base is None:
--- a/beryllug/control/config_holder.py
+++ b/beryllug/control/config_holder.py
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         """Start without configuration and keys."""
-        self.held = config_state.Held()
+        self.held = config_state.ProcessConfig()
         self.keys = HeldKeys()
         self.contact = config_state.Contact()
         self.counts: Counter[str] = Counter()
@@ -57,7 +57,9 @@
         """Record that a peer was reached; `now` in monotonic seconds."""
         self.contact = self.contact._replace(peer_at=now)
 
-    def take(self, offered: config_state.Held, source: str) -> bool:
+    def accept_if_newer(
+        self, offered: config_state.ProcessConfig, source: str
+    ) -> bool:
         """Accept a configuration if it is newer; tell whether it was."""
         taken = config_state.newer(self.held, offered) is offered
         outcome = 'taken' if taken else 'refused'
--- a/beryllug/control/config_nodes_test.py
+++ b/beryllug/control/config_nodes_test.py
@@ -103,10 +103,10 @@
     async def asyncSetUp(self) -> None:
         self.network = _Network()
         self.store = object_fake_test.FakeObjects()
-        self.paths: dict[str, object_fake_test.Path] = {}
+        self.paths: dict[str, object_fake_test.FakeConnection] = {}
         self.nodes: dict[str, config.Config] = {}
         for module, name in (
-            (config_store, 'PAUSE_S'),
+            (config_store, 'RETRY_DELAY_S'),
             (config_watch, 'STANDBY_POLL_S'),
             (config_watch, 'RETRY_S'),
             (config_watch, 'MAX_RETRY_S'),
@@ -136,7 +136,7 @@
         process = settings_data.Process(
             name, settings_data.Role.CONTROL, 'h', 'z'
         )
-        path = object_fake_test.Path(self.store)
+        path = object_fake_test.FakeConnection(self.store)
         members = _Members(len(peers)) if watchers else None
         calls = self.network.calls_from(address)
         node = config.Config(process, cfg, path, calls, members)
@@ -167,7 +167,7 @@
         """Apply the numbered document on top of the current revision."""
         store = config_store.ConfigStore(self.store)
         found = await store.read_root()
-        req = config_store.Apply(
+        req = config_store.ApplyRequest(
             numbered_document(number, weight),
             found.root.revision,
             'ann',
--- a/beryllug/control/config_outage_test.py
+++ b/beryllug/control/config_outage_test.py
@@ -45,7 +45,7 @@
             await asyncio.sleep(config_nodes_test.HEARTBEAT_S)
         self.network.unreachable.add('c1:1')
         await self.until(lambda: not nodes[1].accepts())
-        ask = rpc_data.ViewAsk('e', 'z')
+        ask = rpc_data.ViewRequest('e', 'z')
         async with aclosing(nodes[1].feed.stream(ask)) as updates:
             self.assertFalse((await anext(updates)).accept)
         self.network.unreachable.clear()
--- a/beryllug/control/config_test.py
+++ b/beryllug/control/config_test.py
@@ -107,7 +107,7 @@
         self.network.delay_s = config_nodes_test.HEARTBEAT_S
         starting = asyncio.create_task(late.start())
         await self.reach(1, late)
-        ask = rpc_data.ViewAsk('e', 'z')
+        ask = rpc_data.ViewRequest('e', 'z')
         async with aclosing(late.feed.stream(ask)) as updates:
             update = await anext(updates)
         await starting
@@ -187,7 +187,7 @@
         await self.reach(1, node)
         server_loads = ()
         share = rpc_data.ExposureShare(config_data.VersionRef('m', 'v'), 3)
-        ask = rpc_data.ViewAsk('e1', 'z')
+        ask = rpc_data.ViewRequest('e1', 'z')
         async with aclosing(node.feed.stream(ask)) as updates:
             first = await anext(updates)
             self.assertEqual(
@@ -209,7 +209,7 @@
         a later message withdraws.
         """
         node = await self.start_one()
-        ask = rpc_data.ViewAsk('e1', 'z')
+        ask = rpc_data.ViewRequest('e1', 'z')
         async with aclosing(node.feed.stream(ask)) as updates:
             await anext(updates)
             for number in range(1, 20):
--- a/beryllug/control/config_watch.py
+++ b/beryllug/control/config_watch.py
@@ -112,7 +112,7 @@
         if stale or not token_keys.is_due(listed, now):
             return
         secret = os.urandom(SECRET_BYTES).hex()
-        raw = _encode_keys(token_keys.renewed(listed, secret, now))
+        raw = _encode_keys(token_keys.add_key(listed, secret, now))
         try:
             written = await self._api.write(token_keys.KEY, raw, version)
         except object_data.ConflictError:
@@ -143,7 +143,7 @@
         return batch.revision
 
     async def _apply_change(self, change: object_data.Change) -> None:
-        self.store.overtaken(change.version)
+        self.store.record_version(change.version)
         if change.value is None:
             await self.read()
             return
@@ -156,9 +156,11 @@
         chunks = await self.store.parts.get(root.parts)
         self._record_contact()
         by_digest = dict(zip(root.parts, chunks))
-        offered = config_state.hold(root.revision, by_digest, self._holder.held)
-        if self._holder.take(offered, 'platform'):
-            self.store.parts.keep_only(root.parts)
+        offered = config_state.build_config(
+            root.revision, by_digest, self._holder.held
+        )
+        if self._holder.accept_if_newer(offered, 'platform'):
+            self.store.parts.retain_only(root.parts)
 
     async def _back_off(self, exc: Exception) -> None:
         """Wait before the next try, longer each time."""
--- a/beryllug/control/console.py
+++ b/beryllug/control/console.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from beryllug.control import (
-    config_desk,
+    config_admin,
     console_drafts,
     console_forms,
     console_pages,
@@ -62,7 +62,7 @@
 class Console:
     """Serves the console's pages."""
 
-    def __init__(self, admin: config_desk.ConfigDesk) -> None:
+    def __init__(self, admin: config_admin.ConfigAdmin) -> None:
         """Bind to the configuration operations."""
         self._admin = admin
         self._drafts = console_drafts.Drafts(admin)
@@ -246,7 +246,7 @@
     ) -> str:
         """Apply the draft; if refused, it is kept with its apply id."""
         rendered = draft.apply(base.rendered, session.changes)
-        params = config_desk.ApplyParams(
+        params = config_admin.ApplyParams(
             session.revision, session.author, session.apply_id
         )
         outcome = await self._admin.apply(json.dumps(rendered).encode(), params)
@@ -295,10 +295,10 @@
     await exchange.respond(OK, console_pages.STYLE.encode(), CSS)
 
 
-def _refusal_notice(refusal: config_desk.Refusal) -> str:
+def _refusal_notice(refusal: config_admin.Refusal) -> str:
     """Return a notice of why an apply was refused and what to do."""
     match refusal:
-        case config_desk.Invalid():
+        case config_admin.Invalid():
             return console_pages.notice(
                 'The configuration is invalid; nothing has been applied.',
                 good=False,
--- a/beryllug/control/console_drafts.py
+++ b/beryllug/control/console_drafts.py
@@ -3,7 +3,7 @@
 import json
 from typing import NamedTuple
 
-from beryllug.control import config_desk, console_forms, console_pages
+from beryllug.control import config_admin, console_forms, console_pages
 from beryllug.core import config_data, document_plain, draft, finding
 
 
@@ -25,7 +25,7 @@
 class Drafts:
     """Builds whole documents from drafts and validates them."""
 
-    def __init__(self, admin: config_desk.ConfigDesk) -> None:
+    def __init__(self, admin: config_admin.ConfigAdmin) -> None:
         """Bind to the configuration operations."""
         self._admin = admin
 
--- a/beryllug/control/console_pages.py
+++ b/beryllug/control/console_pages.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from beryllug.control import console_forms
-from beryllug.core import diff, draft, finding, plain
+from beryllug.core import diff, draft, finding, record_codec
 
 STYLE = """\
 body { font: 16px/1.5 system-ui, sans-serif; margin: 2rem auto;
@@ -110,7 +110,7 @@
 
 def page(session: Session, title: str, body: str) -> str:
     """Return a whole page, with the session in hidden inputs."""
-    changes = json.dumps(plain.to_plain(session.changes))
+    changes = json.dumps(record_codec.to_plain(session.changes))
     hidden_inputs = ''.join(
         f'<input type="hidden" name="{name}" value="{escape(text)}">'
         for name, text in (
--- a/beryllug/control/console_session.py
+++ b/beryllug/control/console_session.py
@@ -8,7 +8,7 @@
 from urllib.parse import parse_qsl
 
 from beryllug.control import console_pages, operator_replies
-from beryllug.core import draft, plain
+from beryllug.core import draft, record_codec
 from beryllug.drivers import http_data
 from beryllug.kernel import ops
 
@@ -76,7 +76,7 @@
     if not isinstance(listed, list):
         return ()
     return tuple(
-        plain.from_plain(draft.Change, item)
+        record_codec.from_plain(draft.Change, item)
         for item in listed
         if _is_change(item)
     )
--- a/beryllug/control/console_test.py
+++ b/beryllug/control/console_test.py
@@ -10,7 +10,7 @@
 from unittest import IsolatedAsyncioTestCase, main, mock
 from urllib.parse import urlencode
 
-from beryllug.control import config, config_desk, console_forms, operators
+from beryllug.control import config, config_admin, console_forms, operators
 from beryllug.core import config_root, settings_data
 from beryllug.drivers import (
     config_store,
@@ -112,18 +112,18 @@
     """Editing in the console and applying the result."""
 
     async def asyncSetUp(self) -> None:
-        no_pause = mock.patch.object(config_store, 'PAUSE_S', 0)
+        no_pause = mock.patch.object(config_store, 'RETRY_DELAY_S', 0)
         no_pause.start()
         self.addCleanup(no_pause.stop)
         self.api = object_fake_test.FakeObjects()
         calls = mock.Mock(call=mock.AsyncMock(side_effect=rpc.RpcError))
         view = config.Config(PROCESS, CONTROL, self.api, calls)
-        self.admin = config_desk.ConfigDesk(view)
+        self.admin = config_admin.ConfigAdmin(view)
         self.operators = ops.Operators(
             settings_data.Operators('127.0.0.1:0', (KEY,)),
             registry.Registry(),
             bool,
-            operators.for_control(view, calls, rpc.RpcServer(mock.Mock())),
+            operators.control_routes(view, calls, rpc.RpcServer(mock.Mock())),
         )
         self.client = http_client.HttpClient()
         self.answer = http_data.Headers()
@@ -222,7 +222,7 @@
         self.api.before_write = self._lose_root_reply
         page = await self.press(page, 'apply')
         self.assertIn('Not known whether', page.errors[0])
-        self.api.drop.clear()
+        self.api.lost_requests.clear()
         page = await self.press(page, 'apply')
         self.assertIn('Revision 2 is in force', page.text)
 
@@ -285,7 +285,7 @@
 
     async def apply(self, text: str, expect: int) -> None:
         """Apply a document as another operator."""
-        params = config_desk.ApplyParams(expect, 'bob', f'apply-{expect}')
+        params = config_admin.ApplyParams(expect, 'bob', f'apply-{expect}')
         outcome = await self.admin.apply(text.encode(), params)
         self.assertTrue(outcome.is_ok(), outcome)
 
@@ -309,8 +309,8 @@
 
     async def _lose_root_reply(self, key: str) -> None:
         if key == config_root.KEY:
-            self.api.lose = [f'write {key}']
-            self.api.drop = list(itertools.repeat(f'read {key}', 9))
+            self.api.lost_responses = [f'write {key}']
+            self.api.lost_requests = list(itertools.repeat(f'read {key}', 9))
         else:
             self.api.before_write = self._lose_root_reply
 
--- a/beryllug/control/copies.py
+++ b/beryllug/control/copies.py
@@ -69,16 +69,16 @@
 
     def serve(self, server: candidate_calls.Server) -> None:
         """Register the RPC methods."""
-        server.unary(methods.COPY, self.copy)
-        server.unary(methods.FLUSHED, self.drop)
-        server.unary(methods.GATHER, self.answer)
+        server.unary(methods.COPY, self.store_copies)
+        server.unary(methods.FLUSHED, self.drop_copies)
+        server.unary(methods.GATHER, self.return_copies)
 
     def dump(self) -> dict[int, int]:
         """Return the number of stored copies by shard."""
-        return outage.unclaimed(self._stored.shards)
+        return outage.copy_counts(self._stored.shards)
 
     async def send(
-        self, lease_name: str, request: outage_data.CopyAsk
+        self, lease_name: str, request: outage_data.CopyRequest
     ) -> str | None:
         """Copy rows to one candidate; return its name, or None on failure."""
         candidates = self._leases.candidates(lease_name)
@@ -90,18 +90,20 @@
         return None
 
     async def notify_flushed(
-        self, name: str, request: outage_data.FlushedAsk
+        self, name: str, request: outage_data.FlushedRequest
     ) -> bool:
         """Tell a candidate to drop copies; False if it did not reply."""
         reply = await self._calls.call(name, methods.FLUSHED, request, COPY_S)
         return reply is not None
 
-    def store_unflushed(self, request: outage_data.CopyAsk) -> None:
+    def store_unflushed(self, request: outage_data.CopyRequest) -> None:
         """Store the unflushed rows of a shard that this process has lost."""
-        outage.keep(self._stored, request, time.monotonic())
+        outage.store_copies(self._stored, request, time.monotonic())
 
     async def gather(
-        self, previous: lease_data.Lease | None, request: outage_data.GatherAsk
+        self,
+        previous: lease_data.Lease | None,
+        request: outage_data.GatherRequest,
     ) -> GatherResult:
         """Gather rows of a shard that the platform may not have.
 
@@ -110,7 +112,7 @@
             request: The shard and its new owner's fencing token.
         """
         this_process = self._leases.own()
-        reply = await self.answer(request)
+        reply = await self.return_copies(request)
         if previous is None or not outage.must_gather(
             previous, this_process, reply
         ):
@@ -129,19 +131,25 @@
         )
         return GatherResult(rows, complete)
 
-    async def copy(self, request: outage_data.CopyAsk) -> outage_data.CopyReply:
+    async def store_copies(
+        self, request: outage_data.CopyRequest
+    ) -> outage_data.CopyReply:
         """Store copies for the owner of a shard."""
         now = time.monotonic()
         outage.expire(self._stored, now)
-        return outage_data.CopyReply(outage.keep(self._stored, request, now))
+        return outage_data.CopyReply(
+            outage.store_copies(self._stored, request, now)
+        )
 
-    async def drop(self, request: outage_data.FlushedAsk) -> rpc_data.Empty:
+    async def drop_copies(
+        self, request: outage_data.FlushedRequest
+    ) -> rpc_data.Empty:
         """Drop copies of rows that are durable now."""
-        outage.flushed(self._stored, request)
+        outage.drop_flushed(self._stored, request)
         return rpc_data.Empty()
 
-    async def answer(
-        self, request: outage_data.GatherAsk
+    async def return_copies(
+        self, request: outage_data.GatherRequest
     ) -> outage_data.GatherReply:
         """Return copies to a new owner, and stop an older local owner."""
         await self._stop_older_owner(request.shard, request.fencing)
@@ -153,7 +161,7 @@
         )
 
     async def _ask_all(
-        self, names: set[str], request: outage_data.GatherAsk
+        self, names: set[str], request: outage_data.GatherRequest
     ) -> dict[str, outage_data.GatherReply]:
         peer_names = sorted(names - {self._leases.own().name})
         replies = await asyncio.gather(
@@ -163,7 +171,7 @@
         return {name: reply for name, reply in pairs if reply is not None}
 
     async def _ask_for_copies(
-        self, name: str, request: outage_data.GatherAsk
+        self, name: str, request: outage_data.GatherRequest
     ) -> outage_data.GatherReply | None:
         return await self._calls.call(name, methods.GATHER, request, GATHER_S)
 
--- a/beryllug/control/neighbours.py
+++ b/beryllug/control/exchange_peers.py
@@ -30,7 +30,7 @@
         """Return a member's availability zone."""
 
 
-class Neighbours:
+class ExchangePeers:
     """The known other control processes."""
 
     def __init__(
@@ -46,11 +46,11 @@
         self._members = members
         self._clock = clock
 
-    def watches(self) -> bool:
+    def should_watch(self) -> bool:
         """Tell whether this process should watch the platform."""
         return self._process.name in self._watchers()
 
-    def is_first(self) -> bool:
+    def runs_singleton_tasks(self) -> bool:
         """Tell whether this process runs the tasks of which a fleet has one."""
         own = self._process.name
         return (
@@ -58,7 +58,7 @@
             == own
         )
 
-    def everyone(self) -> tuple[str, ...]:
+    def all_addresses(self) -> tuple[str, ...]:
         """Return the addresses of all other control processes."""
         live = self._addresses(self._live_members())
         seeds = self._cfg.peers
@@ -66,7 +66,7 @@
         known = dict.fromkeys((*live, *seeds))
         return tuple(address for address in known if address != own)
 
-    def partners(self) -> tuple[str, ...]:
+    def gossip_addresses(self) -> tuple[str, ...]:
         """Return the addresses of the processes to compare configuration with.
 
         These stay the same while they are live: random peers of a large
@@ -77,9 +77,9 @@
         own = self._process.name
         others = [name for name in self._live_members() if name != own]
         chosen = rendezvous.order(own, others)[:MAX_PARTNERS]
-        return self._addresses(chosen) or self.everyone()
+        return self._addresses(chosen) or self.all_addresses()
 
-    def children(self) -> tuple[str, ...]:
+    def push_addresses(self) -> tuple[str, ...]:
         """Return the addresses to which this process pushes changes."""
         order, roots = self._order()
         own = self._process.name
--- a/beryllug/control/fleet_status.py
+++ b/beryllug/control/fleet_status.py
@@ -20,7 +20,9 @@
 class FleetStatus:
     """Returns the state of this process and gathers that of all others."""
 
-    def __init__(self, view: config.Config, calls: rpc_peers.Caller) -> None:
+    def __init__(
+        self, view: config.Config, calls: rpc_peers.PeerCaller
+    ) -> None:
         """Bind to the configuration service and the RPC client for peers."""
         self._view = view
         self._calls = calls
@@ -59,7 +61,7 @@
 
     async def gather(self) -> Processes:
         """Return all processes, including those that don't answer."""
-        others = self._view.others.everyone()
+        others = self._view.others.all_addresses()
         replies = await asyncio.gather(*map(self._ask, others))
         return (
             *self.own_processes(),
--- a/beryllug/control/images.py
+++ b/beryllug/control/images.py
@@ -35,7 +35,7 @@
 _decode_usage = msgspec.msgpack.Decoder(usage_data.Usage).decode
 
 
-class Base(NamedTuple):
+class CompactedState(NamedTuple):
     """Stored data that replaces the older segments of a shard."""
 
     usage: usage_data.Usage
@@ -119,15 +119,15 @@
     return await api.write(usage_key(shard), _encode(content), expected)
 
 
-async def read_base(api: object_api.ObjectApi, shard: int) -> Base:
+async def read_base(api: object_api.ObjectApi, shard: int) -> CompactedState:
     """Read the stored usage and image of a shard."""
     _, stored_usage = await read_usage(api, shard)
     _, image = await read_image(api, shard)
-    return Base(stored_usage, image or NO_IMAGE)
+    return CompactedState(stored_usage, image or NO_IMAGE)
 
 
 async def restore(
-    api: object_api.ObjectApi, shard: int, base: Base, last: int
+    api: object_api.ObjectApi, shard: int, base: CompactedState, last: int
 ) -> Restored:
     """Restore a shard from its image and the rows after it.
 
@@ -143,21 +143,23 @@
     image = base.image
     state = await _restore_state(api, shard, image)
     restored = Restored(state, {})
-    unread = range(after(base) + 1, last + 1)
+    unread = range(compacted_upto(base) + 1, last + 1)
     async for seq, segment in read_segments(api, shard, unread):
         if seq > image.upto:
             journal_log.replay(state, segment.rows, seq, segment.at)
         if seq > base.usage.folded:
-            restored.totals[seq] = usage.of_rows(segment.rows)
+            restored.totals[seq] = usage.sum_rows(segment.rows)
     return restored
 
 
-def after(base: Base) -> int:
+def compacted_upto(base: CompactedState) -> int:
     """Return the last segment that is covered by both image and usage."""
     return min(base.image.upto, base.usage.folded)
 
 
-async def report(api: object_api.ObjectApi, shards: int) -> usage_data.Usage:
+async def usage_report(
+    api: object_api.ObjectApi, shards: int
+) -> usage_data.Usage:
     """Return the usage of all accounts, each request counted once.
 
     Args:
@@ -174,8 +176,10 @@
         last = await segments.find_last(api, shard, stored_usage.folded)
         unread = range(stored_usage.folded + 1, last + 1)
         async for _, segment in read_segments(api, shard, unread):
-            usage.add(totals, usage.stored(usage.of_rows(segment.rows), 0))
-    return usage.stored(totals, 0)
+            usage.add(
+                totals, usage.to_stored_usage(usage.sum_rows(segment.rows), 0)
+            )
+    return usage.to_stored_usage(totals, 0)
 
 
 async def read_segments(
--- a/beryllug/control/journal.py
+++ b/beryllug/control/journal.py
@@ -19,7 +19,7 @@
 )
 from beryllug.drivers import methods
 
-Parts = shards.Parts
+JournalServices = shards.JournalServices
 Reply = TypeVar('Reply')
 
 
@@ -27,7 +27,10 @@
     """The request journal of one control process."""
 
     def __init__(
-        self, parts: shards.Parts, cfg: settings_data.Control, boot: str
+        self,
+        parts: shards.JournalServices,
+        cfg: settings_data.Control,
+        boot: str,
     ) -> None:
         """Initialize the service.
 
@@ -75,7 +78,9 @@
         )
         return rpc_data.Ack(durable)
 
-    async def lookup(self, request: rpc_data.LookupAsk) -> rpc_data.LookupReply:
+    async def lookup(
+        self, request: rpc_data.LookupRequest
+    ) -> rpc_data.LookupReply:
         """Return the latest row of a kind for a key."""
         shard = self._shard_of(request.account_id, request.shard_key)
         forwarded = request._replace(hops=request.hops + 1)
@@ -84,7 +89,7 @@
             shards.RoutedMessage(methods.LOOKUP, forwarded, forwarded.hops),
             lambda owner: owner.lookup(request),
         )
-        if isinstance(reply, shards.Lost):
+        if isinstance(reply, shards.NoOwnerReply):
             return rpc_data.LookupReply(None, available=False)
         return reply
 
@@ -98,7 +103,7 @@
         Raises:
             ObjectApiError: The platform failed.
         """
-        return await images.report(self._api, self._count)
+        return await images.usage_report(self._api, self._count)
 
     async def _by_shard(
         self,
@@ -135,7 +140,7 @@
             ),
             lambda owner: _begin_with_owner(owner, rows),
         )
-        if isinstance(reply, shards.Lost):
+        if isinstance(reply, shards.NoOwnerReply):
             return [_unavailable_grant(row, reply, hops) for row in rows]
         return reply.grants
 
@@ -148,7 +153,7 @@
             shards.RoutedMessage(methods.FINISH, batch, batch.hops),
             lambda owner: _finish_with_owner(owner, rows),
         )
-        if isinstance(reply, shards.Lost):
+        if isinstance(reply, shards.NoOwnerReply):
             return [False for _ in rows]
         return reply.durable
 
@@ -157,7 +162,7 @@
 
 
 def _unavailable_grant(
-    row: journal_data.Row, lost: shards.Lost, hops: int
+    row: journal_data.Row, lost: shards.NoOwnerReply, hops: int
 ) -> journal_data.Grant:
     return journal.unavailable(row)._replace(
         doubtful=lost.doubtful, is_owner=not hops
--- a/beryllug/control/journal_chaos_test.py
+++ b/beryllug/control/journal_chaos_test.py
@@ -31,18 +31,18 @@
 SHARDS = 2
 
 
-class Entry:
+class EntryProcess:
     """A simulated entry process that uses the journal.
 
     Attributes:
-        owed: Outcomes that are not acknowledged.
+        unacknowledged: Outcomes that are not acknowledged.
         ran: Ids of the requests that ran, by key.
         kinds: Number of grants by kind.
     """
 
     def __init__(self, case: 'ChaosCase', name: str) -> None:
         """Initialize the entry process."""
-        self.owed: list[journal_data.Row] = []
+        self.unacknowledged: list[journal_data.Row] = []
         self.ran: dict[str, list[str]] = {}
         self.kinds: Counter[Kind] = Counter()
         self._case = case
@@ -63,9 +63,9 @@
         """Resend outcomes until they are acknowledged."""
         while True:
             await asyncio.sleep(self._case.rand.uniform(0.2, 1))
-            for row in list(self.owed):
+            for row in list(self.unacknowledged):
                 if await self._case.call_finish(row):
-                    self.owed.remove(row)
+                    self.unacknowledged.remove(row)
 
     async def send(self, key: str) -> None:
         """Send one request and run it if it is granted in time."""
@@ -75,7 +75,7 @@
         sent_at = time.monotonic()
         grant = await self._case.call_begin(row)
         if grant is None or grant.doubtful:
-            self.owed.append(nodes_test.outcome(row, State.NOT_RUN))
+            self.unacknowledged.append(nodes_test.outcome(row, State.NOT_RUN))
             return
         self.kinds[grant.kind] += 1
         if grant.kind is Kind.GRANTED:
@@ -84,17 +84,17 @@
     async def _run(self, row: journal_data.Row, valid_s: float) -> None:
         delay_s = self._case.rand.choice((0.0, 0.0, 0.0, 3.0))
         if delay_s >= valid_s:
-            self.owed.append(nodes_test.outcome(row, State.NOT_RUN))
+            self.unacknowledged.append(nodes_test.outcome(row, State.NOT_RUN))
             return
         self.ran.setdefault(row.shard_key, []).append(row.request_id)
         await asyncio.sleep(self._case.rand.uniform(0, 8))
-        self.owed.append(nodes_test.outcome(row))
+        self.unacknowledged.append(nodes_test.outcome(row))
 
 
 class ChaosCase(nodes_test.NodesCase):
     """Three control processes, four entry processes, seeded faults."""
 
-    sizes = nodes_test.Sizes(shards=SHARDS)
+    sizes = nodes_test.ClusterSettings(shards=SHARDS)
 
     async def test_seeds(self) -> None:
         """No key runs twice and every run is billed once under faults."""
@@ -115,7 +115,7 @@
         self.up: dict[str, nodes_test.Node] = {}
         for name in NAMES:
             await self._boot(name)
-        entries = [Entry(self, f'entry-{num}') for num in range(ENTRIES)]
+        entries = [EntryProcess(self, f'entry-{num}') for num in range(ENTRIES)]
         senders = [
             asyncio.create_task(entry_process.send_forever())
             for entry_process in entries
@@ -147,16 +147,16 @@
         return bool(await self._call(lambda node: node.finish(row)))
 
     async def _call(
-        self, call: 'Callable[[nodes_test.Node], Awaitable[nodes_test.Got]]'
-    ) -> 'nodes_test.Got | None':
+        self, call: 'Callable[[nodes_test.Node], Awaitable[nodes_test.Result]]'
+    ) -> 'nodes_test.Result | None':
         name = self.rand.choice(NAMES)
         node = self.up.get(name)
         address = f'127.0.0.1:{name}'
-        if node is None or address in self.network.silent:
+        if node is None or address in self.network.isolated:
             await asyncio.sleep(0.1)
             return None
         answer = await call(node)
-        if self.up.get(name) is not node or address in self.network.silent:
+        if self.up.get(name) is not node or address in self.network.isolated:
             return None
         return answer
 
@@ -164,7 +164,7 @@
         self.members.starts[name] = self.members.starts.get(name, 0) + 1
         if name not in self.members.names:
             self.members.names.append(name)
-        self.network.silent.discard(f'127.0.0.1:{name}')
+        self.network.isolated.discard(f'127.0.0.1:{name}')
         node = nodes_test.Node(
             self.store, self.network, self.members, name, self.sizes
         )
@@ -206,7 +206,7 @@
             return
         node.client.gate.set()
         await node.stop()
-        self.network.silent.add(f'127.0.0.1:{node.name}')
+        self.network.isolated.add(f'127.0.0.1:{node.name}')
         await asyncio.sleep(self.rand.uniform(0, 5))
         await self._boot(node.name)
 
@@ -217,26 +217,26 @@
         node.pause(self.network)
         await asyncio.sleep(self.rand.uniform(0, 20))
         if self.up.get(node.name) is node:
-            node.wake(self.network)
-        node.client.faulty = 'beryllug/journal/'
+            node.resume(self.network)
+        node.client.fault_prefix = 'beryllug/journal/'
 
     async def _disconnect_platform(self) -> None:
         node = self.up.get(self.rand.choice(NAMES))
         if node is None:
             return
-        node.client.cut = True
+        node.client.is_disconnected = True
         await asyncio.sleep(self.rand.uniform(0, 20))
-        node.client.cut = self.up.get(node.name) is not node
+        node.client.is_disconnected = self.up.get(node.name) is not node
 
     async def _silence_peer(self) -> None:
         node = self.up.get(self.rand.choice(NAMES))
         if node is None:
             return
         address = f'127.0.0.1:{node.name}'
-        self.network.silent.add(address)
+        self.network.isolated.add(address)
         await asyncio.sleep(self.rand.uniform(0, 10))
         if self.up.get(node.name) is node:
-            self.network.silent.discard(address)
+            self.network.isolated.discard(address)
 
     async def _take_platform_down(self) -> None:
         self.store.down = True
@@ -248,28 +248,30 @@
         if node is None:
             return
         faults = self.rand.choices(list(Fault), k=self.rand.randrange(1, 4))
-        node.client.faulty = self.rand.choice(
+        node.client.fault_prefix = self.rand.choice(
             ('beryllug/journal/', 'beryllug/')
         )
         node.client.faults.extend(faults)
         await asyncio.sleep(self.rand.uniform(0, 5))
-        self.store.land()
+        self.store.apply_late_writes()
 
-    async def _recover(self, entries: list[Entry]) -> None:
+    async def _recover(self, entries: list[EntryProcess]) -> None:
         """End all faults and wait until all outcomes are acknowledged."""
-        self.store.land()
+        self.store.apply_late_writes()
         self.store.down = False
-        self.network.silent.clear()
+        self.network.isolated.clear()
         for node in self.up.values():
-            node.client.cut = False
+            node.client.is_disconnected = False
             node.client.faults.clear()
             node.client.gate.set()
         async with asyncio.timeout(RECOVERY_TIMEOUT_S):
-            while any(entry_process.owed for entry_process in entries):
+            while any(
+                entry_process.unacknowledged for entry_process in entries
+            ):
                 await asyncio.sleep(1)
         await asyncio.sleep(10)
 
-    async def _check(self, entries: list[Entry]) -> None:
+    async def _check(self, entries: list[EntryProcess]) -> None:
         """Compare the requests that ran with the stored rows."""
         ran = _ran(entries)
         self.assertEqual(max(map(len, ran.values())), 1, ran)
@@ -286,7 +288,7 @@
         self.assertEqual(requests, len(run))
 
 
-def _ran(entries: Sequence[Entry]) -> dict[str, list[str]]:
+def _ran(entries: Sequence[EntryProcess]) -> dict[str, list[str]]:
     """Return the ids of the requests that ran, by key."""
     ran: dict[str, list[str]] = {}
     for entry_process in entries:
--- a/beryllug/control/journal_test.py
+++ b/beryllug/control/journal_test.py
@@ -48,7 +48,7 @@
         first = await self.start_owner('1')
         second = await self.start_node('2')
         await second.begin(nodes_test.intent('zero', 'zero'))
-        first.client.faulty = 'beryllug/'
+        first.client.fault_prefix = 'beryllug/'
         first.client.gate.clear()
         stopping = asyncio.create_task(first.stop())
         await asyncio.sleep(nodes_test.POLL_S)
@@ -88,14 +88,14 @@
         await self.start_owner('1')
         second = await self.start_node('2')
         row = nodes_test.intent('one')
-        self.network.losing.add('127.0.0.1:1')
+        self.network.drops_replies.add('127.0.0.1:1')
         lost = await second.begin(row)
         self.assertEqual((lost.kind, lost.doubtful), (Kind.UNAVAILABLE, True))
-        self.network.losing.clear()
-        self.network.silent.add('127.0.0.1:1')
+        self.network.drops_replies.clear()
+        self.network.isolated.add('127.0.0.1:1')
         refused = await second.begin(nodes_test.intent('three', 'three'))
         self.assertFalse(refused.doubtful)
-        self.network.silent.clear()
+        self.network.isolated.clear()
         self.assertEqual((await second.begin(row)).kind, Kind.GRANTED)
         resend = await second.begin(nodes_test.intent('two'))
         self.assertEqual(resend.kind, Kind.RUNNING)
@@ -141,7 +141,7 @@
                 grant = await owner.begin(row)
                 self.assertEqual(grant.kind, Kind.GRANTED)
                 owner.client.faults.extend(faults)
-                await self.finish_at_last(owner, nodes_test.outcome(row))
+                await self.finish_until_durable(owner, nodes_test.outcome(row))
         log = self.log()
         self.assertEqual(len(log), 8)
         self.assertEqual(len(set(log)), 8)
@@ -157,14 +157,14 @@
         owner = await self.start_owner('1')
         owner.client.faults.append(Fault.LATE)
         begin_task = asyncio.create_task(owner.begin(nodes_test.intent('one')))
-        await nodes_test.until(lambda: self.store.late)
+        await nodes_test.wait_until(lambda: self.store.late)
         self.store.down = True
         grant = await begin_task
         self.assertEqual(grant.kind, Kind.UNAVAILABLE)
         self.store.down = False
-        self.assertEqual(self.store.land(), 1)
-        await nodes_test.until(lambda: ('not_run', 'one') in self.log())
-        await nodes_test.until(owner.holds)
+        self.assertEqual(self.store.apply_late_writes(), 1)
+        await nodes_test.wait_until(lambda: ('not_run', 'one') in self.log())
+        await nodes_test.wait_until(owner.holds)
         resend = await owner.begin(nodes_test.intent('two'))
         self.assertEqual(resend.kind, Kind.GRANTED)
         self.assertEqual(
@@ -189,7 +189,7 @@
         await owner.begin(row)
         await owner.finish(nodes_test.outcome(row))
         await owner.kill(self.network)
-        await nodes_test.until(successor.owns)
+        await nodes_test.wait_until(successor.owns)
         self.assertTrue(await successor.finish(nodes_test.outcome(row)))
         self.assertEqual(self.log(), [('intent', 'one'), ('done', 'one')])
         resend = await successor.begin(nodes_test.intent('two'))
@@ -208,10 +208,10 @@
         await owner.begin(row)
         owner.client.gate.clear()
         finish_task = asyncio.create_task(owner.finish(nodes_test.outcome(row)))
-        await owner.client.held.wait()
+        await owner.client.write_blocked.wait()
         await owner.kill(self.network)
         self.assertFalse(await finish_task)
-        await nodes_test.until(successor.owns)
+        await nodes_test.wait_until(successor.owns)
         resend = nodes_test.intent('two')._replace(entry='entry-2/boot')
         grant = await successor.begin(resend)
         self.assertEqual(grant.kind, Kind.UNKNOWN)
@@ -230,7 +230,7 @@
         successor = await self.start_node('2')
         await owner.begin(nodes_test.intent('one'))
         await owner.kill(self.network)
-        await nodes_test.until(successor.owns)
+        await nodes_test.wait_until(successor.owns)
         for entry, expected in (
             ('entry-2/boot', Kind.UNKNOWN),
             ('entry-1/boot', Kind.RUNNING),
@@ -254,13 +254,13 @@
         successor = await self.start_node('2')
         owner.pause(self.network)
         begin_task = asyncio.create_task(owner.begin(nodes_test.intent('one')))
-        await owner.client.held.wait()
-        await nodes_test.until(successor.owns)
+        await owner.client.write_blocked.wait()
+        await nodes_test.wait_until(successor.owns)
         grant = await successor.begin(nodes_test.intent('two'))
         self.assertEqual(grant.kind, Kind.GRANTED)
-        owner.wake(self.network)
+        owner.resume(self.network)
         self.assertEqual((await begin_task).kind, Kind.UNAVAILABLE)
-        await nodes_test.until(lambda: not owner.owns())
+        await nodes_test.wait_until(lambda: not owner.owns())
         self.assertEqual(self.log(), [('intent', 'two')])
 
     async def test_paused_before_segment_creation(self) -> None:
@@ -274,11 +274,11 @@
         await self._fill_segment(owner)
         owner.pause(self.network)
         begin_task = asyncio.create_task(owner.begin(nodes_test.intent('one')))
-        await owner.client.held.wait()
-        await nodes_test.until(successor.owns)
-        owner.wake(self.network)
+        await owner.client.write_blocked.wait()
+        await nodes_test.wait_until(successor.owns)
+        owner.resume(self.network)
         self.assertEqual((await begin_task).kind, Kind.UNAVAILABLE)
-        await nodes_test.until(lambda: not owner.owns())
+        await nodes_test.wait_until(lambda: not owner.owns())
         self.assertNotIn(('intent', 'one'), self.log())
 
     async def test_paused_after_write(self) -> None:
@@ -289,7 +289,7 @@
         billed the request as such.
         """
         owner = await self.start_owner('1')
-        owner.client.applied = self._expire_lease
+        owner.client.after_write = self._expire_lease
         grant = await owner.begin(nodes_test.intent('one'))
         self.assertEqual(grant.kind, Kind.UNAVAILABLE)
 
@@ -321,8 +321,8 @@
             self.assertEqual(grant.kind, Kind.UNAVAILABLE)
             self.assertGreater(grant.retry_after_s, 0)
         self.store.down = False
-        await nodes_test.until(lambda: ('done', 'one') in self.log())
-        await self.finish_at_last(owner, nodes_test.outcome(row))
+        await nodes_test.wait_until(lambda: ('done', 'one') in self.log())
+        await self.finish_until_durable(owner, nodes_test.outcome(row))
         self.assertEqual(self.log(), [('intent', 'one'), ('done', 'one')])
         grant = await owner.begin(nodes_test.intent('two', 'k1'))
         self.assertEqual(grant.kind, Kind.GRANTED)
@@ -354,7 +354,7 @@
         )
         owner.client.gate.clear()
         first = asyncio.create_task(owner.finish(pin))
-        await owner.client.held.wait()
+        await owner.client.write_blocked.wait()
         second = asyncio.create_task(
             owner.finish(pin._replace(note='second', at=1))
         )
@@ -375,13 +375,13 @@
         )
         for at, note in enumerate(('first', 'second')):
             await successor.finish(pin._replace(note=note, at=at))
-        ask = rpc_data.LookupAsk(
+        ask = rpc_data.LookupRequest(
             nodes_test.ACCOUNT, 'session', journal_data.RowKind.SESSION
         )
         reply = await successor.journal.lookup(ask)
         self.assertEqual(reply.row and reply.row.note, 'second')
         await owner.kill(self.network)
-        await nodes_test.until(successor.owns)
+        await nodes_test.wait_until(successor.owns)
         reply = await successor.journal.lookup(ask)
         self.assertEqual(reply.row and reply.row.note, 'second')
         stale = pin._replace(note='first', at=0)
--- a/beryllug/control/late_rows.py
+++ b/beryllug/control/late_rows.py
@@ -62,7 +62,7 @@
                 or stored.segment.at > forgotten_until + MAX_CLOCK_SKEW_S
             ):
                 return False
-            found = await self._reader.outcome(seq, row)
+            found = await self._reader.find_outcome(seq, row)
             if found is not None and found.row is not None:
                 return True
             seq += 1
@@ -84,7 +84,9 @@
         return first
 
     async def _read(self, seq: int) -> segment_data.Stored | None:
-        return await segments.read(self._api, self._committer.cfg.shard, seq)
+        return await segments.read_segment(
+            self._api, self._committer.cfg.shard, seq
+        )
 
 
 def _may_be_forgotten(
--- a/beryllug/control/lease_balance.py
+++ b/beryllug/control/lease_balance.py
@@ -32,7 +32,7 @@
         self._tasks = tasks
         self._members = members
         self._successor_live_s = SUCCESSOR_LIVE_LEASES * lease_s
-        self._preferences = lease_spread.Spread()
+        self._preferences = lease_spread.LeasePreferences()
 
     def rank(self, name: str) -> int:
         """Return this process's rank for a lease; rank 0 is preferred."""
@@ -70,7 +70,9 @@
 
     def successor_address(self, name: str) -> str | None:
         """Return the address of the preferred member, except this one."""
-        successor = lease_spread.heir(self._preferences, name, self._own)
+        successor = lease_spread.successor_of(
+            self._preferences, name, self._own
+        )
         return self._members.address_of(successor) if successor else None
 
     def excess(self, held: Iterable[str]) -> str | None:
--- a/beryllug/control/lease_lookup.py
+++ b/beryllug/control/lease_lookup.py
@@ -32,10 +32,10 @@
     def started(self, member: str) -> int:
         """Return the start number of a member, 0 when it is not known."""
 
-    def publish(self, note: member_data.Note) -> None:
+    def publish(self, note: member_data.GossipNote) -> None:
         """Spread a note to all members."""
 
-    def note(self, key: str) -> member_data.Note | None:
+    def note(self, key: str) -> member_data.GossipNote | None:
         """Return a note that a member published, by its key."""
 
 
@@ -66,7 +66,7 @@
         """Announce to all members that this process holds a lease."""
         body = f'{owner.name} {owner.address}'
         self._members.publish(
-            member_data.Note(NOTE_PREFIX + name, fencing, body)
+            member_data.GossipNote(NOTE_PREFIX + name, fencing, body)
         )
 
     async def owner_of(
@@ -92,7 +92,7 @@
         return task
 
 
-def _from_note(note: member_data.Note | None) -> lease_data.Lease | None:
+def _from_note(note: member_data.GossipNote | None) -> lease_data.Lease | None:
     if note is None:
         return None
     holder, _, address = note.body.partition(' ')
--- a/beryllug/control/lease_outage.py
+++ b/beryllug/control/lease_outage.py
@@ -26,7 +26,7 @@
     def __init__(
         self,
         tasks: Mapping[str, lease_task.LeaseTask],
-        terms: lease_data.Terms,
+        terms: lease_data.LeaseTimings,
         balance: lease_balance.Balance,
     ) -> None:
         """Initialize with the lease tasks of this process."""
@@ -36,16 +36,16 @@
         self._balance = balance
         self._acquire_not_before = float('-inf')
 
-    def claim(self, name: str) -> lease_data.Standing:
+    def claim(self, name: str) -> lease_data.LeaseClaim:
         """Return the rank and the candidates of this process for a lease."""
-        return lease_data.Standing(
+        return lease_data.LeaseClaim(
             self._balance.rank(name),
             self._balance.candidates(name),
             name in self.unflushed,
             time.monotonic() >= self._acquire_not_before,
         )
 
-    def mark(self, name: str, *, unflushed: bool) -> None:
+    def mark_unflushed(self, name: str, *, unflushed: bool) -> None:
         """Set whether a lease has unflushed rows.
 
         The flag is written with the next renewal. When it is cleared the
@@ -82,7 +82,7 @@
             return float('-inf')
         return lease.outage_limit(task.state, self.terms)
 
-    def before(self, name: str) -> lease_data.Lease | None:
+    def previous_lease(self, name: str) -> lease_data.Lease | None:
         """Return a held lease as it was before this process acquired it."""
         task = self._tasks.get(name)
         return task.state.before if task else None
@@ -97,7 +97,7 @@
         self._acquire_not_before = max(self._acquire_not_before, until)
         for reset_task in self._tasks.values():
             reset_task.reset_observation()
-        return not any(task.state.taking for task in self._tasks.values())
+        return not any(task.state.acquiring for task in self._tasks.values())
 
     def held(self) -> tuple[outage_data.HeldLease, ...]:
         """Return the leases that this process holds, as far as it knows.
--- a/beryllug/control/lease_task.py
+++ b/beryllug/control/lease_task.py
@@ -8,7 +8,7 @@
 import msgspec
 from absl import logging
 
-from beryllug.control import lasting, waiters
+from beryllug.control import background_tasks, waiters
 from beryllug.core import lease, lease_data
 from beryllug.drivers import object_api, object_data
 
@@ -34,8 +34,8 @@
 
     api: object_api.ObjectApi
     owner: lease_data.Owner
-    terms: lease_data.Terms
-    claim: Callable[[str], lease_data.Standing]
+    terms: lease_data.LeaseTimings
+    claim: Callable[[str], lease_data.LeaseClaim]
     changed: Callable[[str, int], Awaitable[None]]
 
 
@@ -58,7 +58,9 @@
     def start(self) -> None:
         """Start to maintain the lease."""
         name = f'lease {self.state.name}'
-        self._task = asyncio.create_task(lasting.repeat(name, self._round))
+        self._task = asyncio.create_task(
+            background_tasks.run_repeatedly(name, self._round)
+        )
 
     async def stop(self) -> None:
         """Stop maintaining the lease, in whatever state it is."""
@@ -73,7 +75,7 @@
         self._not_held.clear()
         self.state.releasing = True
         self._wake.set()
-        released = await waiters.set_within(self._not_held, wait_s)
+        released = await waiters.wait_for_event(self._not_held, wait_s)
         self.state.releasing = False
         return released
 
@@ -104,7 +106,7 @@
             return False
         version = found.version if found else 0
         content = decode(found.value) if found else None
-        lease.observed(
+        lease.record_read(
             self.state,
             self._context.owner,
             self._context.terms,
@@ -134,7 +136,7 @@
             case lease.Write():
                 await self._write(action)
             case lease.Wait(until):
-                await waiters.set_within(self._wake, until - now)
+                await waiters.wait_for_event(self._wake, until - now)
                 self._wake.clear()
 
     async def _write(self, write: lease.Write) -> None:
@@ -147,13 +149,13 @@
                 write.expected_version,
             )
         except object_data.ConflictError:
-            lease.conflicted(self.state)
+            lease.record_conflict(self.state)
         except object_data.UncertainError:
-            lease.unsure(self.state, sent_at)
+            lease.record_unknown_result(self.state, sent_at)
         except object_data.ObjectApiError:
             await asyncio.sleep(RETRY_S)
         else:
-            lease.written(
+            lease.record_write(
                 self.state,
                 self._context.terms,
                 write,
--- a/beryllug/control/leases.py
+++ b/beryllug/control/leases.py
@@ -13,7 +13,7 @@
 
 from beryllug.control import (
     candidate_calls,
-    lasting,
+    background_tasks,
     lease_balance,
     lease_lookup,
     lease_outage,
@@ -57,7 +57,7 @@
         owner: lease_data.Owner,
         lease_s: float,
         members: lease_lookup.Members,
-        calls: rpc_peers.Caller | None = None,
+        calls: rpc_peers.PeerCaller | None = None,
     ) -> None:
         """Initialize the service; leases are maintained from `start` on.
 
@@ -75,7 +75,7 @@
         self._balance = lease_balance.Balance(
             owner.name, self._tasks, members, lease_s
         )
-        terms = lease_data.terms(lease_s)
+        terms = lease_data.lease_timings(lease_s)
         self.outage = lease_outage.LeaseOutage(
             self._tasks, terms, self._balance
         )
@@ -95,7 +95,7 @@
     async def start(self) -> None:
         """Start to maintain the wanted leases."""
         self._task = asyncio.create_task(
-            lasting.repeat('balance', self._keep_balance)
+            background_tasks.run_repeatedly('balance', self._keep_balance)
         )
         for task in self._tasks.values():
             task.start()
@@ -122,7 +122,9 @@
             for name, task in self._tasks.items()
         }
 
-    def want(self, name: str, listener: LeaseListener | None = None) -> None:
+    def keep_acquiring(
+        self, name: str, listener: LeaseListener | None = None
+    ) -> None:
         """Try to hold a lease from now on.
 
         Args:
@@ -167,7 +169,9 @@
         """
         return await self._lookup.owner_of(name, fresh=fresh)
 
-    async def handle_release(self, given: lease_data.Given) -> rpc_data.Empty:
+    async def handle_release(
+        self, given: lease_data.LeaseReleased
+    ) -> rpc_data.Empty:
         """Handle the notification that a lease was released."""
         task = self._tasks.get(given.name)
         if task is not None:
@@ -209,6 +213,6 @@
             await self._calls.call(
                 address,
                 methods.LEASE_GIVEN,
-                lease_data.Given(name),
+                lease_data.LeaseReleased(name),
                 NOTIFY_TIMEOUT_S,
             )
--- a/beryllug/control/leases_test.py
+++ b/beryllug/control/leases_test.py
@@ -28,7 +28,7 @@
         nodes = await asyncio.gather(
             *(self.start_node(name) for name in '1234')
         )
-        await nodes_test.until(lambda: any(node.owns() for node in nodes))
+        await nodes_test.wait_until(lambda: any(node.owns() for node in nodes))
         holders = [node for node in nodes if node.holds()]
         self.assertEqual(len(holders), 1)
         for node in nodes:
@@ -50,9 +50,9 @@
         await asyncio.sleep(0.05)
         await first.stop()
         stopped_at = time.monotonic()
-        await nodes_test.until(second.owns)
+        await nodes_test.wait_until(second.owns)
         self.assertLess(time.monotonic() - stopped_at, MAX_HAND_OVER_S)
-        self.network.silent.add('127.0.0.1:1')
+        self.network.isolated.add('127.0.0.1:1')
         kinds = await asking
         self.assertEqual(set(kinds), {Kind.GRANTED})
         log = self.log()
@@ -65,13 +65,13 @@
         The old holder hands over one shard at a time, after flushing it, so
         no request that arrives meanwhile is refused.
         """
-        self.sizes = nodes_test.Sizes(shards=4)
+        self.sizes = nodes_test.ClusterSettings(shards=4)
         first = await self.start_owner('1')
-        await nodes_test.until(lambda: len(self._served(first)) == 4)
+        await nodes_test.wait_until(lambda: len(self._served(first)) == 4)
         first.client.delay_s = nodes_test.POLL_S
         asking = asyncio.create_task(self._ask_all(first))
         second = await self.start_node('2')
-        await nodes_test.until(lambda: len(self._served(second)) == 2)
+        await nodes_test.wait_until(lambda: len(self._served(second)) == 2)
         self.balanced.set()
         self.assertEqual(set(await asking), {Kind.GRANTED})
         await asyncio.sleep(1.5 * self.sizes.lease_s)
@@ -81,8 +81,8 @@
     async def test_release(self) -> None:
         """A lease that is no longer wanted is released at once."""
         first = await self.start_node('1')
-        first.leases.want('suspects')
-        await nodes_test.until(
+        first.leases.keep_acquiring('suspects')
+        await nodes_test.wait_until(
             lambda: first.leases.held('suspects', time.monotonic())
         )
         await first.leases.release('suspects')
@@ -98,7 +98,7 @@
             row = nodes_test.intent(f'r{number}', f'k{number}')
             grant = await node.begin(row)
             kinds.append(grant.kind)
-            await self.finish_at_last(node, nodes_test.outcome(row))
+            await self.finish_until_durable(node, nodes_test.outcome(row))
         return kinds
 
     async def _ask_all(
--- a/beryllug/control/membership.py
+++ b/beryllug/control/membership.py
@@ -8,7 +8,9 @@
 from beryllug.drivers import fleet_key, methods, rpc, rpc_peers
 
 MS_PER_S = 1000
-NO_PEERS = probing.Join('', (), 1.0, rpc_peers.Peers(fleet_key.KeyRing(())))
+NO_PEERS = probing.MembershipSettings(
+    '', (), 1.0, rpc_peers.Peers(fleet_key.KeyRing(()))
+)
 
 
 class Server(Protocol):
@@ -22,7 +24,10 @@
     """The live control processes as this process knows them."""
 
     def __init__(
-        self, name: str, address: str, join: probing.Join | None = None
+        self,
+        name: str,
+        address: str,
+        join: probing.MembershipSettings | None = None,
     ) -> None:
         """Initialize the service; it knows only itself before `start`.
 
@@ -93,11 +98,11 @@
         found = membership.find(self._prober.table, member)
         return found.started if found else 0
 
-    def publish(self, note: member_data.Note) -> None:
+    def publish(self, note: member_data.GossipNote) -> None:
         """Spread a note to all members."""
         membership.merge_note(self._prober.table, note)
 
-    def note(self, key: str) -> member_data.Note | None:
+    def note(self, key: str) -> member_data.GossipNote | None:
         """Return a note that a member published, by its key."""
         return self._prober.table.notes.get(key)
 
--- a/beryllug/control/membership_test.py
+++ b/beryllug/control/membership_test.py
@@ -38,7 +38,7 @@
 
 
 class Link:
-    """One member's access to the network; implements `rpc_peers.Caller`."""
+    """One member's access to the network; implements `rpc_peers.PeerCaller`."""
 
     def __init__(self, network: Network, address: str) -> None:
         """Use the address of the member as that of the caller."""
@@ -162,7 +162,9 @@
             lambda member, revision: heard.update({member.name: revision})
         )
         for number, body in ((2, 'new'), (1, 'old')):
-            members['1'].publish(member_data.Note('lease/x', number, body))
+            members['1'].publish(
+                member_data.GossipNote('lease/x', number, body)
+            )
         for each_member in members.values():
             each_member.announce_revision(7)
         await self._until(
@@ -210,7 +212,7 @@
 
     async def _start_one(self, name: str) -> None:
         link = Link(self.network, name)
-        join = probing.Join('zone', ('0', '1'), ROUND_S, link)
+        join = probing.MembershipSettings('zone', ('0', '1'), ROUND_S, link)
         member = membership.Membership(name, name, join)
         member.serve(link)
         self.network.members[name] = member
--- a/beryllug/control/nodes_test.py
+++ b/beryllug/control/nodes_test.py
@@ -35,7 +35,7 @@
 ACCOUNT = 'kesarvan'
 
 
-Got = TypeVar('Got')
+Result = TypeVar('Result')
 
 
 class Network:
@@ -43,8 +43,8 @@
 
     Attributes:
         handlers: Handlers by address and method name.
-        silent: Addresses whose calls fail in both directions.
-        losing: Addresses whose replies are dropped.
+        isolated: Addresses whose calls fail in both directions.
+        drops_replies: Addresses whose replies are dropped.
         held: Names of methods whose calls are blocked.
         calls: Numbers of calls by method name.
     """
@@ -52,8 +52,8 @@
     def __init__(self) -> None:
         """Initialize an empty network."""
         self.handlers: dict[tuple[str, str], rpc.Unary] = {}
-        self.silent: set[str] = set()
-        self.losing: set[str] = set()
+        self.isolated: set[str] = set()
+        self.drops_replies: set[str] = set()
         self.held: set[str] = set()
         self.calls: Counter[str] = Counter()
 
@@ -70,16 +70,16 @@
         while method.name in self.held:
             await asyncio.sleep(POLL_S)
         handler = self.handlers.get((address, method.name))
-        if handler is None or address in self.silent:
+        if handler is None or address in self.isolated:
             raise rpc.RpcError('UNAVAILABLE', 'failed to connect')
         reply: rpc.Reply = await handler(ask)
-        if address in self.losing:
+        if address in self.drops_replies:
             raise rpc.RpcError('DEADLINE_EXCEEDED', address)
         return reply
 
 
 class Link:
-    """One node's access to the network; implements `rpc_peers.Caller`."""
+    """One node's access to the network; implements `rpc_peers.PeerCaller`."""
 
     def __init__(self, network: Network, address: str) -> None:
         """Use the address of the node as that of the caller."""
@@ -94,7 +94,7 @@
         timeout_s: float,
     ) -> rpc.Reply:
         """Call another node, unless this node is isolated or stopped."""
-        if self._address in self._network.silent:
+        if self._address in self._network.isolated:
             raise rpc.RpcError('UNAVAILABLE', 'failed to connect')
         return await self._network.call(address, method, ask, timeout_s)
 
@@ -105,7 +105,7 @@
     def __init__(self) -> None:
         """Initialize an empty membership."""
         self.names: list[str] = []
-        self.notes: dict[str, member_data.Note] = {}
+        self.notes: dict[str, member_data.GossipNote] = {}
         self.starts: dict[str, int] = {}
 
     def live(self, now: float) -> tuple[str, ...]:
@@ -124,15 +124,15 @@
         """Return the start number of a member."""
         return self.starts.get(member, 1)
 
-    def publish(self, note: member_data.Note) -> None:
+    def publish(self, note: member_data.GossipNote) -> None:
         """Discard the note; the fake network does not spread notes."""
 
-    def note(self, key: str) -> member_data.Note | None:
+    def note(self, key: str) -> member_data.GossipNote | None:
         """Return a note set by the test."""
         return self.notes.get(key)
 
 
-class Sizes(NamedTuple):
+class ClusterSettings(NamedTuple):
     """Settings that all nodes of a test share."""
 
     shards: int = 1
@@ -148,7 +148,7 @@
         network: Network,
         members: Members,
         name: str,
-        sizes: 'Sizes',
+        sizes: 'ClusterSettings',
     ) -> None:
         """Initialize the node; `start` runs it."""
         address = f'127.0.0.1:{name}'
@@ -165,7 +165,9 @@
         cfg = settings_data.Control(
             address, (), '', '', shards=sizes.shards, commits_per_s=1000
         )
-        parts = journal.Parts(self.client, self.leases, Link(network, address))
+        parts = journal.JournalServices(
+            self.client, self.leases, Link(network, address)
+        )
         self.journal = journal.Journal(parts, cfg, boot)
         self._endpoint = network, address
         self.journal.serve(self)
@@ -187,19 +189,19 @@
         Unlike in a frozen process its reads and timers go on. The tests
         check only what it does with a lease that has expired.
         """
-        network.silent.add(f'127.0.0.1:{self.name}')
-        self.client.faulty = 'beryllug/'
+        network.isolated.add(f'127.0.0.1:{self.name}')
+        self.client.fault_prefix = 'beryllug/'
         self.client.gate.clear()
 
-    def wake(self, network: Network) -> None:
+    def resume(self, network: Network) -> None:
         """Resume a paused node."""
-        network.silent.discard(f'127.0.0.1:{self.name}')
+        network.isolated.discard(f'127.0.0.1:{self.name}')
         self.client.gate.set()
 
     async def kill(self, network: Network) -> None:
         """Stop at once as by SIGKILL, without flushing or releasing."""
-        network.silent.add(f'127.0.0.1:{self.name}')
-        self.client.cut = True
+        network.isolated.add(f'127.0.0.1:{self.name}')
+        self.client.is_disconnected = True
         await self.journal.stop(0)
         await self.leases.stop(0)
 
@@ -239,7 +241,7 @@
 class NodesCase(virtual_time_test.VirtualTimeCase):
     """Creates a store and a network, and stops all nodes after the test."""
 
-    sizes = Sizes()
+    sizes = ClusterSettings()
 
     async def asyncSetUp(self) -> None:
         """Create the store and the network."""
@@ -266,19 +268,21 @@
     async def start_owner(self, name: str) -> Node:
         """Start a node and wait until it serves the shard."""
         node = await self.start_node(name)
-        await until(node.owns)
+        await wait_until(node.owns)
         return node
 
     async def restart_node(self, name: str) -> Node:
         """Restart a killed node under the same name."""
         self.members.starts[name] = self.members.started(name) + 1
-        self.network.silent.discard(f'127.0.0.1:{name}')
+        self.network.isolated.discard(f'127.0.0.1:{name}')
         node = Node(self.store, self.network, self.members, name, self.sizes)
         self.nodes.append(node)
         await node.start()
         return node
 
-    async def finish_at_last(self, node: Node, row: journal_data.Row) -> None:
+    async def finish_until_durable(
+        self, node: Node, row: journal_data.Row
+    ) -> None:
         """Send an outcome until it is acknowledged, as an entry does."""
         async with asyncio.timeout(WAIT_S):
             while not await node.finish(row):
@@ -287,9 +291,9 @@
     def rows(self) -> list[journal_data.Row]:
         """Return all rows of the log that the platform stores."""
         found: list[journal_data.Row] = []
-        for key, stored in sorted(self.store.kept.items()):
+        for key, stored in sorted(self.store.stored_objects.items()):
             if key.startswith(f'{segments.PREFIX}/'):
-                found.extend(segments.decode(stored.value).rows)
+                found.extend(segments.decode_segment(stored.value).rows)
         return found
 
     def log(self) -> list[tuple[str, str]]:
@@ -297,7 +301,7 @@
         return [(row.state or row.kind, row.request_id) for row in self.rows()]
 
 
-async def until(condition: Callable[[], Any]) -> None:
+async def wait_until(condition: Callable[[], Any]) -> None:
     """Wait until a condition holds; fail the test after `WAIT_S`."""
     async with asyncio.timeout(WAIT_S):
         while not condition():
--- a/beryllug/control/operator_replies.py
+++ b/beryllug/control/operator_replies.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from beryllug.control import config_desk
-from beryllug.core import config_data, finding, plain
+from beryllug.control import config_admin
+from beryllug.core import config_data, finding, record_codec
 from beryllug.drivers import (
     config_store,
     http_data,
@@ -65,14 +65,14 @@
 
 
 def apply_reply(
-    outcome: config_desk.Outcome, params: config_desk.ApplyParams
+    outcome: config_admin.Outcome, params: config_admin.ApplyParams
 ) -> Reply:
     """Turn the outcome of an apply into a reply."""
     if outcome.is_ok():
         accepted = {'revision': outcome.unwrap(), 'apply_id': params.apply_id}
         return Reply(OK, accepted)
     match outcome.unwrap_err():
-        case config_desk.Invalid(findings):
+        case config_admin.Invalid(findings):
             return invalid_reply(findings)
         case config_store.Conflict() as conflict:
             return _conflict(conflict)
@@ -90,7 +90,7 @@
     base_reply = error_reply(
         INVALID, 'invalid', 'refused whole; mend all findings'
     )
-    listed = plain.to_plain(tuple(findings))
+    listed = record_codec.to_plain(tuple(findings))
     return Reply(INVALID, {**base_reply.body, 'findings': listed})
 
 
@@ -106,7 +106,7 @@
             **base_reply.body,
             'revision': conflict.revision,
             'author': conflict.author,
-            'differences': plain.to_plain(conflict.differences),
+            'differences': record_codec.to_plain(conflict.differences),
         },
     )
 
@@ -115,12 +115,12 @@
     return Reply(status, {'error': error, 'message': message})
 
 
-def apply_params(query: Query, expect: int) -> config_desk.ApplyParams:
+def apply_params(query: Query, expect: int) -> config_admin.ApplyParams:
     author = identifier_param(query, 'author')
     apply_id = query.get('apply_id') or uuid.uuid4().hex
     if IDENTIFIER.fullmatch(apply_id) is None:
         raise UsageError('apply_id must be a word')
-    return config_desk.ApplyParams(expect, author, apply_id)
+    return config_admin.ApplyParams(expect, author, apply_id)
 
 
 def version_ref_param(query: Query) -> config_data.VersionRef:
--- a/beryllug/control/operators.py
+++ b/beryllug/control/operators.py
@@ -6,12 +6,12 @@
 
 from beryllug.control import (
     config,
-    config_desk,
+    config_admin,
     console,
     fleet_status,
 )
 from beryllug.control import operator_replies as replies
-from beryllug.core import config_data, diff, document_plain, edits, plain
+from beryllug.core import config_data, diff, document_plain, edits, record_codec
 from beryllug.drivers import rpc, rpc_peers
 from beryllug.kernel import ops
 
@@ -30,7 +30,7 @@
 
 
 def routes(
-    admin: config_desk.ConfigDesk,
+    admin: config_admin.ConfigAdmin,
     status: fleet_status.FleetStatus,
     usage: Usage | None = None,
 ) -> ops.Routes:
@@ -53,9 +53,9 @@
     return {**served, **console.Console(admin).routes()}
 
 
-def for_control(
+def control_routes(
     view: config.Config,
-    calls: rpc_peers.Caller,
+    calls: rpc_peers.PeerCaller,
     server: rpc.RpcServer,
     usage: Usage | None = None,
 ) -> ops.Routes:
@@ -69,13 +69,13 @@
     """
     status = fleet_status.FleetStatus(view, calls)
     status.serve(server)
-    return routes(config_desk.ConfigDesk(view), status, usage)
+    return routes(config_admin.ConfigAdmin(view), status, usage)
 
 
 class ConfigRoutes:
     """Shows, validates and applies whole documents."""
 
-    def __init__(self, admin: config_desk.ConfigDesk) -> None:
+    def __init__(self, admin: config_admin.ConfigAdmin) -> None:
         """Bind to the configuration operations."""
         self._admin = admin
 
@@ -118,7 +118,7 @@
     async def history(self, query: Query, body: bytes) -> replies.Reply:
         """Show author and time of the last revisions."""
         shown = await self._admin.show()
-        listed = plain.to_plain(shown.root.history)
+        listed = record_codec.to_plain(shown.root.history)
         return replies.Reply(replies.OK, {'history': listed})
 
     async def schema(self, query: Query, body: bytes) -> replies.Reply:
@@ -143,7 +143,7 @@
             replies.OK,
             {
                 'revision': shown.root.revision,
-                'differences': plain.to_plain(differences),
+                'differences': record_codec.to_plain(differences),
             },
         )
 
@@ -160,7 +160,7 @@
 class EditRoutes:
     """Edits versions and rollouts of the current document."""
 
-    def __init__(self, admin: config_desk.ConfigDesk) -> None:
+    def __init__(self, admin: config_admin.ConfigAdmin) -> None:
         """Bind to the configuration operations."""
         self._admin = admin
 
@@ -189,7 +189,9 @@
     async def start(self, query: Query, body: bytes) -> replies.Reply:
         """Start the rollout that the body declares."""
         try:
-            rollout = plain.from_plain(config_data.Rollout, json.loads(body))
+            rollout = record_codec.from_plain(
+                config_data.Rollout, json.loads(body)
+            )
         except (TypeError, ValueError) as exc:
             reason = f'the body is no roll-out: {exc}'
             raise replies.UsageError(reason) from exc
@@ -206,7 +208,7 @@
         return await self._edit(edits.StopRollout(model), query)
 
     async def _edit(self, edit: edits.Edit, query: Query) -> replies.Reply:
-        expect = config_desk.CURRENT_REVISION
+        expect = config_admin.CURRENT_REVISION
         if 'expect' in query:
             expect = replies.integer_param(query, 'expect')
         params = replies.apply_params(query, expect)
@@ -236,7 +238,7 @@
         return replies.Reply(
             replies.OK,
             {
-                'processes': plain.to_plain(processes),
+                'processes': record_codec.to_plain(processes),
                 'servers': self._status.backend_servers(),
             },
         )
@@ -246,5 +248,5 @@
         if self._usage is None:
             message = 'this process keeps no bills'
             return replies.error_reply(replies.NOT_FOUND, 'unknown', message)
-        shown = plain.to_plain(await self._usage.usage())
+        shown = record_codec.to_plain(await self._usage.usage())
         return replies.Reply(replies.OK, shown)
--- a/beryllug/control/operators_test.py
+++ b/beryllug/control/operators_test.py
@@ -9,7 +9,7 @@
 
 from beryllug.control import (
     config,
-    config_desk,
+    config_admin,
     fleet_status,
     operators,
 )
@@ -141,14 +141,14 @@
     """Operations of operators, and the replies to refused ones."""
 
     async def asyncSetUp(self) -> None:
-        no_pause = mock.patch.object(config_store, 'PAUSE_S', 0)
+        no_pause = mock.patch.object(config_store, 'RETRY_DELAY_S', 0)
         no_pause.start()
         self.addCleanup(no_pause.stop)
         self.api = object_fake_test.FakeObjects()
         calls = _NoPeers()
         self.view = config.Config(PROCESS, CONTROL, self.api, calls)
         status = fleet_status.FleetStatus(self.view, calls)
-        admin = config_desk.ConfigDesk(self.view)
+        admin = config_admin.ConfigAdmin(self.view)
         self.operators = ops.Operators(
             OPERATORS,
             registry.Registry(),
@@ -236,7 +236,7 @@
         target = '/v1/config?expect=1&author=ann&apply_id=mine'
         status, body = await self.call('POST', target, HEAVIER)
         self.assertEqual((status, body['apply_id']), (504, 'mine'))
-        self.api.drop.clear()
+        self.api.lost_requests.clear()
         status, body = await self.call('POST', target, HEAVIER)
         self.assertEqual((status, body['revision']), (200, 2))
 
@@ -302,7 +302,7 @@
 
     async def test_status(self) -> None:
         """All processes are listed, also those that don't answer."""
-        stream = self.view.feed.stream(rpc_data.ViewAsk('e0', 'zone-1'))
+        stream = self.view.feed.stream(rpc_data.ViewRequest('e0', 'zone-1'))
         self.view.feed.open()
         await anext(stream)
         follow = anext(stream)
@@ -344,8 +344,8 @@
 
     async def _lose_root_reply(self, key: str) -> None:
         if key == config_root.KEY:
-            self.api.lose = [f'write {key}']
-            self.api.drop = list(itertools.repeat(f'read {key}', 100))
+            self.api.lost_responses = [f'write {key}']
+            self.api.lost_requests = list(itertools.repeat(f'read {key}', 100))
         else:
             self.api.before_write = self._lose_root_reply
 
--- a/beryllug/control/order_sender.py
+++ b/beryllug/control/order_sender.py
@@ -96,7 +96,7 @@
 
     def __init__(self, pool: str, context: SenderContext) -> None:
         """Initialize the sender; `start` runs it."""
-        self.book: orders_data.Book | None = None
+        self.book: orders_data.SenderState | None = None
         self._pool = pool
         self._name = LEASE_PREFIX + pool
         self._context = context
@@ -180,7 +180,7 @@
             *(self._order(book, step, terms) for step in due_steps)
         )
 
-    def _book_for_lease(self, now: float) -> orders_data.Book | None:
+    def _book_for_lease(self, now: float) -> orders_data.SenderState | None:
         """Return the book of the lease held now; a new one for a new token.
 
         Returns None without a lease, during a pause, and while the
@@ -191,14 +191,14 @@
         if token is None or now < self._paused_until:
             self.book = None
         elif self.book is None or self.book.fencing != token.fencing:
-            self.book = orders_data.Book(token.fencing, now)
+            self.book = orders_data.SenderState(token.fencing, now)
         return self.book if self._context.accepts() else None
 
     async def _order(
         self,
-        book: orders_data.Book,
-        step: orders_data.Step,
-        terms: orders_data.Terms,
+        book: orders_data.SenderState,
+        step: orders_data.EngineOrder,
+        terms: orders_data.OrderLimits,
     ) -> None:
         """Read current load reports, then send the order if still needed."""
         try:
@@ -212,9 +212,9 @@
 
     async def _confirm(
         self,
-        book: orders_data.Book,
-        step: orders_data.Step,
-        terms: orders_data.Terms,
+        book: orders_data.SenderState,
+        step: orders_data.EngineOrder,
+        terms: orders_data.OrderLimits,
     ) -> bool:
         """Tell whether current load reports still require an order."""
         parts = self._context.parts()
@@ -224,7 +224,7 @@
         if isinstance(step, orders_data.Unload):
             keeper_id = orders.keeper(step.ref, world)
             servers_to_read.add(keeper_id or step.server_id)
-        for sight in world.sights:
+        for sight in world.engine_reports:
             if sight.server_id in servers_to_read:
                 report = await self._context.engines.load(sight.address)
                 book.superseded |= report.fencing > book.fencing
@@ -233,15 +233,15 @@
             if not await self._context.weights.admit(step.ref):
                 return False
         pool = order_world.engine_pool(parts.document, self._pool)
-        return pool is not None and orders.still_stands(
+        return pool is not None and orders.is_still_valid(
             book, pool, step, world, terms, time.monotonic()
         )
 
     async def _write(
         self,
-        book: orders_data.Book,
-        step: orders_data.Step,
-        terms: orders_data.Terms,
+        book: orders_data.SenderState,
+        step: orders_data.EngineOrder,
+        terms: orders_data.OrderLimits,
     ) -> None:
         address = order_world.address(self._context.parts(), step.server_id)
         order = _order_of(step, book.fencing)
@@ -264,7 +264,10 @@
             self._log(step, 'accepted', None)
 
     def _may_write(
-        self, book: orders_data.Book, terms: orders_data.Terms, now: float
+        self,
+        book: orders_data.SenderState,
+        terms: orders_data.OrderLimits,
+        now: float,
     ) -> bool:
         """Check the lease right before the order is written.
 
@@ -281,7 +284,7 @@
         self._counts[outcome] = self._counts.get(outcome, 0) + 1
 
     def _log(
-        self, step: orders_data.Step, outcome: str, exc: Exception | None
+        self, step: orders_data.EngineOrder, outcome: str, exc: Exception | None
     ) -> None:
         self._count(outcome)
         logging.info(
@@ -296,7 +299,7 @@
         )
 
 
-def _order_of(step: orders_data.Step, fencing: int) -> engine_data.Order:
+def _order_of(step: orders_data.EngineOrder, fencing: int) -> engine_data.Order:
     kind = engine_data.OrderKind.LOAD
     if isinstance(step, orders_data.Unload):
         kind = engine_data.OrderKind.UNLOAD
--- a/beryllug/control/order_world.py
+++ b/beryllug/control/order_world.py
@@ -33,7 +33,7 @@
 
 def terms(
     document: config_data.Document | None, lease_s: float, grace_s: float
-) -> orders_data.Terms:
+) -> orders_data.OrderLimits:
     """Return the timeouts and delays of orders.
 
     Args:
@@ -45,7 +45,7 @@
     targets = document.targets if document else ()
     longest_ms = max((target.total_ms for target in targets), default=0)
     write_s = lease_s * WRITE_SHARE
-    return orders_data.Terms(
+    return orders_data.OrderLimits(
         write_s=write_s,
         settle_s=lease_s + write_s,
         grace_s=grace_s,
@@ -57,7 +57,7 @@
 
 def world(
     parts: view_parts.ViewParts, pool: str, clock_offset: float
-) -> orders_data.World:
+) -> orders_data.PoolSnapshot:
     """Return the known state of a pool.
 
     Args:
@@ -75,15 +75,15 @@
         and server.server_id in loads
     )
     document = parts.document or config_data.Document()
-    return orders_data.World(document, parts.rollouts, sights)
+    return orders_data.PoolSnapshot(document, parts.rollouts, sights)
 
 
 def with_report(
-    before: orders_data.World,
-    sight: orders_data.Sight,
+    before: orders_data.PoolSnapshot,
+    sight: orders_data.EngineReport,
     report: engine_data.LoadReport,
     clock_offset: float,
-) -> orders_data.World:
+) -> orders_data.PoolSnapshot:
     """Return the state updated with a new load report of one engine."""
     updated = sight._replace(
         loaded=frozenset(report.loaded),
@@ -92,9 +92,9 @@
     )
     sights = tuple(
         updated if one.server_id == sight.server_id else one
-        for one in before.sights
+        for one in before.engine_reports
     )
-    return before._replace(sights=sights)
+    return before._replace(engine_reports=sights)
 
 
 def address(parts: view_parts.ViewParts, server_id: str) -> str | None:
@@ -110,8 +110,8 @@
     server: view_data.BackendServer,
     load: view_data.ServerLoad,
     clock_offset: float,
-) -> orders_data.Sight:
-    return orders_data.Sight(
+) -> orders_data.EngineReport:
+    return orders_data.EngineReport(
         server.server_id,
         server.address,
         frozenset(load.loaded),
--- a/beryllug/control/orders.py
+++ b/beryllug/control/orders.py
@@ -21,7 +21,7 @@
 class Leases(order_sender.LeaseChecker, Protocol):
     """The part of the leases service that is used here."""
 
-    def want(
+    def keep_acquiring(
         self, name: str, listener: leases.LeaseListener | None = None
     ) -> None:
         """Try to hold a lease from now on."""
@@ -106,7 +106,7 @@
         sender = order_sender.OrderSender(pool, self._context)
         self._senders[pool] = sender
         sender.start()
-        self._leases.want(order_sender.LEASE_PREFIX + pool, self)
+        self._leases.keep_acquiring(order_sender.LEASE_PREFIX + pool, self)
 
     async def _drop_pool(self, pool: str) -> None:
         await self._senders.pop(pool).stop()
--- a/beryllug/control/shard_cover.py
+++ b/beryllug/control/outage_replicator.py
@@ -64,9 +64,9 @@
         self._refuse_new_until = float('-inf')
         self._flush_announced = False
         self._flush_notices = 0
-        previous = services.leases.before(ownership.lease_name)
+        previous = services.leases.previous_lease(ownership.lease_name)
         if previous is not None and previous.holder:
-            services.leases.mark(ownership.lease_name, unflushed=True)
+            services.leases.mark_unflushed(ownership.lease_name, unflushed=True)
 
     def dump(self) -> dict[str, Any]:
         """Return the state."""
@@ -79,7 +79,7 @@
 
     def valid_s(self) -> float:
         """Return for how long it is certain that nobody takes the lease."""
-        return self._services.promises.valid_s(self._ownership.lease_name)
+        return self._services.promises.covered_s(self._ownership.lease_name)
 
     def refuses_new(self, now: float) -> bool:
         """Tell whether unknown keys are refused as copies may be missing.
@@ -89,12 +89,19 @@
         """
         return now < self._refuse_new_until
 
-    async def cover(self, row: journal_data.Row) -> bool:
+    async def replicate(self, row: journal_data.Row) -> bool:
         """Copy an intent to a candidate; tell whether it may be granted."""
-        if await self._services.promises.cover(self._ownership.lease_name) <= 0:
+        if (
+            await self._services.promises.ensure_covered(
+                self._ownership.lease_name
+            )
+            <= 0
+        ):
             return False
         self._flush_announced = False
-        self._services.leases.mark(self._ownership.lease_name, unflushed=True)
+        self._services.leases.mark_unflushed(
+            self._ownership.lease_name, unflushed=True
+        )
         return await self._queue.put(row)
 
     async def prepare(
@@ -105,7 +112,7 @@
             now = time.monotonic()
             self._refuse_new_until = now + outage.QUARANTINE_S
 
-    async def tend(
+    async def maintain(
         self, state: shard_state.ShardState, reader: readback.RowReader
     ) -> None:
         """Gather missing copies, replace lost ones, or announce the flush."""
@@ -115,9 +122,9 @@
         if state.unflushed:
             await self._replace_lost_copies(state)
         elif not self.refuses_new(now) and not self._flush_announced:
-            await self.settle()
+            await self.announce_flushed()
 
-    async def end(self, state: shard_state.ShardState) -> bool:
+    async def end_ownership(self, state: shard_state.ShardState) -> bool:
         """End the ownership; tell whether the lease may be released.
 
         If not, the next owner has to gather copies. The processes that
@@ -128,12 +135,12 @@
             return False
         if self.refuses_new(time.monotonic()):
             return False
-        await self.settle()
+        await self.announce_flushed()
         return True
 
-    async def settle(self) -> None:
+    async def announce_flushed(self) -> None:
         """Tell candidates to drop copies, then mark the lease as flushed."""
-        request = outage_data.FlushedAsk(
+        request = outage_data.FlushedRequest(
             self._ownership.shard, self._ownership.fencing
         )
         for name in sorted(self._copy_holders):
@@ -144,10 +151,10 @@
             # The candidate is considered gone. If it does return, its copies
             # belong to keys with a final outcome, and `_gather` skips them.
             self._copy_holders.clear()
-        await self._services.copies.drop(request)
+        await self._services.copies.drop_copies(request)
         self._flush_announced = not self._copy_holders
         if self._flush_announced:
-            self._services.leases.mark(
+            self._services.leases.mark_unflushed(
                 self._ownership.lease_name, unflushed=False
             )
 
@@ -167,7 +174,7 @@
             for candidate in self._services.leases.candidates(
                 self._ownership.lease_name
             )
-            if not self._services.promises.is_held(
+            if not self._services.promises.is_promise_valid(
                 self._ownership.lease_name, candidate
             )
         }
@@ -178,8 +185,10 @@
     async def _gather(
         self, state: shard_state.ShardState, reader: readback.RowReader
     ) -> bool:
-        previous = self._services.leases.before(self._ownership.lease_name)
-        request = outage_data.GatherAsk(
+        previous = self._services.leases.previous_lease(
+            self._ownership.lease_name
+        )
+        request = outage_data.GatherRequest(
             self._ownership.shard,
             self._ownership.fencing,
             previous.boot if previous else '',
@@ -187,7 +196,7 @@
         gathered = await self._services.copies.gather(previous, request)
         for row in gathered.rows:
             if not await _is_ended(state, reader, row):
-                journal_log.gathered(state, row, time.monotonic())
+                journal_log.add_gathered_intent(state, row, time.monotonic())
         if previous is not None and gathered.rows:
             names = (candidate.name for candidate in previous.candidates)
             self._copy_holders.update(names)
@@ -203,8 +212,8 @@
 
     def _copy_request(
         self, rows: tuple[journal_data.Row, ...]
-    ) -> outage_data.CopyAsk:
-        return outage_data.CopyAsk(
+    ) -> outage_data.CopyRequest:
+        return outage_data.CopyRequest(
             self._ownership.shard, self._ownership.fencing, rows
         )
 
@@ -232,14 +241,14 @@
     Raises:
         ObjectApiError: The log can't be read at present.
     """
-    if journal.ends_soon(state, row):
+    if journal.pending_final_outcome(state, row):
         return True
     seq = journal.find_latest(
         state, journal_data.RowKind.OUTCOME, row.account_id, row.shard_key
     )
     if seq is None:
         return False
-    found = await reader.about_key(seq, row)
+    found = await reader.find_deciding_row(seq, row)
     if found is None:
         raise object_data.UnavailableError(f'segment {seq} is unreadable')
     deciding_row = found.row
