--- a/beryllug/control/outage_test.py
+++ b/beryllug/control/outage_test.py
@@ -24,12 +24,12 @@
         self.owner = await self.start_owner('1')
         self.second = await self.start_node('2')
         self.third = await self.start_node('3')
-        await nodes_test.until(self.is_settled)
+        await nodes_test.wait_until(self.is_settled)
 
     async def outage(self) -> None:
         """Stop the store and wait until promises cover the owner."""
         self.store.down = True
-        await nodes_test.until(lambda: self.covered_s() > 0)
+        await nodes_test.wait_until(lambda: self.covered_s() > 0)
 
     def covered_s(self) -> float:
         """Return for how long promises cover the owner."""
@@ -63,7 +63,9 @@
 
     def lease(self) -> lease_data.Lease:
         """Return the lease that the platform stores."""
-        stored = self.store.kept[lease_task.PREFIX + shards.lease_name(0)]
+        stored = self.store.stored_objects[
+            lease_task.PREFIX + shards.lease_name(0)
+        ]
         return lease_task.decode(stored.value)
 
 
@@ -88,12 +90,12 @@
         await asyncio.sleep(3 * self.sizes.lease_s)
         await self.grant('two')
         self.store.down = False
-        await self.finish_at_last(self.second, nodes_test.outcome(row))
-        await self.finish_at_last(self.second, nodes_test.outcome(before))
-        await nodes_test.until(
+        await self.finish_until_durable(self.second, nodes_test.outcome(row))
+        await self.finish_until_durable(self.second, nodes_test.outcome(before))
+        await nodes_test.wait_until(
             lambda: not self.copies(self.second) + self.copies(self.third)
         )
-        await nodes_test.until(self.is_settled)
+        await nodes_test.wait_until(self.is_settled)
         self.assertTrue(self.owner.owns())
         self.assertEqual(
             sorted(self.log()),
@@ -115,7 +117,7 @@
         self.store.down = True
         await self.grant('one')
         self.store.down = False
-        await nodes_test.until(lambda: ('intent', 'one') in self.log())
+        await nodes_test.wait_until(lambda: ('intent', 'one') in self.log())
         for node in self.nodes:
             node.client.delay_s = 30
         start = time.monotonic()
@@ -129,12 +131,14 @@
         must stop granting. Its requests are refused as "not run" until another
         process has acquired the lease.
         """
-        self.owner.client.cut = True
+        self.owner.client.is_disconnected = True
         row = nodes_test.intent('one')
-        await nodes_test.until(lambda: not self.owner.holds())
+        await nodes_test.wait_until(lambda: not self.owner.holds())
         grant = await self.owner.begin(row)
         self.assertEqual(grant.kind, Kind.UNAVAILABLE)
-        await nodes_test.until(lambda: self.second.owns() or self.third.owns())
+        await nodes_test.wait_until(
+            lambda: self.second.owns() or self.third.owns()
+        )
         grant = await self.second.begin(row)
         self.assertEqual(grant.kind, Kind.GRANTED)
 
@@ -144,8 +148,8 @@
         That candidate may reach the platform and acquire the lease.
         """
         await self.outage()
-        self.network.silent.add('127.0.0.1:3')
-        await nodes_test.until(lambda: not self.covered_s())
+        self.network.isolated.add('127.0.0.1:3')
+        await nodes_test.wait_until(lambda: not self.covered_s())
         grant = await self.owner.begin(nodes_test.intent('one'))
         self.assertEqual(grant.kind, Kind.UNAVAILABLE)
 
@@ -158,7 +162,7 @@
         await self.outage()
         self.network.held.update(('Copy', 'Promise'))
         asked = asyncio.create_task(self.owner.begin(nodes_test.intent('one')))
-        await nodes_test.until(lambda: not self.covered_s())
+        await nodes_test.wait_until(lambda: not self.covered_s())
         self.network.held.remove('Copy')
         self.assertEqual((await asked).kind, Kind.UNAVAILABLE)
 
@@ -191,7 +195,7 @@
         self.store.down = False
         successor = await self._successor()
         self.assertEqual(await self.ask(successor, 'one'), Kind.UNKNOWN)
-        await self.finish_at_last(successor, nodes_test.outcome(row))
+        await self.finish_until_durable(successor, nodes_test.outcome(row))
         self.assertEqual(await self.ask(successor, 'one'), Kind.FINISHED)
         self.assertEqual(self.log(), [('intent', 'one'), ('done', 'one')])
         await self.grant_by(successor, 'other')
@@ -207,13 +211,13 @@
         await self.grant('one')
         self.owner.client.gate.clear()
         for node in (self.second, self.third):
-            node.client.cut = True
+            node.client.is_disconnected = True
         fourth = await self.start_node('4')
         self.members.names = ['4']
         self.store.down = False
-        await nodes_test.until(lambda: len(self.lease().candidates) == 3)
+        await nodes_test.wait_until(lambda: len(self.lease().candidates) == 3)
         await self.owner.kill(self.network)
-        await nodes_test.until(fourth.owns)
+        await nodes_test.wait_until(fourth.owns)
         self.assertEqual(await self.ask(fourth, 'one'), Kind.UNKNOWN)
 
     async def test_copy_lost_too(self) -> None:
@@ -232,10 +236,10 @@
         await self.owner.kill(self.network)
         await copy_holder.kill(self.network)
         self.store.down = False
-        await nodes_test.until(survivor.owns)
+        await nodes_test.wait_until(survivor.owns)
         self.assertEqual(await self.ask(survivor, 'one'), Kind.UNAVAILABLE)
         self.assertEqual(await self.ask(survivor, 'known'), Kind.UNKNOWN)
-        await self.finish_at_last(survivor, nodes_test.outcome(known))
+        await self.finish_until_durable(survivor, nodes_test.outcome(known))
         self.assertEqual(await self.ask(survivor, 'known'), Kind.FINISHED)
 
     async def test_copy_holder_lost_first(self) -> None:
@@ -250,10 +254,10 @@
         if self.copies(self.third):
             copy_holder, survivor = self.third, self.second
         await copy_holder.kill(self.network)
-        await nodes_test.until(lambda: self.copies(survivor))
+        await nodes_test.wait_until(lambda: self.copies(survivor))
         await self.owner.kill(self.network)
         self.store.down = False
-        await nodes_test.until(survivor.owns)
+        await nodes_test.wait_until(survivor.owns)
         self.assertEqual(await self.ask(survivor, 'one'), Kind.UNKNOWN)
 
     async def test_ordinary_takeover_gathers_nothing(self) -> None:
@@ -277,7 +281,7 @@
 
     async def _successor(self) -> nodes_test.Node:
         both = (self.second, self.third)
-        await nodes_test.until(lambda: any(node.owns() for node in both))
+        await nodes_test.wait_until(lambda: any(node.owns() for node in both))
         return self.second if self.second.owns() else self.third
 
 
@@ -312,15 +316,15 @@
 
     async def _take_over_unseen(self) -> nodes_test.Node:
         """Let another process take over and grant, then stop the store."""
-        self.owner.client.cut = True
-        self.third.client.cut = True
-        await nodes_test.until(self.second.owns)
+        self.owner.client.is_disconnected = True
+        self.third.client.is_disconnected = True
+        await nodes_test.wait_until(self.second.owns)
         await self.second.begin(nodes_test.intent('one'))
         grant = await self.second.begin(nodes_test.intent('one', 'one'))
         self.assertEqual(grant.kind, Kind.GRANTED)
         self.store.down = True
-        self.owner.client.cut = False
-        self.third.client.cut = False
+        self.owner.client.is_disconnected = False
+        self.third.client.is_disconnected = False
         return self.second
 
 
@@ -334,7 +338,7 @@
         free the key, and a resend would run a second time.
         """
         row = await self.grant('one')
-        await self.finish_at_last(self.owner, nodes_test.outcome(row))
+        await self.finish_until_durable(self.owner, nodes_test.outcome(row))
         successor = await self._gather_denied(row)
         self.assertEqual(await self.ask(successor, 'one'), Kind.FINISHED)
 
@@ -343,23 +347,23 @@
         row = await self.grant('one')
         successor = await self._gather_denied(row)
         self.assertEqual(await self.ask(successor, 'one'), Kind.RUNNING)
-        await self.finish_at_last(successor, nodes_test.outcome(row))
+        await self.finish_until_durable(successor, nodes_test.outcome(row))
         self.assertEqual(await self.ask(successor, 'one'), Kind.FINISHED)
 
     async def _gather_denied(self, row: journal_data.Row) -> nodes_test.Node:
         """Let a successor gather a denied attempt, then end the attempt."""
         denied = row._replace(request_id='denied')
-        ask = outage_data.CopyAsk(0, 1, (denied,))
+        ask = outage_data.CopyRequest(0, 1, (denied,))
         for name in '23':
             await self.network.call(f'127.0.0.1:{name}', methods.COPY, ask, 1)
         await self.outage()
         await self.owner.kill(self.network)
         self.store.down = False
         both = (self.second, self.third)
-        await nodes_test.until(lambda: any(node.owns() for node in both))
+        await nodes_test.wait_until(lambda: any(node.owns() for node in both))
         successor = self.second if self.second.owns() else self.third
         ended = nodes_test.outcome(denied, journal_data.OutcomeState.NOT_RUN)
-        await self.finish_at_last(successor, ended)
+        await self.finish_until_durable(successor, ended)
         return successor
 
 
@@ -377,10 +381,10 @@
         if self.copies(self.third):
             copy_holder, survivor = self.third, self.second
         await copy_holder.kill(self.network)
-        self.owner.client.cut = True
+        self.owner.client.is_disconnected = True
         self.store.down = False
         stopping = asyncio.create_task(self.owner.stop())
-        await nodes_test.until(survivor.owns)
+        await nodes_test.wait_until(survivor.owns)
         self.assertEqual(await self.ask(survivor, 'one'), Kind.UNKNOWN)
         await stopping
 
@@ -397,10 +401,10 @@
         await self.owner.kill(self.network)
         await copy_holder.kill(self.network)
         self.store.down = False
-        await nodes_test.until(survivor.owns)
+        await nodes_test.wait_until(survivor.owns)
         fresh = await self.restart_node(copy_holder.name)
         await survivor.stop()
-        await nodes_test.until(fresh.owns)
+        await nodes_test.wait_until(fresh.owns)
         self.assertEqual(await self.ask(fresh, 'one'), Kind.UNAVAILABLE)
 
 
--- a/beryllug/control/part_fetch.py
+++ b/beryllug/control/part_fetch.py
@@ -9,11 +9,11 @@
 MAX_ROUNDS = 16
 
 
-async def obtain(
-    calls: rpc_peers.Caller,
+async def fetch_config(
+    calls: rpc_peers.PeerCaller,
     offer: rpc_data.ConfigOffer,
-    held: config_state.Held,
-) -> config_state.Held:
+    held: config_state.ProcessConfig,
+) -> config_state.ProcessConfig:
     """Return the configuration that a peer offers.
 
     Args:
@@ -32,13 +32,13 @@
     digests = await _digests(calls, offer, held, known)
     await _fetch_missing(calls, offer.address, digests, known)
     chunks = {digest: known[digest] for digest in digests}
-    return config_state.hold(offer.revision, chunks, held)
+    return config_state.build_config(offer.revision, chunks, held)
 
 
 async def _digests(
-    calls: rpc_peers.Caller,
+    calls: rpc_peers.PeerCaller,
     offer: rpc_data.ConfigOffer,
-    held: config_state.Held,
+    held: config_state.ProcessConfig,
     known: dict[str, bytes],
 ) -> tuple[str, ...]:
     """Return the digests of the parts that the peer offers.
@@ -48,7 +48,7 @@
     fetched.
     """
     if offer.splice is not None:
-        digests = config_state.spliced(held.digests, offer.splice)
+        digests = config_state.apply_splice(held.digests, offer.splice)
         if document_parts.manifest(digests).digest == offer.manifest:
             return digests
     await _fetch_missing(calls, offer.address, (offer.manifest,), known)
@@ -56,7 +56,7 @@
 
 
 async def _fetch_missing(
-    calls: rpc_peers.Caller,
+    calls: rpc_peers.PeerCaller,
     address: str,
     digests: Iterable[str],
     known: dict[str, bytes],
@@ -66,7 +66,7 @@
         missing = [digest for digest in digests if digest not in known]
         if not missing:
             return
-        request = rpc_data.PartsAsk(tuple(missing))
+        request = rpc_data.PartsRequest(tuple(missing))
         reply = await calls.call(address, methods.FETCH_PARTS, request, CALL_S)
         if not _add_verified(known, reply.parts):
             break
--- a/beryllug/control/probing.py
+++ b/beryllug/control/probing.py
@@ -12,7 +12,7 @@
 
 from absl import logging
 
-from beryllug.control import lasting
+from beryllug.control import background_tasks
 from beryllug.core import member_data, membership
 from beryllug.drivers import methods, rpc, rpc_peers
 
@@ -24,7 +24,7 @@
 Listener = Callable[[member_data.Member, int], None]
 
 
-class Join(NamedTuple):
+class MembershipSettings(NamedTuple):
     """Settings of the exchange with other members.
 
     Attributes:
@@ -37,7 +37,7 @@
     zone: str
     seeds: tuple[str, ...]
     heartbeat_s: float
-    calls: rpc_peers.Caller
+    calls: rpc_peers.PeerCaller
 
 
 class Prober:
@@ -50,7 +50,9 @@
         listeners: Called with the sender and revision of each heartbeat.
     """
 
-    def __init__(self, own: member_data.Member, join: Join) -> None:
+    def __init__(
+        self, own: member_data.Member, join: MembershipSettings
+    ) -> None:
         """Initialize; only this process is known before `start`."""
         self.table = membership.Table(own)
         self.revision = 0
@@ -63,7 +65,7 @@
     def start(self) -> None:
         """Start to probe other members."""
         self._task = asyncio.create_task(
-            lasting.repeat('membership', self._run)
+            background_tasks.run_repeatedly('membership', self._run)
         )
 
     async def stop(self) -> None:
@@ -88,7 +90,7 @@
         return self._heartbeat(heartbeat.sender.name, heartbeat.whole)
 
     async def probe_for_peer(
-        self, ask: member_data.ProbeAsk
+        self, ask: member_data.ProbeRequest
     ) -> member_data.ProbeReply:
         """Probe a member on behalf of a peer that could not reach it."""
         reply = await self._exchange(ask.address, '')
@@ -108,7 +110,9 @@
         """Contact a seed or a dead member, which also heals a partition."""
         known = {member.address for member in membership.others(self.table)}
         known.add(self.table.own.address)
-        dead = (member.address for member in membership.gone(self.table))
+        dead = (
+            member.address for member in membership.dead_members(self.table)
+        )
         missing = [
             address
             for address in (*self._cfg.seeds, *dead)
@@ -149,7 +153,7 @@
     async def _probe_through(
         self, proxy: member_data.Member, target: member_data.Member
     ) -> bool:
-        ask = member_data.ProbeAsk(target.address)
+        ask = member_data.ProbeRequest(target.address)
         try:
             reply = await self._cfg.calls.call(
                 proxy.address, methods.PROBE, ask, self._cfg.heartbeat_s
@@ -175,9 +179,9 @@
     def _heartbeat(self, receiver: str, whole: bool) -> member_data.Heartbeat:
         table = self.table
         if whole:
-            news, notes = membership.everything(table)
+            news, notes = membership.full_state(table)
         else:
-            news, notes = membership.take_news(table, receiver)
+            news, notes = membership.pop_updates(table, receiver)
         return member_data.Heartbeat(
             sender=table.own,
             news=news,
--- a/beryllug/control/promises.py
+++ b/beryllug/control/promises.py
@@ -6,7 +6,7 @@
 import asyncio
 import time
 
-from beryllug.control import candidate_calls, lasting, lease_outage
+from beryllug.control import candidate_calls, background_tasks, lease_outage
 from beryllug.core import lease_data, outage, outage_data
 from beryllug.drivers import methods, object_api, object_data
 
@@ -52,7 +52,7 @@
     def start(self) -> None:
         """Start to request promises whenever leases can't be renewed."""
         self._task = asyncio.create_task(
-            lasting.repeat('promises', self._keep_asking)
+            background_tasks.run_repeatedly('promises', self._keep_asking)
         )
 
     async def stop(self) -> None:
@@ -69,25 +69,27 @@
             for (lease_name, candidate), until in self._received.until.items()
         }
 
-    def given_to(self, boot: str) -> bool:
+    def has_promised_to(self, boot: str) -> bool:
         """Tell whether a promise was ever given to a start of a process."""
         return boot in self._given
 
-    def is_held(self, lease_name: str, candidate: lease_data.Candidate) -> bool:
+    def is_promise_valid(
+        self, lease_name: str, candidate: lease_data.Candidate
+    ) -> bool:
         """Tell whether the promise of a candidate is valid now."""
-        until = outage.covered_until(self._received, lease_name, (candidate,))
+        until = outage.promised_until(self._received, lease_name, (candidate,))
         return until > time.monotonic()
 
-    def valid_s(self, lease_name: str) -> float:
+    def covered_s(self, lease_name: str) -> float:
         """Return for how long no process can acquire a lease held here."""
         candidates = self._leases.candidates(lease_name)
         end = min(
-            outage.covered_until(self._received, lease_name, candidates),
+            outage.promised_until(self._received, lease_name, candidates),
             self._leases.candidates_only_until(lease_name),
         )
         return max(0.0, end - time.monotonic())
 
-    async def cover(self, lease_name: str) -> float:
+    async def ensure_covered(self, lease_name: str) -> float:
         """Return how long promises cover a lease; request them if needed.
 
         So the first requests of an outage need not be refused. Candidates
@@ -95,12 +97,12 @@
         """
         waited_s = time.monotonic() - self._asked_at
         recent = self._round is not None and waited_s < self._ask_interval_s
-        if not self.valid_s(lease_name) and not recent:
+        if not self.covered_s(lease_name) and not recent:
             await self._ask_round()
-        return self.valid_s(lease_name)
+        return self.covered_s(lease_name)
 
     async def promise(
-        self, ask: outage_data.PromiseAsk
+        self, ask: outage_data.PromiseRequest
     ) -> outage_data.PromiseReply:
         """Promise to acquire no lease if the platform is unreachable here."""
         started = self._leases.own().started
@@ -139,7 +141,7 @@
 
     async def _ask_promise(self, name: str) -> None:
         terms = self._leases.terms
-        ask = outage_data.PromiseAsk(
+        ask = outage_data.PromiseRequest(
             self._boot, terms.promise_s, self._leases.held()
         )
         sent_at = time.monotonic()
@@ -147,7 +149,7 @@
             name, methods.PROMISE, ask, CALL_TIMEOUT_S
         )
         if reply is not None:
-            outage.promised(self._received, name, reply, sent_at, terms)
+            outage.record_promise(self._received, name, reply, sent_at, terms)
 
     async def _reaches_platform(self) -> bool:
         try:
--- a/beryllug/control/readback.py
+++ b/beryllug/control/readback.py
@@ -14,7 +14,7 @@
 from beryllug.drivers import object_api, object_data
 
 
-class Read(NamedTuple):
+class IndexedRows(NamedTuple):
     """Rows of a segment, in order and by their deduplication key."""
 
     rows: list[journal_data.Row]
@@ -35,9 +35,9 @@
         self._api = api
         self._shard = shard
         self._log = log
-        self._pending_reads: dict[int, asyncio.Task[Read | None]] = {}
+        self._pending_reads: dict[int, asyncio.Task[IndexedRows | None]] = {}
 
-    async def read(self, seq: int) -> Read | None:
+    async def read(self, seq: int) -> IndexedRows | None:
         """Return a segment's rows, or None if it can't be read at present."""
         task = self._pending_reads.get(seq)
         if task is None:
@@ -46,9 +46,9 @@
             task.add_done_callback(lambda _: self._pending_reads.pop(seq))
         return await asyncio.shield(task)
 
-    async def about_key(
+    async def find_deciding_row(
         self, seq: int, row: journal_data.Row
-    ) -> journal.Found | None:
+    ) -> journal.ReadBackResult | None:
         """Find the row that determines the state of an intent's key."""
         found = await self.read(seq)
         if found is None:
@@ -56,19 +56,21 @@
         deciding_row = journal_log.about_key(
             found.rows, row.account_id, row.shard_key
         )
-        return journal.Found(seq, deciding_row)
+        return journal.ReadBackResult(seq, deciding_row)
 
-    async def outcome(
+    async def find_outcome(
         self, seq: int, row: journal_data.Row
-    ) -> journal.Found | None:
+    ) -> journal.ReadBackResult | None:
         """Find an outcome by its request id."""
         found = await self.read(seq)
         if found is None:
             return None
-        return journal.Found(seq, found.by_id.get(shard_state.row_id(row)))
+        return journal.ReadBackResult(
+            seq, found.by_id.get(shard_state.row_id(row))
+        )
 
-    async def latest(
-        self, seq: int, request: rpc_data.LookupAsk
+    async def find_latest_row(
+        self, seq: int, request: rpc_data.LookupRequest
     ) -> rpc_data.LookupReply:
         """Find the latest row that matches a lookup."""
         found = await self.read(seq)
@@ -77,11 +79,11 @@
         matching = [row for row in found.rows if matches(row, request)]
         return rpc_data.LookupReply(matching[-1] if matching else None)
 
-    async def _read(self, seq: int) -> Read | None:
+    async def _read(self, seq: int) -> IndexedRows | None:
         rows = await self._rows(seq)
         if rows is None:
             return None
-        return Read(rows, {shard_state.row_id(row): row for row in rows})
+        return IndexedRows(rows, {shard_state.row_id(row): row for row in rows})
 
     async def _rows(self, seq: int) -> list[journal_data.Row] | None:
         head = self._log.head
@@ -94,7 +96,7 @@
         return [] if segment is None else segment.rows
 
 
-def matches(row: journal_data.Row, request: rpc_data.LookupAsk) -> bool:
+def matches(row: journal_data.Row, request: rpc_data.LookupRequest) -> bool:
     """Tell whether a row has the kind and key of a lookup."""
     return (row.kind, row.account_id, row.shard_key) == (
         request.kind,
--- a/beryllug/control/rollout_judge.py
+++ b/beryllug/control/rollout_controller.py
@@ -123,7 +123,9 @@
         if self._record is None or declared is None:
             return False
         before = self._record
-        self._record = rollout.absorb(before, declared, report, time.time())
+        self._record = rollout.include_report(
+            before, declared, report, time.time()
+        )
         if self._record is before and before == self._written:
             # A report that was counted before and whose acknowledgement was
             # lost. It changes nothing, so no write would acknowledge it.
@@ -167,12 +169,12 @@
     ) -> None:
         record = rollout.resume(before, declared, before.accounts)
         decision = rollout.decide(record, declared)
-        record = rollout.carry_out(record, declared, decision)
+        record = rollout.apply_decision(record, declared, decision)
         candidate = config_data.VersionRef(record.model, record.candidate)
         # If no engine has the candidate loaded, its first callers would find
         # no server, which is not evidence against the candidate.
         if self._is_loaded(candidate):
-            record = rollout.deal(record, declared, time.time())
+            record = rollout.allocate(record, declared, time.time())
         self._record = record
         if record.verdict is not before.verdict or record.stage != before.stage:
             logging.info(
--- a/beryllug/control/rollout_judge_test.py
+++ b/beryllug/control/rollout_controller_test.py
@@ -7,12 +7,12 @@
 
 from beryllug.control import (
     fake_platform_test,
-    rollout_judge,
+    rollout_controller,
     virtual_time_test,
 )
 from beryllug.core import config_data, rollout_data, rpc_data, view_data
 
-KEY = f'{rollout_judge.PREFIX}desk'
+KEY = f'{rollout_controller.PREFIX}desk'
 ENTRY = 'entry/1'
 NEW = config_data.VersionRef('desk', 'v2')
 OLD = config_data.VersionRef('desk', 'v1')
@@ -36,10 +36,10 @@
     def __init__(self, store: fake_platform_test.Store) -> None:
         """Create a process that holds the lease."""
         self.client = fake_platform_test.Client(store)
-        self.client.faulty = rollout_judge.PREFIX
+        self.client.fault_prefix = rollout_controller.PREFIX
         self.holds = True
         self.shown: list[rpc_data.RolloutState] = []
-        self.controller = rollout_judge.RolloutController(
+        self.controller = rollout_controller.RolloutController(
             'desk',
             self.client,
             lambda: DECLARED,
@@ -68,7 +68,7 @@
                 await asyncio.sleep(0.1)
 
 
-class RolloutJudgeTest(virtual_time_test.VirtualTimeCase):
+class RolloutControllerTest(virtual_time_test.VirtualTimeCase):
     """Evidence survives a crash of the lease holder and is counted once."""
 
     def setUp(self) -> None:
@@ -91,7 +91,7 @@
         await self.first.begin()
         self.first.client.gate.clear()
         early = asyncio.create_task(self.first.report(1))
-        await self.first.client.held.wait()
+        await self.first.client.write_blocked.wait()
         late = asyncio.create_task(self.first.report(2))
         await asyncio.sleep(0.1)
         self.first.client.gate.set()
@@ -177,7 +177,7 @@
         return self._stored().exposure.shares[ENTRY]
 
     def _stored(self) -> rollout_data.Record:
-        stored = self.store.kept[KEY].value
+        stored = self.store.stored_objects[KEY].value
         return msgspec.msgpack.decode(stored, type=rollout_data.Record)
 
 
--- a/beryllug/control/rollout_states.py
+++ b/beryllug/control/rollout_states.py
@@ -34,7 +34,7 @@
     def __init__(
         self,
         address: str,
-        calls: rpc_peers.Caller,
+        calls: rpc_peers.PeerCaller,
         members: Members,
         view: config.Config,
     ) -> None:
--- a/beryllug/control/rollouts.py
+++ b/beryllug/control/rollouts.py
@@ -14,7 +14,7 @@
 from beryllug.control import (
     config,
     leases,
-    rollout_judge,
+    rollout_controller,
     rollout_states,
 )
 from beryllug.core import (
@@ -38,7 +38,7 @@
         address: str,
         api: object_api.ObjectApi,
         held: leases.Leases,
-        calls: rpc_peers.Caller,
+        calls: rpc_peers.PeerCaller,
         members: rollout_states.Members,
         view: config.Config,
     ) -> None:
@@ -48,7 +48,7 @@
         self._leases = held
         self._calls = calls
         self._view = view
-        self._controllers: dict[str, rollout_judge.RolloutController] = {}
+        self._controllers: dict[str, rollout_controller.RolloutController] = {}
         self._states = rollout_states.RolloutStates(
             address, calls, members, view
         )
@@ -127,7 +127,9 @@
         )
         return rpc_data.Empty(ok=bool(taken) and all(taken))
 
-    async def on_pull(self, ask: rpc_data.RolloutAsk) -> rpc_data.RolloutReply:
+    async def on_pull(
+        self, ask: rpc_data.RolloutRequest
+    ) -> rpc_data.RolloutReply:
         """Return the state of a rollout whose lease is held here."""
         controller = self._controllers.get(ask.model)
         return rpc_data.RolloutReply(controller.state() if controller else None)
@@ -172,7 +174,7 @@
             declared = {item.model for item in self._view.document.rollouts}
             for model in declared - self._requested:
                 self._requested.add(model)
-                self._leases.want(LEASE_PREFIX + model, self)
+                self._leases.keep_acquiring(LEASE_PREFIX + model, self)
             for model in sorted(declared):
                 await self._pull(model)
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -183,7 +185,7 @@
         holder = await self._find_holder(model)
         if holder is None:
             return
-        ask = rpc_data.RolloutAsk(model)
+        ask = rpc_data.RolloutRequest(model)
         try:
             reply = await self._calls.call(
                 holder.address, methods.ROLLOUT_PULL, ask, CALL_TIMEOUT_S
@@ -195,7 +197,7 @@
 
     def _start_controller(self, model: str) -> None:
         name = LEASE_PREFIX + model
-        controller = rollout_judge.RolloutController(
+        controller = rollout_controller.RolloutController(
             model,
             self._api,
             lambda: _declared(self._view.document, model),
--- a/beryllug/control/segments.py
+++ b/beryllug/control/segments.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from beryllug.control import lasting
+from beryllug.control import background_tasks
 from beryllug.core import journal_data, segment_data
 from beryllug.drivers import object_api, object_data
 
@@ -34,7 +34,7 @@
 _decode_row = msgspec.msgpack.Decoder(journal_data.Row).decode
 
 
-class ShardLostError(lasting.DoneError):
+class ShardLostError(background_tasks.DoneError):
     """Another process owns the shard; nothing more can be appended."""
 
 
@@ -67,7 +67,7 @@
     )
 
 
-def decode(value_bytes: bytes) -> segment_data.SegmentRows:
+def decode_segment(value_bytes: bytes) -> segment_data.SegmentRows:
     """Decode a segment with its rows."""
     return _decode_rows(value_bytes)
 
@@ -105,7 +105,7 @@
     return None if stored is None else _decode_rows(stored.value)
 
 
-async def read(
+async def read_segment(
     api: object_api.ObjectApi, shard: int, seq: int
 ) -> segment_data.Stored | None:
     """Read one segment with its rows encoded; None if it does not exist."""
@@ -161,8 +161,8 @@
         """Append rows and return the number of their segment.
 
         Raises:
-            ConflictError: The head has changed; call `settle`.
-            UncertainError: They may have been appended; call `settle`.
+            ConflictError: The head has changed; call `resolve_append`.
+            UncertainError: They may have been appended; call `resolve_append`.
             UnavailableError: They were not appended.
         """
         base = self._append_target()
@@ -182,7 +182,7 @@
         self._commit_bytes += SMOOTHING * (added - self._commit_bytes)
         return base.seq
 
-    async def settle(self) -> list[msgspec.Raw]:
+    async def resolve_append(self) -> list[msgspec.Raw]:
         """Resolve the result of an append that failed or is uncertain.
 
         Returns:
@@ -248,7 +248,7 @@
         return True
 
     async def _read(self, seq: int) -> segment_data.Stored | None:
-        return await read(self._api, self._shard, seq)
+        return await read_segment(self._api, self._shard, seq)
 
     async def _write(
         self, seq: int, segment: segment_data.Segment, expected: int
--- a/beryllug/control/shard_owner.py
+++ b/beryllug/control/shard_owner.py
@@ -7,10 +7,10 @@
 
 from beryllug.control import (
     commit,
-    lasting,
+    background_tasks,
     late_rows,
     readback,
-    shard_cover,
+    outage_replicator,
     upkeep,
 )
 from beryllug.core import journal, journal_data, rpc_data, shard_state
@@ -18,7 +18,7 @@
 
 BEGIN_WAIT_S = 2.0
 # A write that takes longer is treated as a possible platform outage.
-SLOW_S = 0.8
+SLOW_WRITE_S = 0.8
 FINISH_WAIT_S = 2.0
 MAX_PENDING = 20000
 COPY_CHECK_INTERVAL_S = 0.2
@@ -37,7 +37,7 @@
         api: object_api.ObjectApi,
         cfg: commit.OwnerCfg,
         valid_s: Callable[[], float],
-        replicator: shard_cover.OutageReplicator,
+        replicator: outage_replicator.OutageReplicator,
     ) -> None:
         """Initialize the owner; it serves after `start`.
 
@@ -73,8 +73,12 @@
         """Take the shard over, then serve."""
         self._committer.start()
         self._tasks = [
-            asyncio.create_task(lasting.repeat('upkeep', self.upkeep.run)),
-            asyncio.create_task(lasting.repeat('cover', self._maintain_copies)),
+            asyncio.create_task(
+                background_tasks.run_repeatedly('upkeep', self.upkeep.run)
+            ),
+            asyncio.create_task(
+                background_tasks.run_repeatedly('cover', self._maintain_copies)
+            ),
         ]
 
     async def stop(self) -> None:
@@ -90,7 +94,7 @@
         await self._committer.flush(grace_s)
         if not self._committer.serving:
             return False
-        return await self._replicator.end(self.state)
+        return await self._replicator.end_ownership(self.state)
 
     def can_hand_over(self) -> bool:
         """Tell whether the shard can be handed over now."""
@@ -109,7 +113,7 @@
             return journal.unavailable(row)
         decision = journal.begin(self.state, row, time.monotonic())
         while isinstance(decision, journal.ReadBack):
-            found = await self._reader.about_key(decision.seq, row)
+            found = await self._reader.find_deciding_row(decision.seq, row)
             if found is None:
                 return journal.unavailable(row)
             decision = journal.begin(self.state, row, time.monotonic(), found)
@@ -130,7 +134,7 @@
         self._add_missing_intent(row)
         decision = journal.finish(self.state, row)
         while isinstance(decision, journal.ReadBack):
-            found = await self._reader.outcome(decision.seq, row)
+            found = await self._reader.find_outcome(decision.seq, row)
             if found is None:
                 return False
             decision = journal.finish(self.state, row, found)
@@ -139,7 +143,9 @@
         )
         return durable and self._valid_s() > 0
 
-    async def lookup(self, request: rpc_data.LookupAsk) -> rpc_data.LookupReply:
+    async def lookup(
+        self, request: rpc_data.LookupRequest
+    ) -> rpc_data.LookupReply:
         """Return the latest row of a kind for a key."""
         if not await self._committer.ready(FINISH_WAIT_S):
             return rpc_data.LookupReply(None, available=False)
@@ -155,7 +161,7 @@
         )
         if seq is None:
             return rpc_data.LookupReply(None)
-        return await self._reader.latest(seq, request)
+        return await self._reader.find_latest_row(seq, request)
 
     async def _grant(self, row: journal_data.Row) -> journal_data.Grant:
         """Grant an intent once it is durable, or replicated in an outage.
@@ -169,9 +175,9 @@
         if is_new and self._replicator.refuses_new(now):
             journal.deny(self.state, row)
             return journal.unavailable(row)
-        if await self._committer.wait(row, SLOW_S):
+        if await self._committer.wait(row, SLOW_WRITE_S):
             return journal.grant(self.state, row, self._valid_s())
-        if await self._replicator.cover(row):
+        if await self._replicator.replicate(row):
             valid_s = self._replicator.valid_s()
             return journal.grant_unflushed(self.state, row, valid_s)
         if await self._committer.wait(row, BEGIN_WAIT_S):
@@ -186,7 +192,7 @@
         record of a key. With the intent in the log, a resend finds it.
         """
         if self._replicator.refuses_new(time.monotonic()):
-            journal.recall(self.state, row, time.monotonic())
+            journal.add_missing_intent(self.state, row, time.monotonic())
 
     def _valid_s(self) -> float:
         """Return for how long no other process can own the shard."""
@@ -198,4 +204,4 @@
     async def _maintain_copies(self) -> None:
         await asyncio.sleep(COPY_CHECK_INTERVAL_S)
         if self._committer.serving:
-            await self._replicator.tend(self.state, self._reader)
+            await self._replicator.maintain(self.state, self._reader)
--- a/beryllug/control/shards.py
+++ b/beryllug/control/shards.py
@@ -14,7 +14,7 @@
     copies,
     leases,
     promises,
-    shard_cover,
+    outage_replicator,
     shard_owner,
 )
 from beryllug.core import settings_data
@@ -25,7 +25,7 @@
 CALL_S = 3.0
 # Seconds for which a message waits while its shard is handed over: on a slow
 # platform the flush and the release of the lease take that long.
-HAND_OVER_S = 2.5
+HANDOVER_WAIT_S = 2.5
 RETRY_S = 0.05
 # gRPC reports the same status for a refused connection and for one that broke
 # during a call; only the error text distinguishes them.
@@ -35,12 +35,12 @@
 Reply = TypeVar('Reply')
 
 
-class Parts(NamedTuple):
+class JournalServices(NamedTuple):
     """Services that the journal depends on."""
 
     api: object_api.ObjectApi
     leases: leases.Leases
-    peers: rpc_peers.Caller
+    peers: rpc_peers.PeerCaller
 
 
 class RoutedMessage(NamedTuple, Generic[Ask, Reply]):
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class NoOwnerReply:
     """No owner replied.
 
     Attributes:
@@ -80,7 +80,7 @@
     """
 
     def __init__(
-        self, parts: Parts, cfg: settings_data.Control, boot: str
+        self, parts: JournalServices, cfg: settings_data.Control, boot: str
     ) -> None:
         """Initialize without any shard; `start` requests the leases."""
         self._parts = parts
@@ -97,10 +97,10 @@
         intent_copies = copies.Copies(
             parts.leases.outage,
             calls,
-            lease_promises.given_to,
+            lease_promises.has_promised_to,
             self.stop_older_owner,
         )
-        self._outage = shard_cover.OutageServices(
+        self._outage = outage_replicator.OutageServices(
             parts.leases.outage, lease_promises, intent_copies
         )
 
@@ -112,7 +112,7 @@
     def start(self) -> None:
         """Start to acquire the lease of every shard."""
         for shard in range(self._cfg.shards):
-            self._parts.leases.want(lease_name(shard), self)
+            self._parts.leases.keep_acquiring(lease_name(shard), self)
         self._outage.promises.start()
 
     async def stop(self, grace_s: float) -> None:
@@ -176,7 +176,7 @@
         shard: int,
         routed: RoutedMessage[Ask, Reply],
         local: Callable[[shard_owner.ShardOwner], Awaitable[Reply]],
-    ) -> Reply | Lost:
+    ) -> Reply | NoOwnerReply:
         """Process a message at the shard's owner, local or remote.
 
         Two processes that each take the other for the owner would forward a
@@ -191,11 +191,11 @@
         stopping, an intent was refused although the next owner was in place.
 
         Returns:
-            The owner's reply, or `Lost` if no owner replied.
+            The owner's reply, or `NoOwnerReply` if no owner replied.
         """
         doubtful = False
         is_not_owner = routed.is_not_owner or _always_false
-        wait_s = HAND_OVER_S
+        wait_s = HANDOVER_WAIT_S
         if routed.is_not_owner and routed.hops > 1:
             wait_s = 0
         deadline = time.monotonic() + wait_s
@@ -204,7 +204,7 @@
             if owner is not None:
                 return await local(owner)
             reply = await self._forward(shard, routed)
-            if isinstance(reply, Lost):
+            if isinstance(reply, NoOwnerReply):
                 doubtful = doubtful or reply.doubtful
             elif not is_not_owner(reply):
                 return reply
@@ -214,7 +214,7 @@
             await self._parts.leases.owner_of(lease_name(shard), fresh=True)
         if wait_s:
             logging.warning('event=shard_unreachable shard=%d', shard)
-        return Lost(doubtful)
+        return NoOwnerReply(doubtful)
 
     async def _flush_and_stop(self, shard: int, grace_s: float) -> bool:
         """Flush a shard and stop its owner; new messages wait for the next."""
@@ -232,17 +232,17 @@
 
     async def _forward(
         self, shard: int, routed: RoutedMessage[Ask, Reply]
-    ) -> Reply | Lost:
+    ) -> Reply | NoOwnerReply:
         owner = await self._parts.leases.owner_of(lease_name(shard))
         address = owner.address if owner else ''
         if address in {'', self._cfg.listen} or routed.hops > MAX_HOPS:
-            return Lost(doubtful=False)
+            return NoOwnerReply(doubtful=False)
         try:
             return await self._parts.peers.call(
                 address, routed.method, routed.ask, CALL_S
             )
         except rpc.RpcError as exc:
-            return Lost(doubtful=NOT_CONNECTED_TEXT not in str(exc))
+            return NoOwnerReply(doubtful=NOT_CONNECTED_TEXT not in str(exc))
 
     def _start_owner(self, shard: int, fencing: int) -> None:
         self._unflushed.discard(shard)
@@ -256,9 +256,11 @@
                 self._cfg.retention_s,
             ),
             lambda: self._valid_s(shard, fencing),
-            shard_cover.OutageReplicator(
+            outage_replicator.OutageReplicator(
                 self._outage,
-                shard_cover.ShardOwnership(lease_name(shard), shard, fencing),
+                outage_replicator.ShardOwnership(
+                    lease_name(shard), shard, fencing
+                ),
             ),
         )
         self.owners[shard] = owner
--- a/beryllug/control/suspects.py
+++ b/beryllug/control/suspects.py
@@ -19,7 +19,7 @@
 
 from absl import logging
 
-from beryllug.control import suspects_spread, suspects_store
+from beryllug.control import suspects_broadcast, suspects_store
 from beryllug.core import crash_causes, rpc_data, suspects, suspects_data
 from beryllug.drivers import methods, rpc
 
@@ -40,7 +40,7 @@
     ) -> None:
         """Replace the suspects of the view."""
 
-    async def seen(self, within_s: float) -> None:
+    async def wait_for_confirmation(self, within_s: float) -> None:
         """Wait until the entries confirm the suspects of the view."""
 
 
@@ -62,7 +62,7 @@
         self,
         name: str,
         view: View,
-        spread: suspects_spread.Spread,
+        spread: suspects_broadcast.SuspectsBroadcaster,
         store: suspects_store.SuspectsStore,
     ) -> None:
         """Initialize with the view, the other processes and the platform."""
@@ -113,7 +113,7 @@
     async def report(self, report: rpc_data.CrashReport) -> rpc_data.Empty:
         """Record the loss of a server; reply when all processes were told."""
         self._counts['reports'] += 1
-        notes = suspects.reported(self.table, report, time.time())
+        notes = suspects.record_report(self.table, report, time.time())
         crashes = crash_causes.crashes_of(self.table)
         logging.warning(
             'event=server_lost server=%s entry=%s requests=%d cause=%s',
@@ -126,7 +126,7 @@
         return rpc_data.Empty()
 
     async def ask_trial(
-        self, ask: suspects_data.TrialAsk
+        self, ask: suspects_data.TrialRequest
     ) -> suspects_data.TrialReply:
         """Return the decision whether a suspected request may run."""
         reply = None if ask.hops else await self._spread.forward(ask)
@@ -134,7 +134,7 @@
 
     async def end(self, end: suspects_data.TrialEnd) -> rpc_data.Empty:
         """Record the end of a trial, or an answer that clears a request."""
-        note = suspects.ended(self.table, end)
+        note = suspects.record_trial_end(self.table, end)
         if note is not None:
             await self._broadcast((note,))
         return rpc_data.Empty()
@@ -160,7 +160,7 @@
         await self._spread.exchange(notes[-NOTES_PER_ROUND:], self._rounds)
 
     async def _decide(
-        self, ask: suspects_data.TrialAsk
+        self, ask: suspects_data.TrialRequest
     ) -> suspects_data.TrialReply:
         reply = suspects.judge(self.table, ask, time.time())
         match reply.verdict:
@@ -173,7 +173,9 @@
                 self._counts['refused'] += 1
         return reply
 
-    async def _broadcast(self, notes: tuple[suspects_data.Note, ...]) -> None:
+    async def _broadcast(
+        self, notes: tuple[suspects_data.SuspectNote, ...]
+    ) -> None:
         await asyncio.gather(self._publish(), self._spread.broadcast(notes))
 
     async def _ask_peers(self) -> None:
@@ -190,6 +192,6 @@
 
     async def _publish(self) -> None:
         """Publish to the entries of this process, and await confirmation."""
-        shown = suspects.shown(self.table, time.time())
+        shown = suspects.suspects_for_entries(self.table, time.time())
         self._view.publish(suspects=shown)
-        await self._view.seen(CONFIRM_TIMEOUT_S)
+        await self._view.wait_for_confirmation(CONFIRM_TIMEOUT_S)
--- a/beryllug/control/suspects_spread.py
+++ b/beryllug/control/suspects_broadcast.py
@@ -27,10 +27,10 @@
 class Others(Protocol):
     """The part of the neighbours that is used here."""
 
-    def everyone(self) -> tuple[str, ...]:
+    def all_addresses(self) -> tuple[str, ...]:
         """Return the addresses of all other control processes."""
 
-    def partners(self) -> tuple[str, ...]:
+    def gossip_addresses(self) -> tuple[str, ...]:
         """Return the addresses of a few of them."""
 
 
@@ -44,7 +44,7 @@
         """Return a member's address."""
 
 
-class Spread:
+class SuspectsBroadcaster:
     """Calls from one control process to the others."""
 
     def __init__(
@@ -52,7 +52,7 @@
         name: str,
         others: Others,
         members: Members,
-        calls: rpc_peers.RedialingCaller,
+        calls: rpc_peers.ReconnectingCaller,
     ) -> None:
         """Initialize with the neighbours and the calls to them."""
         self._name = name
@@ -66,7 +66,7 @@
         return rendezvous.order(DECIDER_KEY, {self._name, *live})
 
     async def forward(
-        self, ask: suspects_data.TrialAsk
+        self, ask: suspects_data.TrialRequest
     ) -> suspects_data.TrialReply | None:
         """Forward a trial request to the process that decides.
 
@@ -88,30 +88,32 @@
                 logging.warning('event=trial_not_decided member=%s', member)
         return None
 
-    async def broadcast(self, notes: tuple[suspects_data.Note, ...]) -> None:
+    async def broadcast(
+        self, notes: tuple[suspects_data.SuspectNote, ...]
+    ) -> None:
         """Send notes to every other process, for a bounded time."""
-        addresses = self._others.everyone()
+        addresses = self._others.all_addresses()
         message = suspects_data.Notes(notes)
         for start in range(0, len(addresses), BATCH_SIZE):
             await self._tell(addresses[start : start + BATCH_SIZE], message)
 
-    async def ask_partners(self) -> tuple[suspects_data.Note, ...]:
+    async def ask_partners(self) -> tuple[suspects_data.SuspectNote, ...]:
         """Return the notes of a few other processes."""
         message = suspects_data.Notes(wants=True)
-        return await self._tell(self._others.partners(), message)
+        return await self._tell(self._others.gossip_addresses(), message)
 
     async def exchange(
-        self, notes: tuple[suspects_data.Note, ...], round_number: int
+        self, notes: tuple[suspects_data.SuspectNote, ...], round_number: int
     ) -> None:
         """Send notes to one of the partners, in round-robin order."""
-        partners = self._others.partners()
+        partners = self._others.gossip_addresses()
         if partners and notes:
             partner = partners[round_number % len(partners)]
             await self._tell((partner,), suspects_data.Notes(notes))
 
     async def _tell(
         self, addresses: Sequence[str], message: suspects_data.Notes
-    ) -> tuple[suspects_data.Note, ...]:
+    ) -> tuple[suspects_data.SuspectNote, ...]:
         replies = await asyncio.gather(
             *(self._tell_one(address, message) for address in addresses)
         )
@@ -132,7 +134,7 @@
                     break
                 # After a peer has restarted or become reachable again, an
                 # existing connection waits up to a second before it reconnects.
-                await self._calls.drop(address)
+                await self._calls.disconnect(address)
         logging.warning(
             'event=suspects_not_told peer=%s error=%s', address, failure
         )
--- a/beryllug/control/suspects_store.py
+++ b/beryllug/control/suspects_store.py
@@ -22,9 +22,9 @@
     def __init__(self, api: object_api.ObjectApi) -> None:
         """Initialize with the platform API."""
         self._api = api
-        self._written: tuple[suspects_data.Note, ...] = ()
+        self._written: tuple[suspects_data.SuspectNote, ...] = ()
 
-    async def read(self) -> tuple[suspects_data.Note, ...]:
+    async def read(self) -> tuple[suspects_data.SuspectNote, ...]:
         """Return the stored notes; none if they can't be read."""
         try:
             found = await self._api.read(KEY)
@@ -40,7 +40,7 @@
             return ()
         return stored.notes
 
-    async def write(self, notes: tuple[suspects_data.Note, ...]) -> None:
+    async def write(self, notes: tuple[suspects_data.SuspectNote, ...]) -> None:
         """Store the notes, unless they equal those last stored."""
         if notes == self._written:
             return
--- a/beryllug/control/suspects_test.py
+++ b/beryllug/control/suspects_test.py
@@ -8,7 +8,7 @@
     fake_platform_test,
     nodes_test,
     suspects,
-    suspects_spread,
+    suspects_broadcast,
     suspects_store,
 )
 from beryllug.core import rpc_data, suspects_data
@@ -32,7 +32,7 @@
     ) -> None:
         self.suspects = suspects or ()
 
-    async def seen(self, within_s: float) -> None:
+    async def wait_for_confirmation(self, within_s: float) -> None:
         await asyncio.sleep(0)
 
 
@@ -41,10 +41,10 @@
 
     addresses: tuple[str, ...]
 
-    def everyone(self) -> tuple[str, ...]:
+    def all_addresses(self) -> tuple[str, ...]:
         return self.addresses
 
-    def partners(self) -> tuple[str, ...]:
+    def gossip_addresses(self) -> tuple[str, ...]:
         return self.addresses
 
 
@@ -83,7 +83,7 @@
             raise rpc.RpcError('UNAVAILABLE', 'failed to connect')
         return await super().call(address, method, ask, timeout_s)
 
-    async def drop(self, address: str) -> None:
+    async def disconnect(self, address: str) -> None:
         self.stale.discard(address)
         self.dropped += 1
 
@@ -119,13 +119,13 @@
         node = suspects.Suspects(
             name,
             self.views[name],
-            suspects_spread.Spread(
+            suspects_broadcast.SuspectsBroadcaster(
                 name, _Others(others), self.members, self.network
             ),
             suspects_store.SuspectsStore(fake_platform_test.Client(self.store)),
         )
         node.serve(_Server(self.network, _address(name)))
-        self.network.silent.discard(_address(name))
+        self.network.isolated.discard(_address(name))
         self.nodes[name] = node
         await node.start()
         return node
@@ -144,17 +144,17 @@
         self.network.stale = {_address('2'), _address('3')}
         await self.nodes['1'].report(self.report)
         self.assertEqual(self.informed(), list(NAMES))
-        self.network.silent.add(_address('3'))
+        self.network.isolated.add(_address('3'))
         self.network.dropped = 0
         await self.nodes['1'].report(self.report)
-        self.assertEqual(self.network.dropped, suspects_spread.MAX_ATTEMPTS)
+        self.assertEqual(self.network.dropped, suspects_broadcast.MAX_ATTEMPTS)
 
     async def test_unreachable_process_catches_up(self) -> None:
         """An unreachable process gets the notes in the next rounds."""
-        self.network.silent.add(_address('3'))
+        self.network.isolated.add(_address('3'))
         await self.nodes['1'].report(self.report)
         self.assertEqual(self.informed(), ['1', '2'])
-        self.network.silent.clear()
+        self.network.isolated.clear()
         for _ in NAMES:
             await self.nodes['1'].round()
         self.assertEqual(self.informed(), list(NAMES))
@@ -180,7 +180,7 @@
         await self.nodes['1'].report(self.report)
         granted = await self.ask('1', 't1')
         decider = self.decider()
-        self.network.silent.add(_address(decider))
+        self.network.isolated.add(_address(decider))
         survivors = [name for name in NAMES if name != decider]
         for name in survivors:
             found = await self.ask(name, f'again-{name}')
@@ -214,7 +214,7 @@
 
     async def ask(self, name: str, trial_id: str) -> Verdict:
         """Ask a node for a trial."""
-        ask = suspects_data.TrialAsk(REQUEST, 's2', trial_id, 20)
+        ask = suspects_data.TrialRequest(REQUEST, 's2', trial_id, 20)
         reply = await self.nodes[name].ask_trial(ask)
         return reply.verdict
 
--- a/beryllug/control/takeover.py
+++ b/beryllug/control/takeover.py
@@ -52,11 +52,11 @@
     prepare: Prepare,
 ) -> images.Restored:
     base = await images.read_base(api, shard)
-    last = await log.take_over(images.after(base))
+    last = await log.take_over(images.compacted_upto(base))
     # Until it was fenced off, the earlier owner may have written a newer image
     # and deleted tables and segments that the older one needs.
     base = await images.read_base(api, shard)
     restored = await images.restore(api, shard, base, last)
-    journal_log.replayed(restored.state, time.monotonic())
+    journal_log.finish_replay(restored.state, time.monotonic())
     await prepare(restored.state)
     return restored
--- a/beryllug/control/upkeep.py
+++ b/beryllug/control/upkeep.py
@@ -49,7 +49,7 @@
         if self._committer.serving:
             await self._try_round()
 
-    async def round(self, now: float) -> None:
+    async def run_round(self, now: float) -> None:
         """Run one round; `now` is the wall-clock time in seconds.
 
         Raises:
@@ -67,7 +67,7 @@
 
     async def _try_round(self) -> None:
         try:
-            await self.round(time.time())
+            await self.run_round(time.time())
         except object_data.ObjectApiError as exc:
             self._image_version = None
             logging.warning(
@@ -132,7 +132,7 @@
             await self._delete_first(before)
 
     async def _delete_first(self, before: float) -> None:
-        stored = await segments.read(self._api, self._shard, self.first)
+        stored = await segments.read_segment(self._api, self._shard, self.first)
         if stored is not None:
             self._first_at = stored.segment.at
             if self._first_at >= before:
--- a/beryllug/control/upkeep_test.py
+++ b/beryllug/control/upkeep_test.py
@@ -39,7 +39,7 @@
 
     async def _bill(self, node: nodes_test.Node, start: int, end: int) -> None:
         for number in range(start, end):
-            await self.finish_at_last(node, _billed(number))
+            await self.finish_until_durable(node, _billed(number))
 
     async def _check(self, node: nodes_test.Node, requests: int) -> None:
         used = await node.journal.usage()
@@ -57,7 +57,9 @@
 
     def _segments(self) -> list[str]:
         prefix = segments.prefix_of(0)
-        return [key for key in self.store.kept if key.startswith(prefix)]
+        return [
+            key for key in self.store.stored_objects if key.startswith(prefix)
+        ]
 
 
 class UsageTest(UpkeepCase):
@@ -72,7 +74,7 @@
         """
         owner = await self.start_owner('1')
         successor = await self.start_node('2')
-        owner.client.faulty = images.USAGE_PREFIX
+        owner.client.fault_prefix = images.USAGE_PREFIX
         upkeep = _owner(owner).upkeep
         faults = (Fault.LOST_ANSWER, Fault.LOST, Fault.REFUSED)
         for number, fault in enumerate(faults):
@@ -81,16 +83,16 @@
                 owner.client.faults.append(fault)
                 await self._check(owner, number * 10 + 5)
                 with self.assertRaises(object_data.ObjectApiError):
-                    await upkeep.round(PAST)
+                    await upkeep.run_round(PAST)
                 await self._check(owner, number * 10 + 5)
                 await self._bill(owner, number * 10 + 5, number * 10 + 10)
-                await upkeep.round(PAST)
+                await upkeep.run_round(PAST)
                 await self._check(owner, number * 10 + 10)
         await self._bill(owner, 30, 40)
         await owner.kill(self.network)
-        await nodes_test.until(successor.owns)
+        await nodes_test.wait_until(successor.owns)
         await self._check(successor, 40)
-        await _owner(successor).upkeep.round(PAST)
+        await _owner(successor).upkeep.run_round(PAST)
         await self._bill(successor, 40, 45)
         await self._check(successor, 45)
 
@@ -104,12 +106,12 @@
         owner = await self.start_owner('1')
         successor = await self.start_node('2')
         await self._bill(owner, 0, 10)
-        owner.client.faulty = 'beryllug/'
+        owner.client.fault_prefix = 'beryllug/'
         owner.client.gate.clear()
-        fold_task = asyncio.create_task(_owner(owner).upkeep.round(PAST))
-        await owner.client.held.wait()
-        await nodes_test.until(successor.owns)
-        await _owner(successor).upkeep.round(FUTURE)
+        fold_task = asyncio.create_task(_owner(owner).upkeep.run_round(PAST))
+        await owner.client.write_blocked.wait()
+        await nodes_test.wait_until(successor.owns)
+        await _owner(successor).upkeep.run_round(FUTURE)
         owner.client.gate.set()
         with self.assertRaises(object_data.ConflictError):
             await fold_task
@@ -132,12 +134,12 @@
         await owner.begin(first)
         await owner.finish(nodes_test.outcome(first))
         await self._bill(owner, 0, 120)
-        await _owner(owner).upkeep.round(PAST)
+        await _owner(owner).upkeep.run_round(PAST)
         self.assertGreater(len(self._segments()), 35)
         second = await self.start_node('2')
         before = second.client.reads
         await owner.stop()
-        await nodes_test.until(second.owns)
+        await nodes_test.wait_until(second.owns)
         self.assertLess(second.client.reads - before, 20)
         self.assertIn('open', _owner(second).state.tries)
         for row, expected in (
@@ -163,12 +165,14 @@
         ]
         for start in range(0, len(rows), 50):
             await owner.finish_all(rows[start : start + 50])
-        await _owner(owner).upkeep.round(PAST)
-        saved = [key for key in self.store.kept if images.PREFIX in key]
+        await _owner(owner).upkeep.run_round(PAST)
+        saved = [
+            key for key in self.store.stored_objects if images.PREFIX in key
+        ]
         self.assertEqual(len(saved), 3)
         second = await self.start_node('2')
         await owner.stop()
-        await nodes_test.until(second.owns)
+        await nodes_test.wait_until(second.owns)
         before = len(self.rows())
         for start in range(0, len(rows), 50):
             acks = await second.finish_all(rows[start : start + 50])
@@ -190,11 +194,11 @@
         owner = await self.start_owner('1')
         now = time.time()
         rows = [_billed(number)._replace(at=now) for number in range(200)]
-        await self.finish_at_last(owner, rows[0])
+        await self.finish_until_durable(owner, rows[0])
         for row in rows[2:]:
-            await self.finish_at_last(owner, row)
+            await self.finish_until_durable(owner, row)
         for row in rows[:2]:
-            await self.finish_at_last(owner, row)
+            await self.finish_until_durable(owner, row)
         written = [bill.request_id for bill in self.rows()]
         self.assertEqual(written.count('r0'), 1)
         self.assertEqual(written.count('r1'), 1)
@@ -203,9 +207,9 @@
         """Expired segments are deleted, and their usage stays counted."""
         owner = await self.start_owner('1')
         await self._bill(owner, 0, 30)
-        await _owner(owner).upkeep.round(PAST)
+        await _owner(owner).upkeep.run_round(PAST)
         kept = len(self._segments())
-        await _owner(owner).upkeep.round(FUTURE)
+        await _owner(owner).upkeep.run_round(FUTURE)
         self.assertGreater(kept, 9)
         self.assertEqual(len(self._segments()), 1)
         await self._check(owner, 30)
@@ -222,7 +226,7 @@
         await owner.begin(nodes_test.intent('one'))
         for attempt in _owner(owner).state.tries.values():
             attempt.since = float('-inf')
-        await _owner(owner).upkeep.round(PAST)
+        await _owner(owner).upkeep.run_round(PAST)
         await owner.begin(nodes_test.intent('other', 'other'))
         self.assertIn(('unknown', 'one'), self.log())
         self.assertEqual(len(_owner(owner).state.tries), 1)
--- a/beryllug/control/view_feed.py
+++ b/beryllug/control/view_feed.py
@@ -37,7 +37,7 @@
             heartbeat_s: Longest time between two messages of a stream.
             accepts: Tells whether entries may accept new work now.
         """
-        self.parts = view_parts.NOTHING
+        self.parts = view_parts.NO_PARTS
         self._heartbeat_s = heartbeat_s
         self._accepts = accepts
         self._changed = asyncio.Event()
@@ -71,7 +71,9 @@
                 while not self._is_confirmed(wanted):
                     await asyncio.sleep(CONFIRM_POLL_S)
 
-    async def on_seen(self, confirmation: suspects_data.Seen) -> rpc_data.Empty:
+    async def on_confirmation(
+        self, confirmation: suspects_data.SuspectsApplied
+    ) -> rpc_data.Empty:
         """Process an entry's confirmation of an update with suspects."""
         if (
             self._unconfirmed.get(confirmation.entry, math.inf)
@@ -89,11 +91,11 @@
         return tuple(self._followers.values())
 
     async def stream(
-        self, ask: rpc_data.ViewAsk
+        self, ask: rpc_data.ViewRequest
     ) -> AsyncGenerator[rpc_data.ViewUpdate, None]:
         """Send the view and its changes to one entry, without end."""
         await self._opened.wait()
-        sent = view_parts.NOTHING
+        sent = view_parts.NO_PARTS
         try:
             while True:
                 changed = self._changed
--- a/beryllug/control/view_feed_test.py
+++ b/beryllug/control/view_feed_test.py
@@ -7,7 +7,7 @@
 from beryllug.core import rpc_data, suspects_data
 
 SUSPECT = rpc_data.Suspect('kutch:body', 1, 2e9)
-ASK = rpc_data.ViewAsk('entry-1', 'zone-1')
+ASK = rpc_data.ViewRequest('entry-1', 'zone-1')
 WITHIN_S = 0.05
 
 
@@ -40,7 +40,9 @@
         seen = asyncio.create_task(self.feed.wait_until_confirmed(1.0))
         await asyncio.sleep(WITHIN_S)
         self.assertFalse(seen.done())
-        await self.feed.on_seen(suspects_data.Seen(ASK.entry, update.number))
+        await self.feed.on_confirmation(
+            suspects_data.SuspectsApplied(ASK.entry, update.number)
+        )
         await seen
         waiting.cancel()
 
--- a/beryllug/control/waiters.py
+++ b/beryllug/control/waiters.py
@@ -25,7 +25,7 @@
         except TimeoutError:
             return False
 
-    def settle(
+    def complete(
         self, row_ids: Iterable[shard_state.RowId], *, durable: bool
     ) -> None:
         """Complete the futures of these rows with their result."""
@@ -36,10 +36,10 @@
 
     def fail_all(self) -> None:
         """Complete all futures as not durable."""
-        self.settle(list(self._futures), durable=False)
+        self.complete(list(self._futures), durable=False)
 
 
-async def set_within(event: asyncio.Event, wait_s: float) -> bool:
+async def wait_for_event(event: asyncio.Event, wait_s: float) -> bool:
     """Wait until an event is set; False on timeout."""
     if event.is_set():
         return True
--- a/beryllug/core/balance.py
+++ b/beryllug/core/balance.py
@@ -84,7 +84,9 @@
             return min(
                 usable,
                 key=lambda member: (
-                    server_load.track(state, member.server.server_id).in_flight
+                    server_load.stats_of(
+                        state, member.server.server_id
+                    ).in_flight
                 ),
             ).server
         case balance_data.RoundRobin():
@@ -123,8 +125,8 @@
         member
         for member in pool.members
         if member.server.server_id not in pick.excluded
-        and not ejection.is_out(
-            server_load.track(state, member.server.server_id), now
+        and not ejection.is_ejected(
+            server_load.stats_of(state, member.server.server_id), now
         )
     ]
     if pick.version is None:
@@ -133,7 +135,7 @@
         member
         for member in usable
         if pick.version
-        in server_load.track(state, member.server.server_id).loaded
+        in server_load.stats_of(state, member.server.server_id).loaded
     ]
     return with_version or usable
 
@@ -146,7 +148,7 @@
     return min(
         members,
         key=lambda member: server_load.load_of(
-            server_load.track(state, member.server.server_id), now
+            server_load.stats_of(state, member.server.server_id), now
         ),
     )
 
@@ -162,7 +164,7 @@
     owner = _prefix_owner(usable, pick.prefix_key)
     costs = []
     for member in usable:
-        stats = server_load.track(state, member.server.server_id)
+        stats = server_load.stats_of(state, member.server.server_id)
         load = server_load.load_of(stats, now, policy.others)
         first_token_cost = policy.cached_cost if member is owner else 1
         cost = _expected_cost(
--- a/beryllug/core/balance_data.py
+++ b/beryllug/core/balance_data.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Track:
+class ServerStats:
     """What this process observed of one backend server.
 
     Attributes:
@@ -87,12 +87,12 @@
     """What is known of each server.
 
     Attributes:
-        tracks: Observations by server id; `server_load.keep_only` drops
+        server_stats: Observations by server id; `server_load.keep_only` drops
             those of servers that are no longer listed.
         turns: Index of the next round-robin choice, by pool.
     """
 
-    tracks: dict[str, Track] = field(default_factory=dict)
+    server_stats: dict[str, ServerStats] = field(default_factory=dict)
     turns: dict[str, int] = field(default_factory=dict)
 
 
--- a/beryllug/core/balance_test.py
+++ b/beryllug/core/balance_test.py
@@ -99,11 +99,11 @@
             view_data.ServerLoad(f's{number}', 4 if number == 3 else 8, 0, 1)
             for number in range(4)
         ]
-        server_load.report(self.state, loads, clock_offset=0)
+        server_load.apply_reports(self.state, loads, clock_offset=0)
         chosen = Counter[str]()
         for _ in range(12):
             server_id = self.choose(now=1.1)
-            server_load.dispatched(self.state, server_id, 1.1)
+            server_load.record_dispatch(self.state, server_id, 1.1)
             chosen[server_id] += 1
         self.assertIn(chosen['s3'], range(3, 6))
 
@@ -113,13 +113,13 @@
         owner = self.choose(pick)
         self.assertEqual({self.choose(pick) for _ in range(20)}, {owner})
         for _ in range(10):
-            server_load.dispatched(self.state, owner, 0)
+            server_load.record_dispatch(self.state, owner, 0)
         self.assertNotEqual(self.choose(pick), owner)
 
     def test_loaded_version(self) -> None:
         """Servers that have the version loaded are preferred."""
         loads = [view_data.ServerLoad('s2', 3, 0, 1, (VERSION,))]
-        server_load.report(self.state, loads, clock_offset=0)
+        server_load.apply_reports(self.state, loads, clock_offset=0)
         pick = PICK._replace(version=VERSION)
         self.assertEqual(self.choose(pick, now=1), 's2')
 
@@ -151,27 +151,27 @@
         would attract the whole load. Three consecutive failures eject it;
         afterwards it is probed with one request at a time.
         """
-        stats = balance_data.Track()
+        stats = balance_data.ServerStats()
         for _ in range(ejection.FAILURES_TO_EJECT):
-            ejection.failed(stats, 0)
-        self.assertTrue(ejection.is_out(stats, 0.5))
-        self.assertFalse(ejection.is_out(stats, 1.5))
+            ejection.record_failure(stats, 0)
+        self.assertTrue(ejection.is_ejected(stats, 0.5))
+        self.assertFalse(ejection.is_ejected(stats, 1.5))
         stats.in_flight = 1
-        self.assertTrue(ejection.is_out(stats, 1.5))
+        self.assertTrue(ejection.is_ejected(stats, 1.5))
         stats.in_flight = 0
-        ejection.failed(stats, 1.5)
-        self.assertTrue(ejection.is_out(stats, 3))
-        ejection.succeeded(stats, 1)
-        self.assertFalse(ejection.is_out(stats, 4))
+        ejection.record_failure(stats, 1.5)
+        self.assertTrue(ejection.is_ejected(stats, 3))
+        ejection.record_success(stats, 1)
+        self.assertFalse(ejection.is_ejected(stats, 4))
 
     def test_pause(self) -> None:
         """A pool whose servers all failed is probed every few seconds."""
-        stats = balance_data.Track()
+        stats = balance_data.ServerStats()
         now = 0.0
         for _ in range(10):
-            ejection.eject(stats, now, ejection.MOST_FAILING_S)
+            ejection.eject(stats, now, ejection.MAX_FAILING_PAUSE_S)
             pause_s = stats.ejected_until - now
-            self.assertLessEqual(pause_s, ejection.MOST_FAILING_S)
+            self.assertLessEqual(pause_s, ejection.MAX_FAILING_PAUSE_S)
             now = stats.ejected_until
 
     def test_slow(self) -> None:
@@ -186,14 +186,14 @@
         for ratios, expected in cases:
             with self.subTest(ratios=ratios):
                 tracks = [
-                    balance_data.Track(slowness=ratio, samples=9)
+                    balance_data.ServerStats(slowness=ratio, samples=9)
                     for ratio in ratios
                 ]
                 ejection.eject_slow(tracks, 0)
                 out = {
                     index
                     for index, stats in enumerate(tracks)
-                    if ejection.is_out(stats, 0.1)
+                    if ejection.is_ejected(stats, 0.1)
                 }
                 self.assertEqual(out, expected)
 
@@ -204,15 +204,15 @@
     def test_pool_load(self) -> None:
         """Without reports the own count stands for the other entries'."""
         state = balance_data.BalanceState()
-        stats = server_load.track(state, 's0')
+        stats = server_load.stats_of(state, 's0')
         for _ in range(9):
-            server_load.dispatched(state, 's0', 0)
+            server_load.record_dispatch(state, 's0', 0)
         self.assertEqual(server_load.pool_load([stats], 1, 60), 9)
         self.assertAlmostEqual(server_load.pool_load([stats], 8, 60), 72)
         loads = [view_data.ServerLoad('s0', 20, 4, 60)]
-        server_load.report(state, loads, clock_offset=0)
+        server_load.apply_reports(state, loads, clock_offset=0)
         self.assertEqual(server_load.pool_load([stats], 8, 60.5), 24)
-        server_load.finished(state, 's0', 60.5)
+        server_load.record_end(state, 's0', 60.5)
         self.assertEqual(server_load.pool_load([stats], 8, 60.5), 23)
 
     def test_old_reports(self) -> None:
@@ -220,20 +220,20 @@
         state = balance_data.BalanceState()
         for running, at in ((5, 2), (9, 1)):
             loads = [view_data.ServerLoad('s0', running, 0, at)]
-            server_load.report(state, loads, clock_offset=0)
-        stats = server_load.track(state, 's0')
+            server_load.apply_reports(state, loads, clock_offset=0)
+        stats = server_load.stats_of(state, 's0')
         self.assertEqual(server_load.load_of(stats, 2), 5)
         self.assertEqual(server_load.load_of(stats, 60), 0)
 
     def test_keep_only(self) -> None:
         """A removed server is dropped when its last request has ended."""
         state = balance_data.BalanceState()
-        server_load.dispatched(state, 's0', 0)
+        server_load.record_dispatch(state, 's0', 0)
         server_load.keep_only(state, [])
-        self.assertIn('s0', state.tracks)
-        server_load.finished(state, 's0', 1)
+        self.assertIn('s0', state.server_stats)
+        server_load.record_end(state, 's0', 1)
         server_load.keep_only(state, [])
-        self.assertNotIn('s0', state.tracks)
+        self.assertNotIn('s0', state.server_stats)
 
 
 if __name__ == '__main__':
--- a/beryllug/core/canary/plan.py
+++ b/beryllug/core/canary/plan.py
@@ -140,7 +140,9 @@
     return tally.tried + 1 <= allowed + dither
 
 
-def is_drawn(subject: str, bounds: canary_data.Bounds, part: float = 1) -> bool:
+def is_sampled(
+    subject: str, bounds: canary_data.Bounds, part: float = 1
+) -> bool:
     """Return whether a session, or a request without one, is sampled.
 
     All processes sample the same sessions, so a session that arrives at
@@ -151,15 +153,15 @@
         bounds: The limits of the roll-out.
         part: Part of the allowed share that is sampled.
     """
-    return rendezvous.share(subject) < bounds.share * part
+    return rendezvous.unit_hash(subject) < bounds.share * part
 
 
-def drawn_part(
+def sampled_part(
     order: canary_data.Order, tally: canary_data.Tally, age_s: float
 ) -> float:
     """Return the part of the allowed share of sessions that is sampled now."""
     is_late = age_s > order.duration_s * SESSION_BINDING_RATIO
-    if is_late and verdict.judged(tally) < MIN_ANSWERS:
+    if is_late and verdict.count_new_answers(tally) < MIN_ANSWERS:
         return 1
     return DRAWN_PART
 
@@ -180,7 +182,7 @@
     age_s: float,
     bounds: canary_data.Bounds,
 ) -> bool:
-    count = verdict.judged(tally)
+    count = verdict.count_new_answers(tally)
     left_s = order.duration_s - age_s
     if left_s <= _min_full_s(order):
         return count >= MIN_LATE_ANSWERS
--- a/beryllug/core/canary/plan_test.py
+++ b/beryllug/core/canary/plan_test.py
@@ -281,7 +281,7 @@
         )
         for title, tally, age_s, expected in table:
             with self.subTest(title):
-                found = plan.drawn_part(ORDER, tally, age_s)
+                found = plan.sampled_part(ORDER, tally, age_s)
                 self.assertEqual(found, expected)
 
     def test_stays(self) -> None:
@@ -300,7 +300,7 @@
             tally = own[rng.randrange(processes)]
             tally.requests += 1
             session = f'session-{number % 1600}'
-            if not plan.is_drawn(session, LARGE_BOUNDS, plan.DRAWN_PART):
+            if not plan.is_sampled(session, LARGE_BOUNDS, plan.DRAWN_PART):
                 continue
             drawn += 1
             if plan.may_try(tally, LARGE_BOUNDS, processes, rng.random()):
@@ -313,14 +313,15 @@
     def test_drawn(self) -> None:
         """All processes sample the same sessions, as many as the share."""
         drawn = [
-            plan.is_drawn(f'session-{number}', BOUNDS) for number in range(2000)
+            plan.is_sampled(f'session-{number}', BOUNDS)
+            for number in range(2000)
         ]
         self.assertAlmostEqual(sum(drawn) / 2000, BOUNDS.share, delta=0.03)
 
     def test_sessions(self) -> None:
         """A session keeps its version during its lifetime."""
         known = sessions.Sessions()
-        sessions.ran(known, 'pool', 'guest', 'v1', 10)
+        sessions.record_session_run(known, 'pool', 'guest', 'v1', 10)
         for now, expected in ((14, 'v1'), (15.9, 'v1'), (16.1, None)):
             with self.subTest(now):
                 found = sessions.pinned(known, 'pool', 'guest', 5, now)
@@ -331,7 +332,7 @@
         total = verdict.merge((GOOD, BAD))
         self.assertEqual(total.by_route['chat'].answers['n1'], Answers(12, 2))
         self.assertEqual(total.requests, 400)
-        self.assertEqual(verdict.judged(total), 27)
+        self.assertEqual(verdict.count_new_answers(total), 27)
 
 
 def _simulate(load: Load) -> tuple[canary_data.Tally, Phase]:
--- a/beryllug/core/canary/sessions.py
+++ b/beryllug/core/canary/sessions.py
@@ -22,7 +22,7 @@
     seen_at: float
 
 
-class Told(NamedTuple):
+class SessionVersion(NamedTuple):
     """A session's version, as sent to peers."""
 
     service: str
@@ -40,7 +40,7 @@
     """
 
     pins: dict[tuple[str, str], Pin] = field(default_factory=dict)
-    untold: dict[Told, None] = field(default_factory=dict)
+    untold: dict[SessionVersion, None] = field(default_factory=dict)
 
 
 def pinned(
@@ -57,7 +57,7 @@
     return pin.version
 
 
-def ran(
+def record_session_run(
     sessions: Sessions, service: str, session: str, version: str, now: float
 ) -> None:
     """Record that a request of a session ran, or is still running."""
@@ -70,17 +70,17 @@
 
 def of_service(
     sessions: Sessions, service: str, session_s: float, now: float
-) -> list[Told]:
+) -> list[SessionVersion]:
     """Return the current sessions of a service."""
     return [
-        Told(service, session, pin.version)
+        SessionVersion(service, session, pin.version)
         for (each, session), pin in sessions.pins.items()
         if each == service
         and now - pin.seen_at <= session_s + LIFETIME_MARGIN_S
     ]
 
 
-def tell(sessions: Sessions, most: int) -> list[Told]:
+def tell(sessions: Sessions, most: int) -> list[SessionVersion]:
     """Remove and return the next session versions to send, up to a maximum."""
     batch = list(sessions.untold)[:most]
     for told in batch:
--- a/beryllug/core/canary/verdict.py
+++ b/beryllug/core/canary/verdict.py
@@ -126,7 +126,7 @@
     return {key: min(known.get(key, 0), score) for key, score in scores.items()}
 
 
-def judged(tally: canary_data.Tally) -> int:
+def count_new_answers(tally: canary_data.Tally) -> int:
     """Count the answers of the new version."""
     return sum(
         each.good + each.bad
--- a/beryllug/core/cascade.py
+++ b/beryllug/core/cascade.py
@@ -31,13 +31,13 @@
 MAX_LAST_STAGE_SHORTFALL = 0.4
 QUALITY_WINDOW_ANSWERS = 200
 
-Question = cascade_data.Question
+CascadeRequest = cascade_data.CascadeRequest
 
 
 def begin(
     policy: cascade_data.CascadePolicy,
     state: cascade_data.CascadeState,
-    question: Question,
+    question: CascadeRequest,
     now: float,
 ) -> cascade_data.Begin:
     """Return the stage that a request starts with."""
@@ -50,14 +50,14 @@
         case cascade_data.FixedThreshold():
             checked = last > 0 and _fits_deadlines(state, question, 0)
             return cascade_data.Begin(0 if checked else last, checked)
-        case cascade_data.Learnt():
+        case cascade_data.LearntPolicy():
             return _best_start(policy, state, question, now)
 
 
 def after(
     policy: cascade_data.CascadePolicy,
     state: cascade_data.CascadeState,
-    question: Question,
+    question: CascadeRequest,
     answers: Sequence[cascade_data.Answer],
 ) -> cascade_data.Decision:
     """Decide what to do with the answers that were generated so far.
@@ -79,17 +79,17 @@
             rating = latest.rating
             if latest.stage < last and (rating is None or rating < threshold):
                 return cascade_data.Begin(last, checked=False)
-            return cascade_data.GiveOut(latest.stage)
-        case cascade_data.Learnt():
+            return cascade_data.ReturnAnswer(latest.stage)
+        case cascade_data.LearntPolicy():
             return _return_or_escalate(policy, state, question, latest)
         case _:
-            return cascade_data.GiveOut(latest.stage)
+            return cascade_data.ReturnAnswer(latest.stage)
 
 
 def sample(
     policy: cascade_data.CascadePolicy,
     state: cascade_data.CascadeState,
-    given: cascade_data.Given,
+    given: cascade_data.CompletedAnswer,
     now: float,
     draw: float,
 ) -> cascade_data.Sample:
@@ -102,7 +102,7 @@
         now: The current time in seconds.
         draw: A random number from 0 to 1.
     """
-    if not isinstance(policy, cascade_data.Learnt):
+    if not isinstance(policy, cascade_data.LearntPolicy):
         return cascade_data.Sample.NONE
     if not rating_health.is_reachable(state.judge, now):
         return cascade_data.Sample.NONE
@@ -110,7 +110,7 @@
         return cascade_data.Sample.AUDIT
     if given.answer.rating is not None:
         return cascade_data.Sample.NONE
-    place = stage_chance.place_of(
+    place = stage_chance.rating_key(
         given.question, given.answer.stage, given.escalated
     )
     weight = rating_model.weight(state, place)
@@ -120,9 +120,9 @@
     return cascade_data.Sample.NONE
 
 
-def take_sample(
+def record_sample(
     state: cascade_data.CascadeState,
-    given: cascade_data.Given,
+    given: cascade_data.CompletedAnswer,
     drawn: cascade_data.Sample,
     rating: float,
 ) -> None:
@@ -134,7 +134,7 @@
         answer = given.answer._replace(rating=rating)
         learn(state, question, answer, given.escalated)
     if drawn is cascade_data.Sample.AUDIT:
-        place = stage_chance.place_of(
+        place = stage_chance.rating_key(
             question, given.answer.stage, given.escalated
         )
         rating_model.audit(
@@ -145,9 +145,9 @@
         )
 
 
-def given_out(
+def record_returned(
     state: cascade_data.CascadeState,
-    question: Question,
+    question: CascadeRequest,
     answer: cascade_data.Answer,
     escalated: bool,
 ) -> float:
@@ -159,15 +159,15 @@
     Returns:
         The probability that the answer is good.
     """
-    place = stage_chance.place_of(question, answer.stage, escalated)
+    place = stage_chance.rating_key(question, answer.stage, escalated)
     chance = stage_chance.of_answer(state, question, place, answer)
     ledger = _ledger(state, question)
     ledger.answers += 1
     part = 1 / min(ledger.answers, QUALITY_WINDOW_ANSWERS)
-    ledger.meant += part * (chance - ledger.meant)
+    ledger.expected_quality += part * (chance - ledger.expected_quality)
     ledger.unit += part * (question.offers[-1].cost - ledger.unit)
     least = question.cascade.min_rating
-    share = ledger.meant + rating_model.audit_error(ledger, least)
+    share = ledger.expected_quality + rating_model.audit_error(ledger, least)
     shortfall = question.cascade.quality_target + MARGIN - share
     price = ledger.price + LOG_PRICE_STEP * shortfall
     ledger.price = min(max(price, MIN_LOG_PRICE), MAX_LOG_PRICE)
@@ -176,7 +176,7 @@
 
 def learn(
     state: cascade_data.CascadeState,
-    question: Question,
+    question: CascadeRequest,
     answer: cascade_data.Answer,
     escalated: bool,
 ) -> None:
@@ -187,16 +187,16 @@
     """
     if answer.rating is None or not rating_health.is_trusted(state.judge):
         return
-    place = stage_chance.place_of(question, answer.stage, escalated)
+    place = stage_chance.rating_key(question, answer.stage, escalated)
     rating = rating_health.corrected(state.judge, place.model, answer.rating)
     noise = rating_health.noise(state.judge) / answer.ratings
     rating_model.learn(state, place, rating, noise)
 
 
 def _best_start(
-    policy: cascade_data.Learnt,
+    policy: cascade_data.LearntPolicy,
     state: cascade_data.CascadeState,
-    question: Question,
+    question: CascadeRequest,
     now: float,
 ) -> cascade_data.Begin:
     last = len(question.offers) - 1
@@ -220,7 +220,9 @@
     return best
 
 
-def _is_plausible(state: cascade_data.CascadeState, question: Question) -> bool:
+def _is_plausible(
+    state: cascade_data.CascadeState, question: CascadeRequest
+) -> bool:
     """Return whether the last stage's ratings come close to the target.
 
     A rating service that rates everything low makes all stages look equally
@@ -232,7 +234,7 @@
 
 
 def _cheaper_starts(
-    state: cascade_data.CascadeState, question: Question, usable: bool
+    state: cascade_data.CascadeState, question: CascadeRequest, usable: bool
 ) -> Iterator[cascade_data.Begin]:
     """Yield the options, besides the last stage, that meet the deadlines."""
     for stage, offer in enumerate(question.offers[:-1]):
@@ -244,7 +246,7 @@
 
 
 def _fits_deadlines(
-    state: cascade_data.CascadeState, question: Question, stage: int
+    state: cascade_data.CascadeState, question: CascadeRequest, stage: int
 ) -> bool:
     """Return whether a stage, its rating and the last stage fit in time."""
     spent = question.offers[stage].whole_s
@@ -259,13 +261,13 @@
 
 def _unchecked_utility(
     state: cascade_data.CascadeState,
-    question: Question,
+    question: CascadeRequest,
     stage: int,
     terms: tuple[float, float],
 ) -> float:
     """Return the utility of a stage at a price and a confidence bound."""
     price, confidence_z = terms
-    place = stage_chance.place_of(question, stage, escalated=False)
+    place = stage_chance.rating_key(question, stage, escalated=False)
     chance = rating_model.chance(
         rating_model.belief(state, place),
         stage_chance.reading(state, question),
@@ -275,10 +277,10 @@
 
 
 def _checked_utility(
-    state: cascade_data.CascadeState, question: Question, stage: int
+    state: cascade_data.CascadeState, question: CascadeRequest, stage: int
 ) -> float:
     """Return the expected utility over the ratings the answer may get."""
-    place = stage_chance.place_of(question, stage, escalated=False)
+    place = stage_chance.rating_key(question, stage, escalated=False)
     known = rating_model.belief(state, place)
     reading = stage_chance.reading(state, question)
     price = _quality_price(state, question)
@@ -290,17 +292,17 @@
 
 
 def _return_or_escalate(
-    policy: cascade_data.Learnt,
+    policy: cascade_data.LearntPolicy,
     state: cascade_data.CascadeState,
-    question: Question,
+    question: CascadeRequest,
     latest: cascade_data.Answer,
 ) -> cascade_data.Decision:
     last = len(question.offers) - 1
     last_offer = question.offers[last]
     too_late = last_offer.whole_s > question.whole_left_s
     if latest.stage == last or too_late or not last_offer.open:
-        return cascade_data.GiveOut(latest.stage)
-    place = stage_chance.place_of(question, latest.stage, escalated=False)
+        return cascade_data.ReturnAnswer(latest.stage)
+    place = stage_chance.rating_key(question, latest.stage, escalated=False)
     price = _quality_price(state, question)
     chance = stage_chance.of_answer(state, question, place, latest)
     escalated = stage_chance.of_last(state, question) - last_offer.cost / price
@@ -308,13 +310,13 @@
         return cascade_data.RateAgain(latest.stage)
     if escalated > chance:
         return cascade_data.Begin(last, checked=False)
-    return cascade_data.GiveOut(latest.stage)
+    return cascade_data.ReturnAnswer(latest.stage)
 
 
 def _is_worth_rating(
-    policy: cascade_data.Learnt,
+    policy: cascade_data.LearntPolicy,
     state: cascade_data.CascadeState,
-    question: Question,
+    question: CascadeRequest,
     answer: cascade_data.Answer,
     utilities: tuple[float, float],
 ) -> bool:
@@ -327,7 +329,7 @@
         return False
     if not _rerating_fits_deadlines(state, question):
         return False
-    place = stage_chance.place_of(question, answer.stage, escalated=False)
+    place = stage_chance.rating_key(question, answer.stage, escalated=False)
     known = stage_chance.after_rating(state, question, place, answer)
     best = rating_model.expected_best(
         known, stage_chance.reading(state, question), utilities[1]
@@ -340,7 +342,7 @@
 
 
 def _rerating_fits_deadlines(
-    state: cascade_data.CascadeState, question: Question
+    state: cascade_data.CascadeState, question: CascadeRequest
 ) -> bool:
     """Return whether another rating and the last stage fit in time."""
     last_offer = question.offers[-1]
@@ -351,7 +353,7 @@
 
 
 def _quality_price(
-    state: cascade_data.CascadeState, question: Question
+    state: cascade_data.CascadeState, question: CascadeRequest
 ) -> float:
     """Return the value of a good answer, in the unit of costs."""
     ledger = _ledger(state, question)
@@ -359,9 +361,9 @@
 
 
 def _price_and_confidence(
-    policy: cascade_data.Learnt,
+    policy: cascade_data.LearntPolicy,
     state: cascade_data.CascadeState,
-    question: Question,
+    question: CascadeRequest,
     usable: bool,
 ) -> tuple[float, float]:
     """Return the price and confidence bound, with or without ratings."""
@@ -371,7 +373,7 @@
 
 
 def _unrated_price(
-    state: cascade_data.CascadeState, question: Question
+    state: cascade_data.CascadeState, question: CascadeRequest
 ) -> float:
     """Return the price without ratings, so high that cost hardly matters.
 
@@ -382,12 +384,14 @@
     return math.exp(UNRATED_LOG_PRICE) * unit
 
 
-def _cost_unit(ledger: cascade_data.Ledger, question: Question) -> float:
+def _cost_unit(
+    ledger: cascade_data.CascadeQuality, question: CascadeRequest
+) -> float:
     return ledger.unit or question.offers[-1].cost
 
 
 def _ledger(
-    state: cascade_data.CascadeState, question: Question
-) -> cascade_data.Ledger:
+    state: cascade_data.CascadeState, question: CascadeRequest
+) -> cascade_data.CascadeQuality:
     name = question.cascade.name
-    return state.ledgers.setdefault(name, cascade_data.Ledger())
+    return state.ledgers.setdefault(name, cascade_data.CascadeQuality())
--- a/beryllug/core/cascade_data.py
+++ b/beryllug/core/cascade_data.py
@@ -33,7 +33,7 @@
     open: bool = True
 
 
-class Question(NamedTuple):
+class CascadeRequest(NamedTuple):
     """One request to a cascade, at the time of a decision.
 
     Attributes:
@@ -68,7 +68,7 @@
     ratings: int = 1
 
 
-class Given(NamedTuple):
+class CompletedAnswer(NamedTuple):
     """An answer that was returned, with the request it belongs to.
 
     Attributes:
@@ -77,7 +77,7 @@
         escalated: Whether the answer of an earlier stage was rejected.
     """
 
-    question: Question
+    question: CascadeRequest
     answer: Answer
     escalated: bool
 
@@ -115,14 +115,14 @@
     stage: int
 
 
-class GiveOut(NamedTuple):
+class ReturnAnswer(NamedTuple):
     """Return the answer of a stage that already ran."""
 
     stage: int
 
 
 @dataclass(frozen=True, slots=True)
-class Learnt:
+class LearntPolicy:
     """Minimizes the expected cost at the quality target.
 
     Attributes:
@@ -162,8 +162,8 @@
     """The first stage for all requests: a baseline."""
 
 
-Decision = GiveOut | Begin | RateAgain
-CascadePolicy = Learnt | FixedThreshold | AlwaysStrong | AlwaysCheap
+Decision = ReturnAnswer | Begin | RateAgain
+CascadePolicy = LearntPolicy | FixedThreshold | AlwaysStrong | AlwaysCheap
 
 
 class CellKey(NamedTuple):
@@ -183,7 +183,7 @@
     account_id: str = ''
 
 
-class Known(NamedTuple):
+class CachedEstimate(NamedTuple):
     """Cached combination of an account's cell and its parent cell.
 
     Attributes:
@@ -213,11 +213,11 @@
     mass: list[float] = field(
         default_factory=lambda: [0.0 for _ in range(BINS)]
     )
-    known: Known | None = None
+    known: CachedEstimate | None = None
 
 
 @dataclass(slots=True)
-class Judge:
+class RatingServiceHealth:
     """Measurements of the rating service by this process.
 
     Attributes:
@@ -238,7 +238,7 @@
 
 
 @dataclass(slots=True)
-class Ledger:
+class CascadeQuality:
     """Quality of one cascade's answers relative to its target.
 
     Attributes:
@@ -248,7 +248,7 @@
             are checked more closely than long ones, whose second attempt
             costs more.
         answers: Number of returned answers.
-        meant: Smoothed probability that a returned answer is good.
+        expected_quality: Smoothed probability that a returned answer is good.
         audit: True ratings of the audited answers.
         audit_expected: Decayed sum of the probabilities of the audited
             answers.
@@ -257,7 +257,7 @@
     price: float = 1.2
     unit: float = 0.0
     answers: int = 0
-    meant: float = 0.0
+    expected_quality: float = 0.0
     audit: Cell = field(default_factory=Cell)
     audit_expected: float = 0.0
 
@@ -267,5 +267,5 @@
     """The state learnt by one process; only its routing service changes it."""
 
     cells: dict[CellKey, Cell] = field(default_factory=dict)
-    ledgers: dict[str, Ledger] = field(default_factory=dict)
-    judge: Judge = field(default_factory=Judge)
+    ledgers: dict[str, CascadeQuality] = field(default_factory=dict)
+    judge: RatingServiceHealth = field(default_factory=RatingServiceHealth)
--- a/beryllug/core/cascade_test.py
+++ b/beryllug/core/cascade_test.py
@@ -11,17 +11,17 @@
     rating_model,
 )
 
-LEARNT = cascade_data.Learnt()
+LEARNT = cascade_data.LearntPolicy()
 LADDER = config_data.Cascade('ladder', ('small', 'large'), 0.88, 0.7)
 SMALL = cascade_data.Offer('small', 100, 0.1, 1)
 LARGE = cascade_data.Offer('large', 1200, 0.4, 4)
-QUESTION = cascade_data.Question(
+QUESTION = cascade_data.CascadeRequest(
     'desk', 'draft', LADDER, (SMALL, LARGE), 30, 60
 )
 STRONG = cascade_data.Begin(1, checked=False)
 CHECKED = cascade_data.Begin(0, checked=True)
 NOISE = 0.006
-READING = rating_model.Reading(NOISE, LADDER.min_rating)
+READING = rating_model.RatingParameters(NOISE, LADDER.min_rating)
 
 
 def _learn(
@@ -122,7 +122,7 @@
 
     def test_backoff(self) -> None:
         """An unreachable service is retried with exponential backoff."""
-        judge = cascade_data.Judge()
+        judge = cascade_data.RatingServiceHealth()
         for _ in range(rating_health.FAILURES_UNREACHABLE):
             rating_health.missed(judge, 1, 0)
         self.assertFalse(rating_health.is_reachable(judge, 3.9))
@@ -138,19 +138,19 @@
 
     def test_after(self) -> None:
         """Good answers are returned, poor ones escalate, others are rerated."""
-        again = cascade_data.Learnt(most_ratings=2)
+        again = cascade_data.LearntPolicy(most_ratings=2)
         cases = (
-            (LEARNT, 0.95, QUESTION, cascade_data.GiveOut(0)),
+            (LEARNT, 0.95, QUESTION, cascade_data.ReturnAnswer(0)),
             (LEARNT, 0.3, QUESTION, STRONG),
             (again, 0.66, QUESTION, cascade_data.RateAgain(0)),
-            (again, 0.95, QUESTION, cascade_data.GiveOut(0)),
+            (again, 0.95, QUESTION, cascade_data.ReturnAnswer(0)),
             (LEARNT, 0.3, QUESTION._replace(whole_left_s=1), None),
             (cascade_data.FixedThreshold(0.7), 0.69, QUESTION, STRONG),
             (
                 cascade_data.FixedThreshold(0.7),
                 0.71,
                 QUESTION,
-                cascade_data.GiveOut(0),
+                cascade_data.ReturnAnswer(0),
             ),
         )
         for policy, rating, question, expected in cases:
@@ -159,16 +159,18 @@
                 decision = cascade.after(
                     policy, _trained_state(0.6, 0.95), question, (answer,)
                 )
-                self.assertEqual(decision, expected or cascade_data.GiveOut(0))
+                self.assertEqual(
+                    decision, expected or cascade_data.ReturnAnswer(0)
+                )
 
     def test_price(self) -> None:
         """The price rises below the quality target and falls above it."""
         for rating, rises in ((0.3, True), (0.98, False)):
             with self.subTest(rating=rating):
                 state = _trained_state(0.6, 0.95)
-                before = cascade_data.Ledger().price
+                before = cascade_data.CascadeQuality().price
                 for _ in range(200):
-                    cascade.given_out(
+                    cascade.record_returned(
                         state,
                         QUESTION,
                         cascade_data.Answer(0, rating),
@@ -181,9 +183,9 @@
         """Audits detect answers that are worse than predicted."""
         state = _trained_state(0.6, 0.95)
         answer = cascade_data.Answer(0, 0.9)
-        given = cascade_data.Given(QUESTION, answer, escalated=False)
+        given = cascade_data.CompletedAnswer(QUESTION, answer, escalated=False)
         for _ in range(200):
-            cascade.take_sample(
+            cascade.record_sample(
                 state, given, cascade_data.Sample.AUDIT, rating=0.4
             )
         ledger = state.ledgers['ladder']
@@ -204,7 +206,9 @@
             with self.subTest(fraction=fraction):
                 rng = random.Random(1)
                 state = cascade_data.CascadeState()
-                place = rating_model.Place('m', False, 'draft', 'desk', False)
+                place = rating_model.RatingKey(
+                    'm', False, 'draft', 'desk', False
+                )
                 good = 0
                 for _ in range(1000):
                     shape = (14, 2.5) if rng.random() < fraction else (5, 5)
@@ -220,14 +224,14 @@
         """A new account starts from the ratings of its kind of request."""
         state = _trained_state(0.9, 0.95)
         estimate = rating_model.belief(
-            state, rating_model.Place('small', False, 'draft', 'new', False)
+            state, rating_model.RatingKey('small', False, 'draft', 'new', False)
         )
         self.assertGreater(rating_model.chance(estimate, READING), 0.8)
 
     def test_expected_best(self) -> None:
         """Rating an answer never has a lower expected value than not."""
         state = _trained_state(0.6, 0.95)
-        place = rating_model.Place('small', False, 'draft', 'desk', False)
+        place = rating_model.RatingKey('small', False, 'draft', 'desk', False)
         estimate = rating_model.belief(state, place)
         chance = rating_model.chance(estimate, READING)
         for alternative in (0, 0.3, 0.6, 0.9):
--- a/beryllug/core/brake.py
+++ b/beryllug/core/circuit_breaker.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Brake:
+class CircuitBreaker:
     """State of one candidate at one entry host.
 
     Attributes:
@@ -60,14 +60,14 @@
     holds: int = 0
 
 
-def deal(brake: Brake, total: int) -> None:
+def raise_total(brake: CircuitBreaker, total: int) -> None:
     """Update the allowed total; a delayed message never lowers it."""
     brake.total = max(brake.total, total)
 
 
-def remaining(brake: Brake, now: float) -> int:
+def remaining(brake: CircuitBreaker, now: float) -> int:
     """Return how many answers new sessions may get from the candidate."""
-    if is_held(brake, now):
+    if is_blocked(brake, now):
         return 0
     left = max(0, brake.total - brake.given)
     if brake.holds:
@@ -77,18 +77,18 @@
     return left
 
 
-def is_held(brake: Brake, now: float) -> bool:
+def is_blocked(brake: CircuitBreaker, now: float) -> bool:
     """Return whether the candidate is blocked."""
     return now < brake.blocked_until
 
 
-def give(brake: Brake) -> None:
+def record_dispatch(brake: CircuitBreaker) -> None:
     """Count a dispatched answer, including those of pinned sessions."""
     brake.given += 1
     brake.open += 1
 
 
-def end(brake: Brake, outcome: Outcome, now: float) -> bool:
+def record_outcome(brake: CircuitBreaker, outcome: Outcome, now: float) -> bool:
     """Record the outcome of an answer.
 
     Returns:
@@ -101,7 +101,7 @@
     score = brake.score + FAILURE_SCORE
     # A single crash of a backend server is enough to block the candidate.
     brake.score = THRESHOLD if outcome is Outcome.CRASHED else score
-    if brake.score < THRESHOLD or is_held(brake, now):
+    if brake.score < THRESHOLD or is_blocked(brake, now):
         return False
     block_s = min(FIRST_BLOCK_S * 2**brake.holds, LONGEST_BLOCK_S)
     brake.blocked_until = now + block_s
@@ -110,7 +110,7 @@
     return True
 
 
-def _record_success(brake: Brake) -> None:
+def _record_success(brake: CircuitBreaker) -> None:
     brake.score = max(0, brake.score + SUCCESS_SCORE)
     if brake.score == 0:
         brake.holds = 0
--- a/beryllug/core/brake_test.py
+++ b/beryllug/core/circuit_breaker_test.py
@@ -2,13 +2,13 @@
 
 import unittest
 
-from beryllug.core import brake
+from beryllug.core import circuit_breaker
 
-GOOD = brake.Outcome.GOOD
-FAILED = brake.Outcome.FAILED
-CRASHED = brake.Outcome.CRASHED
+GOOD = circuit_breaker.Outcome.GOOD
+FAILED = circuit_breaker.Outcome.FAILED
+CRASHED = circuit_breaker.Outcome.CRASHED
 
-Outcomes = tuple[brake.Outcome, ...]
+Outcomes = tuple[circuit_breaker.Outcome, ...]
 
 ACTS: tuple[tuple[str, Outcomes, bool], ...] = (
     ('good answers', (GOOD,) * 50, False),
@@ -20,13 +20,15 @@
 )
 
 
-def _after(outcomes: Outcomes, total: int = 100) -> tuple[brake.Brake, bool]:
-    state = brake.Brake()
-    brake.deal(state, total)
+def _after(
+    outcomes: Outcomes, total: int = 100
+) -> tuple[circuit_breaker.CircuitBreaker, bool]:
+    state = circuit_breaker.CircuitBreaker()
+    circuit_breaker.raise_total(state, total)
     acted = False
     for outcome in outcomes:
-        brake.give(state)
-        acted = brake.end(state, outcome, now=0.0) or acted
+        circuit_breaker.record_dispatch(state)
+        acted = circuit_breaker.record_outcome(state, outcome, now=0.0) or acted
     return state, acted
 
 
@@ -43,7 +45,9 @@
             with self.subTest(title):
                 state, acted = _after(outcomes)
                 self.assertEqual(acted, expected)
-                self.assertEqual(brake.remaining(state, 0.0) == 0, expected)
+                self.assertEqual(
+                    circuit_breaker.remaining(state, 0.0) == 0, expected
+                )
 
     def test_half_open(self) -> None:
         """A blocked version that still fails costs one answer for each block.
@@ -52,19 +56,19 @@
         twice as long. Several successes end the limit of one answer.
         """
         state, _ = _after((FAILED, FAILED))
-        now = brake.FIRST_BLOCK_S
-        self.assertEqual(brake.remaining(state, now), 1)
-        brake.give(state)
-        self.assertEqual(brake.remaining(state, now), 0)
-        self.assertTrue(brake.end(state, FAILED, now))
-        now += brake.FIRST_BLOCK_S
-        self.assertEqual(brake.remaining(state, now), 0)
-        now += brake.FIRST_BLOCK_S
+        now = circuit_breaker.FIRST_BLOCK_S
+        self.assertEqual(circuit_breaker.remaining(state, now), 1)
+        circuit_breaker.record_dispatch(state)
+        self.assertEqual(circuit_breaker.remaining(state, now), 0)
+        self.assertTrue(circuit_breaker.record_outcome(state, FAILED, now))
+        now += circuit_breaker.FIRST_BLOCK_S
+        self.assertEqual(circuit_breaker.remaining(state, now), 0)
+        now += circuit_breaker.FIRST_BLOCK_S
         for _ in range(6):
-            self.assertEqual(brake.remaining(state, now), 1)
-            brake.give(state)
-            brake.end(state, GOOD, now)
-        self.assertGreater(brake.remaining(state, now), 1)
+            self.assertEqual(circuit_breaker.remaining(state, now), 1)
+            circuit_breaker.record_dispatch(state)
+            circuit_breaker.record_outcome(state, GOOD, now)
+        self.assertGreater(circuit_breaker.remaining(state, now), 1)
 
     def test_share(self) -> None:
         """Messages about the share arrive late, twice and out of order.
@@ -72,13 +76,15 @@
         The total never decreases, so each answer is allowed once. Pinned
         sessions may exceed the total, and new sessions then get none.
         """
-        state = brake.Brake()
+        state = circuit_breaker.CircuitBreaker()
         for total, left in ((3, 3), (3, 3), (2, 3), (5, 5)):
-            brake.deal(state, total)
-            self.assertEqual(brake.remaining(state, 0.0), left)
+            circuit_breaker.raise_total(state, total)
+            self.assertEqual(circuit_breaker.remaining(state, 0.0), left)
         for given in range(1, 8):
-            brake.give(state)
-            self.assertEqual(brake.remaining(state, 0.0), max(0, 5 - given))
+            circuit_breaker.record_dispatch(state)
+            self.assertEqual(
+                circuit_breaker.remaining(state, 0.0), max(0, 5 - given)
+            )
 
 
 if __name__ == '__main__':
--- a/beryllug/core/config_root.py
+++ b/beryllug/core/config_root.py
@@ -8,7 +8,7 @@
 import json
 from typing import NamedTuple
 
-from beryllug.core import plain
+from beryllug.core import record_codec
 
 KEY = 'beryllug/config/root'
 HISTORY = 32
@@ -53,7 +53,7 @@
         return self.history[0].author if self.history else ''
 
 
-class Stamp(NamedTuple):
+class ApplyInfo(NamedTuple):
     """Who applies a document, when, and with which id."""
 
     author: str
@@ -62,7 +62,7 @@
 
 
 def advance(
-    root: Root, stamp: Stamp, parts: tuple[str, ...], manifest: str
+    root: Root, stamp: ApplyInfo, parts: tuple[str, ...], manifest: str
 ) -> Root:
     """Return the root after an accepted apply."""
     revision = root.revision + 1
@@ -72,7 +72,7 @@
     return Root(revision, parts, (accepted, *root.history)[:HISTORY])
 
 
-def applied(root: Root, apply_id: str) -> int | None:
+def revision_of_apply(root: Root, apply_id: str) -> int | None:
     """Return the revision that an apply created; None if unknown."""
     for accepted in root.history:
         if accepted.apply_id == apply_id:
@@ -80,7 +80,7 @@
     return None
 
 
-def reaches_back(root: Root, revision: int) -> bool:
+def has_history_since(root: Root, revision: int) -> bool:
     """Return whether the history has all revisions after the given one."""
     oldest = root.history[-1].revision if root.history else 1
     return oldest <= revision + 1
@@ -88,7 +88,7 @@
 
 def encode(root: Root) -> bytes:
     """Return the root as JSON."""
-    return json.dumps(plain.to_plain(root)).encode()
+    return json.dumps(record_codec.to_plain(root)).encode()
 
 
 def decode(raw: bytes) -> Root:
@@ -98,6 +98,6 @@
         ValueError: The bytes are not a configuration root.
     """
     try:
-        return plain.from_plain(Root, json.loads(raw))
+        return record_codec.from_plain(Root, json.loads(raw))
     except TypeError as exc:
         raise ValueError(f'not a configuration root: {exc}') from exc
--- a/beryllug/core/config_state.py
+++ b/beryllug/core/config_state.py
@@ -13,7 +13,7 @@
 NEVER = float('-inf')
 
 
-class Held(NamedTuple):
+class ProcessConfig(NamedTuple):
     """The complete configuration that one process uses.
 
     Attributes:
@@ -52,11 +52,11 @@
     peer_at: float = NEVER
 
 
-def hold(
+def build_config(
     revision: int,
     chunks: Mapping[str, bytes],
-    before: Held,
-) -> Held:
+    before: ProcessConfig,
+) -> ProcessConfig:
     """Build a configuration from its parts.
 
     Args:
@@ -73,10 +73,10 @@
         for digest, chunk in chunks.items()
     }
     document = document_parts.join(records.values())
-    return Held(revision, tuple(chunks), chunks, records, document)
+    return ProcessConfig(revision, tuple(chunks), chunks, records, document)
 
 
-def newer(held: Held, offered: Held) -> Held:
+def newer(held: ProcessConfig, offered: ProcessConfig) -> ProcessConfig:
     """Return the configuration to use: the offered one only if newer."""
     return offered if offered.revision > held.revision else held
 
@@ -112,7 +112,7 @@
     return Splice(head, tail, tuple(new[head : len(new) - tail]))
 
 
-def spliced(old: Sequence[str], change: Splice) -> tuple[str, ...]:
+def apply_splice(old: Sequence[str], change: Splice) -> tuple[str, ...]:
     """Apply a change to a list of digests."""
     end = len(old) - change.tail
     return (*old[: change.head], *change.added, *old[end:])
--- a/beryllug/core/config_state_test.py
+++ b/beryllug/core/config_state_test.py
@@ -35,10 +35,10 @@
 
     def test_newer(self) -> None:
         """Only a higher revision is accepted, whatever else differs."""
-        held = config_state.Held(5)
+        held = config_state.ProcessConfig(5)
         for revision, is_accepted in ((4, False), (5, False), (6, True)):
             with self.subTest(revision):
-                offered = config_state.Held(revision, ('x',))
+                offered = config_state.ProcessConfig(revision, ('x',))
                 found = config_state.newer(held, offered)
                 self.assertEqual(found is offered, is_accepted)
 
@@ -59,7 +59,7 @@
         ]
         for old, new in itertools.product(lists, lists):
             change = config_state.splice(old, new)
-            self.assertEqual(config_state.spliced(old, change), new)
+            self.assertEqual(config_state.apply_splice(old, change), new)
         one = config_state.splice('abcde', 'abxde')
         self.assertEqual(one, config_state.Splice(2, 2, ('x',)))
 
@@ -67,13 +67,17 @@
         """A document is rebuilt from its parts; other bytes are rejected."""
         parts = document_parts.split(DOCUMENT)
         chunks = {part.digest: part.content for part in parts}
-        held = config_state.hold(3, chunks, config_state.Held())
+        held = config_state.build_config(
+            3, chunks, config_state.ProcessConfig()
+        )
         self.assertEqual((held.revision, held.document), (3, DOCUMENT))
-        again = config_state.hold(4, chunks, held)
+        again = config_state.build_config(4, chunks, held)
         self.assertIs(again.document.pools[0], held.document.pools[0])
         for wrong in (b'[]', b'{"pools":[1]}', b'{"models":[{}]}', b'\xff'):
             with self.subTest(wrong), self.assertRaises(ValueError):
-                config_state.hold(1, {'x': wrong}, config_state.Held())
+                config_state.build_config(
+                    1, {'x': wrong}, config_state.ProcessConfig()
+                )
 
 
 class TokenKeysTest(unittest.TestCase):
@@ -89,7 +93,7 @@
                         for index, age in enumerate(ages)
                     )
                 )
-                found = token_keys.in_use(listed, 1000)
+                found = token_keys.valid_keys(listed, 1000)
                 ids = tuple(str(int(key.key_id)) for key in found)
                 self.assertEqual(ids, expected)
 
@@ -100,7 +104,7 @@
         for rotation in range(3):
             now = rotation * token_keys.SIGNS_S
             self.assertTrue(token_keys.is_due(listed, now))
-            listed = token_keys.renewed(listed, f'{rotation:064}', now)
+            listed = token_keys.add_key(listed, f'{rotation:064}', now)
             self.assertFalse(token_keys.is_due(listed, now + 1))
         creation_times = [key.made_at for key in listed.keys]
         self.assertEqual(
--- a/beryllug/core/crash_causes_test.py
+++ b/beryllug/core/crash_causes_test.py
@@ -85,11 +85,15 @@
     def test_of_reports(self) -> None:
         """Reports of two entries are one crash, without cleared requests."""
         table = suspects_data.Table()
-        suspects.reported(table, suspects_test.report('s1', ('a', 'b')), AT)
-        suspects.reported(
+        suspects.record_report(
+            table, suspects_test.report('s1', ('a', 'b')), AT
+        )
+        suspects.record_report(
             table, suspects_test.report('s1', ('c',), AT + 1), AT + 1
         )
-        suspects.ended(table, suspects_data.TrialEnd('b', '', answered=True))
+        suspects.record_trial_end(
+            table, suspects_data.TrialEnd('b', '', answered=True)
+        )
         crashes = crash_causes.crashes_of(table)
         self.assertEqual(len(crashes), 1)
         self.assertEqual(crashes[0].fingerprints, {'a', 'c'})
--- a/beryllug/core/document_parts.py
+++ b/beryllug/core/document_parts.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Any, NamedTuple
 
-from beryllug.core import config_data, document_plain, plain
+from beryllug.core import config_data, document_plain, record_codec
 
 PREFIX = 'beryllug/parts/'
 MIN_CHUNK_BYTES = 4096
@@ -84,7 +84,7 @@
     part = parse(content)
     sections = {part.section: part.records}
     known = document_plain.render(config_data.Document(**sections))
-    return plain.knows(known, json.loads(content))
+    return record_codec.knows(known, json.loads(content))
 
 
 def join(parts: Iterable[Records]) -> config_data.Document:
--- a/beryllug/core/document_plain.py
+++ b/beryllug/core/document_plain.py
@@ -8,7 +8,7 @@
 from types import MappingProxyType
 from typing import Any
 
-from beryllug.core import config_data, plain
+from beryllug.core import config_data, record_codec
 
 VERSION = 'version'
 RECORDS: Mapping[str, type[Any]] = MappingProxyType(
@@ -26,7 +26,7 @@
 
 def render(document: config_data.Document) -> dict[str, Any]:
     """Return the document as operators write it."""
-    rendered: dict[str, Any] = plain.to_plain(document)
+    rendered: dict[str, Any] = record_codec.to_plain(document)
     for model in rendered['models']:
         model['versions'] = [
             {VERSION: version.pop('ref')[VERSION], **version}
@@ -55,7 +55,7 @@
     kind = RECORDS[section]
     if kind is config_data.Model:
         records = [_expand_version_refs(model) for model in records]
-    return tuple(plain.from_plain(kind, record) for record in records)
+    return tuple(record_codec.from_plain(kind, record) for record in records)
 
 
 def _expand_version_refs(model: dict[str, Any]) -> dict[str, Any]:
--- a/beryllug/core/ejection.py
+++ b/beryllug/core/ejection.py
@@ -13,7 +13,7 @@
 
 FAILURES_TO_EJECT = 3
 BASE_PAUSE_S = 1.0
-MOST_FAILING_S = 4.0
+MAX_FAILING_PAUSE_S = 4.0
 MAX_SLOW_PAUSE_S = 16.0
 SLOW_RATIO = 3.0
 MIN_SAMPLES = 5
@@ -22,14 +22,14 @@
 MAX_RATIO = 100.0
 
 
-def failed(stats: balance_data.Track, now: float) -> None:
+def record_failure(stats: balance_data.ServerStats, now: float) -> None:
     """Record a failure: a refused connection, a reset or a 5xx status."""
     stats.failures += 1
     if stats.returning or stats.failures >= FAILURES_TO_EJECT:
-        eject(stats, now, MOST_FAILING_S)
+        eject(stats, now, MAX_FAILING_PAUSE_S)
 
 
-def succeeded(stats: balance_data.Track, ratio: float) -> None:
+def record_success(stats: balance_data.ServerStats, ratio: float) -> None:
     """Record an answer of the server.
 
     Args:
@@ -49,7 +49,9 @@
         stats.ejections = 0
 
 
-def eject(stats: balance_data.Track, now: float, max_pause_s: float) -> None:
+def eject(
+    stats: balance_data.ServerStats, now: float, max_pause_s: float
+) -> None:
     """Send a server no new requests for a while.
 
     Probing a failing server costs a request one failed connection; probing a
@@ -68,7 +70,7 @@
     stats.returning = True
 
 
-def eject_slow(tracks: Iterable[balance_data.Track], now: float) -> None:
+def eject_slow(tracks: Iterable[balance_data.ServerStats], now: float) -> None:
     """Eject the servers of a pool that are far slower than its median.
 
     At most half of a pool is ejected this way: when most servers are slow, the
@@ -80,7 +82,7 @@
         return
     ranked = sorted(stats.slowness for stats in measured)
     median = ranked[(len(ranked) - 1) // 2]
-    ejected_count = sum(is_out(stats, now) for stats in pool)
+    ejected_count = sum(is_ejected(stats, now) for stats in pool)
     allowance = int(len(pool) * MAX_EJECTED_FRACTION) - ejected_count
     slow = [
         stats
@@ -92,7 +94,7 @@
         eject(stats, now, MAX_SLOW_PAUSE_S)
 
 
-def is_out(stats: balance_data.Track, now: float) -> bool:
+def is_ejected(stats: balance_data.ServerStats, now: float) -> bool:
     """Return whether a server must not get another request now."""
     if now < stats.ejected_until:
         return True
--- a/beryllug/core/evidence.py
+++ b/beryllug/core/evidence.py
@@ -52,7 +52,7 @@
 MAX_BUDGET_GROWTH: Final = 16
 MAX_CREDIT: Final = math.log(MAX_BUDGET_GROWTH)
 
-Trial = evidence_data.Trial
+SequentialTest = evidence_data.SequentialTest
 Sample = evidence_data.Sample
 
 
@@ -67,17 +67,17 @@
     yield Sample(counts.rated, counts.rated - counts.rating_sum)
 
 
-def begin() -> Trial:
+def begin() -> SequentialTest:
     """Return the state of a test before its first answer."""
-    return Trial(wealth=(math.log(INITIAL_STAKE),) * ALTERNATIVES)
+    return SequentialTest(wealth=(math.log(INITIAL_STAKE),) * ALTERNATIVES)
 
 
 def observe(
-    trial: Trial,
-    bad: evidence_data.Bad,
+    trial: SequentialTest,
+    bad: evidence_data.BadRateBounds,
     candidate: Sample,
     incumbent: Sample,
-) -> Trial:
+) -> SequentialTest:
     """Return the test with answers of both versions added."""
     if not candidate.answers and not incumbent.answers:
         return trial
@@ -92,12 +92,12 @@
     return joined
 
 
-def new_stage(trial: Trial) -> Trial:
+def new_stage(trial: SequentialTest) -> SequentialTest:
     """Reset the evidence of the stage and keep the wealth."""
-    return trial._replace(lean=0, best=0)
+    return trial._replace(stage_ratio=0, min_stage_ratio=0)
 
 
-def reopen(trial: Trial, times: int) -> Trial:
+def reopen(trial: SequentialTest, times: int) -> SequentialTest:
     """Restart the comparison with a further part of the stake.
 
     Args:
@@ -109,31 +109,33 @@
     return new_stage(trial)._replace(wealth=wealth, alarm=0)
 
 
-def is_acceptable(trial: Trial) -> bool:
+def is_acceptable(trial: SequentialTest) -> bool:
     """Return whether the candidate is unlikely to be very bad."""
     return trial.high_rate_ratio <= -ACCEPTABLE_LOG_ODDS
 
 
-def weight(trial: Trial) -> float:
+def weight(trial: SequentialTest) -> float:
     """Return the logarithm of the wealth, the evidence of a bad candidate."""
     most = max(trial.wealth)
     # A wealth below 1 never reaches a threshold, so the mean is not needed.
     return _log_mean(trial.wealth) if most > 0 else most
 
 
-def boundary(bad: evidence_data.Bad, incumbent_rate: float) -> float:
+def boundary(bad: evidence_data.BadRateBounds, incumbent_rate: float) -> float:
     """Return the lowest bad rate of a candidate, given its incumbent."""
     rate = max(bad.rate, bad.ratio * incumbent_rate, bad.gap + incumbent_rate)
     return min(rate, MAX_BOUNDARY)
 
 
-def _is_comparable(trial: Trial) -> bool:
+def _is_comparable(trial: SequentialTest) -> bool:
     """Return whether the open block may be closed, whatever its outcomes."""
     least = MIN_INCUMBENT_RATIO * trial.candidate.answers
     return 0 < least <= trial.incumbent.answers
 
 
-def _close_block(trial: Trial, bad: evidence_data.Bad) -> Trial:
+def _close_block(
+    trial: SequentialTest, bad: evidence_data.BadRateBounds
+) -> SequentialTest:
     """Close a block in which both versions answered."""
     rate = _incumbent_rate(trial, bad)
     bets = _alternatives(boundary(bad, rate))
@@ -147,7 +149,9 @@
     return _start_next_block(closed, bad)
 
 
-def _close_unpaired_block(trial: Trial, bad: evidence_data.Bad) -> Trial:
+def _close_unpaired_block(
+    trial: SequentialTest, bad: evidence_data.BadRateBounds
+) -> SequentialTest:
     """Close a block with too few answers of the incumbent.
 
     Without a comparison, an outage that affects both versions looks like a
@@ -161,7 +165,9 @@
     return _start_next_block(trial._replace(alarm=max(0, raised)), bad)
 
 
-def _start_next_block(trial: Trial, bad: evidence_data.Bad) -> Trial:
+def _start_next_block(
+    trial: SequentialTest, bad: evidence_data.BadRateBounds
+) -> SequentialTest:
     """Add the block to the evidence that the candidate is good.
 
     This is an ordinary likelihood ratio against the incumbent's known rate.
@@ -171,20 +177,22 @@
     rate = _incumbent_rate(trial, bad)
     least, high, *_ = _alternatives(boundary(bad, rate))
     ratio = _log_ratio(trial.candidate, least, rate)
-    lean = trial.lean + ratio
+    lean = trial.stage_ratio + ratio
     return trial._replace(
         candidate=Sample(),
         incumbent=Sample(),
         base=_decay(_add(trial.base, trial.incumbent)),
-        lean=lean,
-        best=min(trial.best, lean),
+        stage_ratio=lean,
+        min_stage_ratio=min(trial.min_stage_ratio, lean),
         credit=min(max(trial.credit - ratio, MIN_CREDIT), MAX_CREDIT),
         high_rate_ratio=trial.high_rate_ratio
         + _log_ratio(trial.candidate, high, rate),
     )
 
 
-def _incumbent_rate(trial: Trial, bad: evidence_data.Bad) -> float:
+def _incumbent_rate(
+    trial: SequentialTest, bad: evidence_data.BadRateBounds
+) -> float:
     known = _add(trial.base, bad.prior)
     return max(known.bad / known.answers, MIN_RATE)
 
@@ -196,7 +204,9 @@
         yield least * (top / least) ** (step / (ALTERNATIVES - 1))
 
 
-def _compare(trial: Trial, rate: float, incumbent_rate: float) -> float:
+def _compare(
+    trial: SequentialTest, rate: float, incumbent_rate: float
+) -> float:
     """Return the log likelihood ratio of a block of both versions."""
     new, old = trial.candidate, trial.incumbent
     expected = rate * new.answers + incumbent_rate * old.answers
@@ -204,7 +214,9 @@
     return _log_ratio(new, rate, null) + _log_ratio(old, incumbent_rate, null)
 
 
-def _incumbent_upper_rate(trial: Trial, bad: evidence_data.Bad) -> float:
+def _incumbent_upper_rate(
+    trial: SequentialTest, bad: evidence_data.BadRateBounds
+) -> float:
     """Return an upper confidence bound on the incumbent's rate.
 
     The few answers of the incumbent in the open block can only raise it.
--- a/beryllug/core/evidence_book.py
+++ b/beryllug/core/evidence_book.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Book:
+class EvidenceBuffer:
     """The unreported evidence of one entry process.
 
     Attributes:
@@ -55,12 +55,12 @@
     running: dict[Subject, int] = field(default_factory=dict)
 
 
-def start(book: Book, subject: Subject) -> None:
+def start(book: EvidenceBuffer, subject: Subject) -> None:
     """Count a dispatched request."""
     book.running[subject] = book.running.get(subject, 0) + 1
 
 
-def end(book: Book, subject: Subject, answer: Answer) -> None:
+def end(book: EvidenceBuffer, subject: Subject, answer: Answer) -> None:
     """Count an answer; a `start` is followed by one `end` or `drop`."""
     _stop_running(book, subject)
     counts = _counts(book, subject)
@@ -72,7 +72,7 @@
     )
 
 
-def drop(book: Book, subject: Subject) -> None:
+def drop(book: EvidenceBuffer, subject: Subject) -> None:
     """Discard a started request that is no evidence about the version.
 
     The caller disconnected, or the server refused the request without running
@@ -82,7 +82,7 @@
 
 
 def rate(
-    book: Book, subject: Subject, rating: float, min_rating: float
+    book: EvidenceBuffer, subject: Subject, rating: float, min_rating: float
 ) -> None:
     """Count a rating, from 0 to 1, of an answer that was counted before."""
     counts = _counts(book, subject)
@@ -93,20 +93,20 @@
     )
 
 
-def skip_rating(book: Book, subject: Subject) -> None:
+def skip_rating(book: EvidenceBuffer, subject: Subject) -> None:
     """Count a successful answer that will not be rated."""
     counts = _counts(book, subject)
     book.counts[subject] = counts._replace(unrated=counts.unrated + 1)
 
 
-def move(book: Book, subject: Subject) -> None:
+def move(book: EvidenceBuffer, subject: Subject) -> None:
     """Count a session that was moved to another version."""
     counts = _counts(book, subject)
     book.counts[subject] = counts._replace(moved=counts.moved + 1)
 
 
 def report(
-    book: Book, braked: tuple[config_data.VersionRef, ...]
+    book: EvidenceBuffer, braked: tuple[config_data.VersionRef, ...]
 ) -> rpc_data.EvidenceReport:
     """Return the report to send: the unacknowledged one, or a new one."""
     if book.pending is not None:
@@ -128,13 +128,13 @@
     return book.pending
 
 
-def acknowledge(book: Book, sequence: int) -> None:
+def acknowledge(book: EvidenceBuffer, sequence: int) -> None:
     """Record that the report with this sequence number was received."""
     if book.pending is not None and book.pending.sequence == sequence:
         book.pending = None
 
 
-def _stop_running(book: Book, subject: Subject) -> None:
+def _stop_running(book: EvidenceBuffer, subject: Subject) -> None:
     left = book.running.get(subject, 0) - 1
     if left > 0:
         book.running[subject] = left
@@ -142,7 +142,7 @@
         book.running.pop(subject, None)
 
 
-def _counts(book: Book, subject: Subject) -> rpc_data.VersionEvidence:
+def _counts(book: EvidenceBuffer, subject: Subject) -> rpc_data.VersionEvidence:
     found = book.counts.get(subject)
     if found is not None:
         return found
--- a/beryllug/core/evidence_book_test.py
+++ b/beryllug/core/evidence_book_test.py
@@ -17,7 +17,7 @@
         It is unchanged and has the same sequence number; further answers are
         counted for the next report.
         """
-        book = evidence_book.Book('entry-1/boot')
+        book = evidence_book.EvidenceBuffer('entry-1/boot')
         self._answer(book, failed=True)
         first = evidence_book.report(book, ())
         self._answer(book, failed=False)
@@ -33,7 +33,7 @@
 
     def test_running(self) -> None:
         """Requests in flight are part of each report until they end."""
-        book = evidence_book.Book('entry-1/boot')
+        book = evidence_book.EvidenceBuffer('entry-1/boot')
         evidence_book.start(book, SUBJECT)
         evidence_book.start(book, SUBJECT)
         self.assertEqual(self._running(book), [2])
@@ -45,7 +45,7 @@
 
     def test_ratings(self) -> None:
         """Ratings, skipped ratings and moved sessions are counted."""
-        book = evidence_book.Book('entry-1/boot')
+        book = evidence_book.EvidenceBuffer('entry-1/boot')
         for rating in (0.25, 0.75):
             evidence_book.rate(book, SUBJECT, rating, min_rating=0.5)
         evidence_book.skip_rating(book, SUBJECT)
@@ -55,11 +55,13 @@
         self.assertEqual((counts.low_ratings, counts.unrated), (1, 1))
         self.assertEqual((counts.moved, counts.answers), (1, 0))
 
-    def _answer(self, book: evidence_book.Book, *, failed: bool) -> None:
+    def _answer(
+        self, book: evidence_book.EvidenceBuffer, *, failed: bool
+    ) -> None:
         evidence_book.start(book, SUBJECT)
         evidence_book.end(book, SUBJECT, evidence_book.Answer(failed=failed))
 
-    def _running(self, book: evidence_book.Book) -> list[int]:
+    def _running(self, book: evidence_book.EvidenceBuffer) -> list[int]:
         report = evidence_book.report(book, ())
         evidence_book.acknowledge(book, report.sequence)
         return [counts.running for counts in report.counts]
--- a/beryllug/core/evidence_bounds.py
+++ b/beryllug/core/evidence_bounds.py
@@ -32,7 +32,9 @@
 
 
 @functools.lru_cache
-def of(declared: config_data.Rollout) -> tuple[evidence_data.Bad, ...]:
+def of(
+    declared: config_data.Rollout,
+) -> tuple[evidence_data.BadRateBounds, ...]:
     """Return the bounds of a declared roll-out, one for each measure."""
     return tuple(
         _bounds_for(declared, measure) for measure in evidence_data.MEASURES
@@ -46,14 +48,16 @@
 
 def _bounds_for(
     declared: config_data.Rollout, measure: evidence_data.Measure
-) -> evidence_data.Bad:
+) -> evidence_data.BadRateBounds:
     match measure:
         case evidence_data.Measure.ERROR:
             rate = declared.max_error_rate
             return _with_prior(rate, DEFAULT_RATIO, 0, PRIOR_ERROR_PART * rate)
         case evidence_data.Measure.CRASH:
             prior = evidence_data.Sample(PRIOR_CRASH_ANSWERS, PRIOR_CRASHES)
-            return evidence_data.Bad(CRASH_RATE, CRASH_RATIO, 0, prior)
+            return evidence_data.BadRateBounds(
+                CRASH_RATE, CRASH_RATIO, 0, prior
+            )
         case evidence_data.Measure.LATE:
             return _with_prior(LATE_RATE, DEFAULT_RATIO, LATE_GAP, PRIOR_LATE)
         case evidence_data.Measure.LOW:
@@ -67,6 +71,6 @@
 
 def _with_prior(
     rate: float, ratio: float, gap: float, prior: float
-) -> evidence_data.Bad:
+) -> evidence_data.BadRateBounds:
     sample = evidence_data.Sample(PRIOR_ANSWERS, PRIOR_ANSWERS * prior)
-    return evidence_data.Bad(rate, ratio, gap, sample)
+    return evidence_data.BadRateBounds(rate, ratio, gap, sample)
--- a/beryllug/core/evidence_data.py
+++ b/beryllug/core/evidence_data.py
@@ -30,7 +30,7 @@
     bad: float = 0
 
 
-class Bad(NamedTuple):
+class BadRateBounds(NamedTuple):
     """Lower bounds on the rate at which a candidate counts as bad.
 
     The greatest of the three applies, so a candidate is never rejected for
@@ -49,7 +49,7 @@
     prior: Sample
 
 
-class Trial(NamedTuple):
+class SequentialTest(NamedTuple):
     """State of the sequential test of one measure.
 
     Attributes:
@@ -60,9 +60,9 @@
             too many, so that old ones lose weight.
         seen: Candidate's answers in the closed blocks in which both versions
             answered.
-        lean: Log likelihood ratio of bad to good since the start of the
+        stage_ratio: Log likelihood ratio of bad to good since the start of the
             stage.
-        best: Minimum of the above ratio, at most 0.
+        min_stage_ratio: Minimum of the above ratio, at most 0.
         credit: Evidence that the candidate is good. It is bounded, so that
             it falls soon after a good candidate turns bad.
         high_rate_ratio: Log likelihood ratio of a rate well above the lowest
@@ -76,8 +76,8 @@
     incumbent: Sample = Sample()
     base: Sample = Sample()
     seen: float = 0
-    lean: float = 0
-    best: float = 0
+    stage_ratio: float = 0
+    min_stage_ratio: float = 0
     credit: float = 0
     high_rate_ratio: float = 0
     alarm: float = 0
--- a/beryllug/core/evidence_test.py
+++ b/beryllug/core/evidence_test.py
@@ -13,7 +13,7 @@
 )
 ERROR, _, _, _, LOSS = evidence_bounds.of(DECLARED)
 Sample = evidence_data.Sample
-Trial = evidence_data.Trial
+Trial = evidence_data.SequentialTest
 
 COMMON_RATES = (0.001, 0.02, 0.3, 0.7, 0.99)
 
@@ -27,7 +27,9 @@
         yield sum(drawn), rate**bad * (1 - rate) ** (answers - bad)
 
 
-def _expected(bad: evidence_data.Bad, rate: float, bad_part: float) -> float:
+def _expected(
+    bad: evidence_data.BadRateBounds, rate: float, bad_part: float
+) -> float:
     """Return the greatest expected wealth of any bet after two blocks.
 
     Both versions have the same rate. All outcomes are enumerated.
--- a/beryllug/core/exposure.py
+++ b/beryllug/core/exposure.py
@@ -47,7 +47,7 @@
     return int(min(most, grown))
 
 
-def hear(
+def record_report(
     exposure: Exposure,
     report: rpc_data.EvidenceReport,
     now: float,
@@ -100,7 +100,7 @@
     return exposure._replace(released=min(exposure.unrated, most))
 
 
-def out(exposure: Exposure) -> int:
+def possibly_served(exposure: Exposure) -> int:
     """Return the number of answers that may have been served."""
     shares = exposure.shares.values()
     return exposure.closed + sum(
@@ -108,9 +108,9 @@
     )
 
 
-def deal(exposure: Exposure, unjudged: int, now: float) -> Exposure:
+def allocate(exposure: Exposure, unjudged: int, now: float) -> Exposure:
     """Allocate the free budget to the entry hosts with the least unused."""
-    total = out(exposure)
+    total = possibly_served(exposure)
     free = exposure.judged + exposure.released + unjudged - total
     live = {
         entry: share
--- a/beryllug/core/exposure_test.py
+++ b/beryllug/core/exposure_test.py
@@ -27,7 +27,7 @@
 def _reported(now: float = 0.0, sequence: int = 1) -> rollout_data.Exposure:
     state = rollout_data.Exposure({})
     for entry in ENTRIES:
-        reported = exposure.hear(
+        reported = exposure.record_report(
             state, _report(entry, sequence), now, braked=entry == ENTRIES[0]
         )
         assert reported is not None
@@ -57,9 +57,13 @@
                 state = self._step(rng, state)
                 unjudged = exposure.limit(DECLARED, rng.uniform(-2, 3))
                 before = state
-                state = exposure.deal(before, unjudged, now=step / 100)
-                dealt = exposure.out(state) - exposure.out(before)
-                allowed = unjudged + state.judged - exposure.out(before)
+                state = exposure.allocate(before, unjudged, now=step / 100)
+                dealt = exposure.possibly_served(
+                    state
+                ) - exposure.possibly_served(before)
+                allowed = (
+                    unjudged + state.judged - exposure.possibly_served(before)
+                )
                 self.assertLessEqual(dealt, max(0, allowed))
                 for entry, share in state.shares.items():
                     self.assertGreaterEqual(
@@ -70,18 +74,18 @@
         """A report that is sent again after a lost reply is ignored."""
         state = _reported(sequence=3)
         for sequence in (3, 2):
-            again = exposure.hear(
+            again = exposure.record_report(
                 state, _report(ENTRIES[1], sequence), 1.0, braked=False
             )
             self.assertIsNone(again)
 
     def test_eligible_entries(self) -> None:
         """An entry host that blocks the candidate or is silent gets none."""
-        dealt = exposure.deal(_reported(), 10, now=1.0).shares
+        dealt = exposure.allocate(_reported(), 10, now=1.0).shares
         self.assertEqual(dealt[ENTRIES[0]].dealt, 0)
         self.assertEqual({dealt[entry].dealt for entry in ENTRIES[1:]}, {1})
         later = exposure.SILENT_S + 1
-        silent = exposure.deal(_reported(), 10, now=later).shares
+        silent = exposure.allocate(_reported(), 10, now=later).shares
         self.assertEqual({share.dealt for share in silent.values()}, {0})
 
     def test_dead_entries(self) -> None:
@@ -90,14 +94,14 @@
         So nothing is allocated twice. Much later the shares are reclaimed, or
         repeated failures of entry hosts would use up the budget for ever.
         """
-        state = exposure.deal(_reported(), 10, now=0.0)
+        state = exposure.allocate(_reported(), 10, now=0.0)
         state = _count(state, ENTRIES[1], _counts(1))
-        out = exposure.out(state)
+        out = exposure.possibly_served(state)
         soon = exposure.write_off(state, exposure.WRITE_OFF_S - 1)
-        self.assertEqual(exposure.out(soon), out)
+        self.assertEqual(exposure.possibly_served(soon), out)
         late = exposure.write_off(state, exposure.WRITE_OFF_S)
         self.assertEqual(late.shares, {})
-        self.assertEqual((exposure.out(late), late.lost), (1, 4))
+        self.assertEqual((exposure.possibly_served(late), late.lost), (1, 4))
 
     def test_silence(self) -> None:
         """During an outage of the rating service no answer is judged.
@@ -106,13 +110,13 @@
         arrive again; without a rating of the candidate only a part of the
         budget is released.
         """
-        state = exposure.deal(_reported(), 5, now=0.0)
+        state = exposure.allocate(_reported(), 5, now=0.0)
         for entry in ENTRIES[1:]:
             state = _count(state, entry, _counts(1, unrated=1))
-        self.assertEqual(exposure.deal(state, 5, now=1.0), state)
+        self.assertEqual(exposure.allocate(state, 5, now=1.0), state)
         released = exposure.release(state, DECLARED)
         self.assertEqual(released.released, 5)
-        self.assertNotEqual(exposure.deal(released, 5, now=1.0), released)
+        self.assertNotEqual(exposure.allocate(released, 5, now=1.0), released)
         many = _count(released, ENTRIES[1], _counts(100, unrated=100))
         self.assertEqual(exposure.release(many, DECLARED).released, 40)
 
@@ -122,10 +126,10 @@
         They keep their version. New sessions get the candidate only after the
         excess is judged.
         """
-        state = exposure.deal(_reported(), 5, now=0.0)
+        state = exposure.allocate(_reported(), 5, now=0.0)
         state = _count(state, ENTRIES[1], _counts(8))
-        self.assertEqual(exposure.out(state), 12)
-        self.assertEqual(exposure.deal(state, 5, now=1.0), state)
+        self.assertEqual(exposure.possibly_served(state), 12)
+        self.assertEqual(exposure.allocate(state, 5, now=1.0), state)
 
     def _step(
         self, rng: random.Random, state: rollout_data.Exposure
--- a/beryllug/core/journal.py
+++ b/beryllug/core/journal.py
@@ -32,7 +32,7 @@
 RETRY_AFTER_S = 1.0
 
 
-class Found(NamedTuple):
+class ReadBackResult(NamedTuple):
     """Result of a read-back of the segment that the index named.
 
     Attributes:
@@ -64,7 +64,7 @@
     state: shard_state.ShardState,
     row: journal_data.Row,
     now: float,
-    found: Found | None = None,
+    found: ReadBackResult | None = None,
 ) -> BeginResult:
     """Decide whether a request may run.
 
@@ -150,7 +150,7 @@
     return row.state is not None and not shard_state.is_not_run(row)
 
 
-def ends_soon(
+def pending_final_outcome(
     state: shard_state.ShardState, row: journal_data.Row
 ) -> journal_data.Row | None:
     """Return the pending final outcome of a row's key, if any."""
@@ -162,7 +162,7 @@
     return None
 
 
-def recall(
+def add_missing_intent(
     state: shard_state.ShardState, row: journal_data.Row, now: float
 ) -> None:
     """Add a missing intent ahead of a final outcome that has none."""
@@ -195,7 +195,7 @@
 def finish(
     state: shard_state.ShardState,
     row: journal_data.Row,
-    found: Found | None = None,
+    found: ReadBackResult | None = None,
 ) -> bool | Waiting | ReadBack:
     """Decide about a row that is not an intent.
 
@@ -221,7 +221,7 @@
 
 
 def open_intent(
-    state: shard_state.ShardState, request: rpc_data.LookupAsk
+    state: shard_state.ShardState, request: rpc_data.LookupRequest
 ) -> journal_data.Row | None:
     """Return the intent of a key's latest attempt without outcome."""
     attempts = shard_state.open_attempts(
@@ -280,7 +280,7 @@
     latest = attempts[-1]
     if latest.row.body_hash != row.body_hash:
         return _reply(journal_data.GrantKind.MISMATCH, latest.row)
-    final_outcome = ends_soon(state, row)
+    final_outcome = pending_final_outcome(state, row)
     if final_outcome is not None:
         return _answer_resend(row, final_outcome)
     name = shard_state.entry_name(latest.row.entry)
--- a/beryllug/core/journal_log.py
+++ b/beryllug/core/journal_log.py
@@ -14,7 +14,7 @@
 )
 
 
-def committed(
+def apply_committed(
     state: shard_state.ShardState, row: journal_data.Row, seq: int, at: float
 ) -> None:
     """Apply a row that has become durable.
@@ -56,17 +56,17 @@
             shard_state.add_attempt(
                 state, row, shard_state.Phase.INHERITED, float('-inf')
             )
-        committed(state, row, seq, at)
+        apply_committed(state, row, seq, at)
 
 
-def replayed(state: shard_state.ShardState, now: float) -> None:
+def finish_replay(state: shard_state.ShardState, now: float) -> None:
     """Finish the replay; `now` is in monotonic seconds."""
     state.boots = {name: '' for name in state.boots}
     for attempt in state.tries.values():
         attempt.since = now
 
 
-def gathered(
+def add_gathered_intent(
     state: shard_state.ShardState, row: journal_data.Row, now: float
 ) -> None:
     """Add the copy of an intent that an earlier owner may have granted.
--- a/beryllug/core/lease.py
+++ b/beryllug/core/lease.py
@@ -53,13 +53,13 @@
         read_at: When the object was last read or written.
         known: False until it was read, and after a conflict or an unknown
             result of a write.
-        unsure_since: When the first write with unknown result was sent; None
-            when there is none.
+        unknown_result_since: When the first write with unknown result was sent;
+            None when there is none.
         fencing: Fencing token while this process holds it, or 0.
         valid_until: Second until which this process holds it.
         renewed_at: When the last write that took effect was sent.
         releasing: Whether it is being released.
-        taking: Whether a write that acquires it is in flight, or has an
+        acquiring: Whether a write that acquires it is in flight, or has an
             unknown result.
         before: The lease as it was before this process acquired it.
         listed: Candidates in writes with unknown result.
@@ -71,12 +71,12 @@
     seen_since: float = 0.0
     read_at: float = float('-inf')
     known: bool = False
-    unsure_since: float | None = None
+    unknown_result_since: float | None = None
     fencing: int = 0
     valid_until: float = float('-inf')
     renewed_at: float = float('-inf')
     releasing: bool = False
-    taking: bool = False
+    acquiring: bool = False
     before: lease_data.Lease | None = None
     listed: set[lease_data.Candidate] = field(default_factory=set)
 
@@ -95,8 +95,8 @@
 def decide(
     state: LeaseState,
     owner: lease_data.Owner,
-    timings: lease_data.Terms,
-    claim: lease_data.Standing,
+    timings: lease_data.LeaseTimings,
+    claim: lease_data.LeaseClaim,
     now: float,
 ) -> Action:
     """Choose what to do next about a lease.
@@ -121,7 +121,7 @@
     """Record that a write is about to be sent."""
     state.listed.update(write.lease.candidates)
     if not state.fencing:
-        state.taking = True
+        state.acquiring = True
         state.before = state.lease
 
 
@@ -134,15 +134,15 @@
     return tuple(dict.fromkeys((*known, *state.listed)))
 
 
-def outage_limit(state: LeaseState, timings: lease_data.Terms) -> float:
+def outage_limit(state: LeaseState, timings: lease_data.LeaseTimings) -> float:
     """Return until when only candidates can acquire the lease."""
     return state.renewed_at + timings.fallback_s - timings.margin_s
 
 
-def observed(
+def record_read(
     state: LeaseState,
     owner: lease_data.Owner,
-    timings: lease_data.Terms,
+    timings: lease_data.LeaseTimings,
     version: int,
     lease: lease_data.Lease | None,
     now: float,
@@ -159,17 +159,17 @@
     state.lease = lease
     state.read_at = now
     state.known = True
-    if state.unsure_since is None:
-        state.taking = False
+    if state.unknown_result_since is None:
+        state.acquiring = False
     if lease is None or not _is_own(lease, owner):
         _set_not_held(state)
-    elif changed and state.unsure_since is not None:
-        _set_held(state, timings, lease, state.unsure_since)
+    elif changed and state.unknown_result_since is not None:
+        _set_held(state, timings, lease, state.unknown_result_since)
 
 
-def written(
+def record_write(
     state: LeaseState,
-    timings: lease_data.Terms,
+    timings: lease_data.LeaseTimings,
     write: Write,
     version: int,
     sent_at: float,
@@ -180,8 +180,8 @@
     state.lease = write.lease
     state.seen_since = now
     state.read_at = now
-    state.unsure_since = None
-    state.taking = False
+    state.unknown_result_since = None
+    state.acquiring = False
     state.listed.clear()
     if write.lease.holder:
         _set_held(state, timings, write.lease, sent_at)
@@ -189,12 +189,12 @@
         _set_not_held(state)
 
 
-def conflicted(state: LeaseState) -> None:
+def record_conflict(state: LeaseState) -> None:
     """Record that a write found another version; a read must come next."""
     state.known = False
 
 
-def unsure(state: LeaseState, sent_at: float) -> None:
+def record_unknown_result(state: LeaseState, sent_at: float) -> None:
     """Record that a write may have taken effect.
 
     The sending time of the first such write is kept: if a later one finds a
@@ -202,14 +202,14 @@
     may already count from it.
     """
     state.known = False
-    if state.unsure_since is None:
-        state.unsure_since = sent_at
+    if state.unknown_result_since is None:
+        state.unknown_result_since = sent_at
 
 
 def _decide_holder(
     state: LeaseState,
-    timings: lease_data.Terms,
-    claim: lease_data.Standing,
+    timings: lease_data.LeaseTimings,
+    claim: lease_data.LeaseClaim,
     now: float,
 ) -> Action:
     lease = state.lease
@@ -229,7 +229,7 @@
 
 
 def _next_candidates(
-    claim: lease_data.Standing, lease: lease_data.Lease | None
+    claim: lease_data.LeaseClaim, lease: lease_data.Lease | None
 ) -> tuple[lease_data.Candidate, ...]:
     """Return the processes that may acquire a lease from now on.
 
@@ -255,8 +255,8 @@
 def _decide_waiter(
     state: LeaseState,
     owner: lease_data.Owner,
-    timings: lease_data.Terms,
-    claim: lease_data.Standing,
+    timings: lease_data.LeaseTimings,
+    claim: lease_data.LeaseClaim,
     now: float,
 ) -> Action:
     read_due = state.read_at + timings.poll_s
@@ -283,8 +283,8 @@
 def _acquire_due(
     state: LeaseState,
     owner: lease_data.Owner,
-    timings: lease_data.Terms,
-    claim: lease_data.Standing,
+    timings: lease_data.LeaseTimings,
+    claim: lease_data.LeaseClaim,
 ) -> float:
     """Return from when a process may acquire a lease that is unchanged."""
     lease = state.lease
@@ -302,7 +302,7 @@
 
 def _set_held(
     state: LeaseState,
-    timings: lease_data.Terms,
+    timings: lease_data.LeaseTimings,
     lease: lease_data.Lease,
     sent_at: float,
 ) -> None:
--- a/beryllug/core/lease_data.py
+++ b/beryllug/core/lease_data.py
@@ -76,7 +76,7 @@
     address: str
 
 
-class Terms(NamedTuple):
+class LeaseTimings(NamedTuple):
     """Durations of leases, in seconds.
 
     Attributes:
@@ -110,9 +110,9 @@
 FALLBACK = 150
 
 
-def terms(lease_s: float) -> Terms:
+def lease_timings(lease_s: float) -> LeaseTimings:
     """Derive all durations from the lease duration."""
-    return Terms(
+    return LeaseTimings(
         lease_s=lease_s,
         margin_s=lease_s * MARGIN,
         renew_s=lease_s * RENEWAL,
@@ -123,7 +123,7 @@
     )
 
 
-class Standing(NamedTuple):
+class LeaseClaim(NamedTuple):
     """Claim of a process to a lease that it wants.
 
     Attributes:
@@ -140,7 +140,7 @@
     may_take: bool = True
 
 
-class Given(NamedTuple):
+class LeaseReleased(NamedTuple):
     """Tells the next preferred process that a lease was released.
 
     Otherwise that process would notice only at its next read of the lease.
--- a/beryllug/core/lease_spread.py
+++ b/beryllug/core/lease_spread.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Spread:
+class LeasePreferences:
     """Preferences, kept so that an update after one change is cheap.
 
     Attributes:
@@ -37,7 +37,7 @@
 
 
 def update(
-    spread: Spread, names: Iterable[str], members: Iterable[str]
+    spread: LeasePreferences, names: Iterable[str], members: Iterable[str]
 ) -> None:
     """Recompute the preferences for the wanted leases and live members."""
     wanted = sorted(names)
@@ -56,7 +56,7 @@
     spread.preferred = _assign_preferred(spread.ranked, len(present))
 
 
-def rank(spread: Spread, name: str, member: str) -> int:
+def rank(spread: LeasePreferences, name: str, member: str) -> int:
     """Return a member's rank for a lease, 0 for the preferred one."""
     preferred = spread.preferred.get(name)
     if preferred == member:
@@ -67,7 +67,9 @@
     return order.index(member) + 1 if member in order else MAX_RANKED
 
 
-def heir(spread: Spread, name: str, member: str) -> str | None:
+def successor_of(
+    spread: LeasePreferences, name: str, member: str
+) -> str | None:
     """Return the preferred member for a lease that a member gives up."""
     preferred = spread.preferred.get(name)
     if preferred != member:
@@ -78,21 +80,23 @@
     return order[0] if order else None
 
 
-def best(spread: Spread, name: str) -> tuple[str, ...]:
+def best(spread: LeasePreferences, name: str) -> tuple[str, ...]:
     """Return the best ranked members for a lease, the preferred one first."""
     preferred = spread.preferred.get(name)
     ranked = tuple(member for _, member in spread.ranked.get(name, ()))
     return tuple(dict.fromkeys((preferred, *ranked))) if preferred else ranked
 
 
-def share(spread: Spread, name: str) -> int:
+def share(spread: LeasePreferences, name: str) -> int:
     """Return how many leases of a kind one member should hold at most."""
     kind = _kind(name)
     count = sum(1 for known in spread.preferred if _kind(known) == kind)
     return math.ceil(count / max(1, len(spread.members)))
 
 
-def excess(spread: Spread, held: Iterable[str], member: str) -> str | None:
+def excess(
+    spread: LeasePreferences, held: Iterable[str], member: str
+) -> str | None:
     """Return a held lease that should go to its preferred member, if any.
 
     Only a member that holds more than its share gives one up: moving a lease
--- a/beryllug/core/lease_spread_test.py
+++ b/beryllug/core/lease_spread_test.py
@@ -25,7 +25,7 @@
         """No member is preferred for more than its share of a kind."""
         for leases, members in itertools.product(LEASES, MEMBERS):
             with self.subTest(leases=leases, members=members):
-                spread = lease_spread.Spread()
+                spread = lease_spread.LeasePreferences()
                 lease_spread.update(spread, _names(leases), _members(members))
                 counts = Counter(spread.preferred.values())
                 share = lease_spread.share(spread, 'journal/0')
@@ -35,21 +35,21 @@
     def test_change_is_as_from_scratch(self) -> None:
         """Incremental updates give the result of a full computation."""
         names = _names(64)
-        spread = lease_spread.Spread()
+        spread = lease_spread.LeasePreferences()
         members = _members(20)
         lease_spread.update(spread, names, members)
         for gone in range(0, 20, 3):
             members.remove(f'control-{gone}')
             lease_spread.update(spread, names, members)
         lease_spread.update(spread, names, [*members, 'joined'])
-        scratch = lease_spread.Spread()
+        scratch = lease_spread.LeasePreferences()
         lease_spread.update(scratch, names, [*members, 'joined'])
         self.assertEqual(spread.preferred, scratch.preferred)
 
     def test_excess(self) -> None:
         """Only a member that holds more than its share gives a lease up."""
         names = _names(4)
-        spread = lease_spread.Spread()
+        spread = lease_spread.LeasePreferences()
         lease_spread.update(spread, names, ['one'])
         self.assertIsNone(lease_spread.excess(spread, names, 'one'))
         lease_spread.update(spread, names, ['one', 'two'])
@@ -66,7 +66,7 @@
 
     def test_ranks(self) -> None:
         """Ranks of a lease are distinct; the successor has rank 1."""
-        spread = lease_spread.Spread()
+        spread = lease_spread.LeasePreferences()
         members = _members(5)
         lease_spread.update(spread, _names(5), members)
         ranks = sorted(
@@ -74,7 +74,7 @@
         )
         self.assertEqual(ranks, [0, 1, 2, 3, 4])
         first = spread.preferred['journal/0']
-        successor = lease_spread.heir(spread, 'journal/0', first)
+        successor = lease_spread.successor_of(spread, 'journal/0', first)
         self.assertIsNotNone(successor)
         self.assertEqual(
             lease_spread.rank(spread, 'journal/0', successor or ''), 1
--- a/beryllug/core/lease_test.py
+++ b/beryllug/core/lease_test.py
@@ -11,7 +11,7 @@
 
 from beryllug.core import lease, lease_data
 
-TIMINGS = lease_data.terms(6.0)
+TIMINGS = lease_data.lease_timings(6.0)
 STEP_S = 0.05
 NAME = 'journal/0'
 SEEDS = 30
@@ -81,7 +81,7 @@
         process.state,
         process.owner,
         TIMINGS,
-        lease_data.Standing(
+        lease_data.LeaseClaim(
             process.rank,
             tuple(lease_data.Candidate(name, 1) for name in process.listed),
         ),
@@ -91,7 +91,7 @@
         case lease.Wait(until):
             process.wait_until = until
         case lease.Read() if call_result != 'down':
-            lease.observed(
+            lease.record_read(
                 process.state,
                 process.owner,
                 TIMINGS,
@@ -114,16 +114,16 @@
     if call_result == 'late':
         platform.late.append(write)
     if call_result in {'lost', 'late'}:
-        lease.unsure(process.state, now)
+        lease.record_unknown_result(process.state, now)
         return
     applied = platform.write(write)
     if call_result == 'unanswered':
-        lease.unsure(process.state, now)
+        lease.record_unknown_result(process.state, now)
     elif applied:
         version = platform.version
-        lease.written(process.state, TIMINGS, write, version, now, now)
+        lease.record_write(process.state, TIMINGS, write, version, now, now)
     else:
-        lease.conflicted(process.state)
+        lease.record_conflict(process.state)
 
 
 class LeaseTest(unittest.TestCase):
@@ -183,8 +183,8 @@
         holder = Process('one', 0)
         self._run_without_faults(platform, (holder,), 0, 10)
         before = platform.content
-        lease.conflicted(holder.state)
-        lease.observed(holder.state, holder.owner, TIMINGS, 1, None, 10)
+        lease.record_conflict(holder.state)
+        lease.record_read(holder.state, holder.owner, TIMINGS, 1, None, 10)
         self.assertFalse(holder.state.known)
         self.assertTrue(holder.holds(10))
         self.assertEqual(holder.state.lease, before)
--- a/beryllug/core/limits.py
+++ b/beryllug/core/limits.py
@@ -35,7 +35,7 @@
 MS = 1000
 
 
-class Why(StrEnum):
+class RefusalReason(StrEnum):
     """Why a request is refused."""
 
     SHARE = 'account_over_share'
@@ -52,7 +52,7 @@
         retry_after_s: Seconds after which a retry can succeed.
     """
 
-    why: Why
+    why: RefusalReason
     retry_after_s: float
 
 
@@ -71,7 +71,7 @@
     pools: dict[str, shares.PoolUse] = field(default_factory=dict)
 
 
-class Room(NamedTuple):
+class PoolCapacity(NamedTuple):
     """Current capacity of a pool.
 
     Attributes:
@@ -87,7 +87,7 @@
     entries: int
 
 
-class Ask(NamedTuple):
+class AdmissionRequest(NamedTuple):
     """A request to be admitted to a pool.
 
     Attributes:
@@ -108,8 +108,8 @@
 def admit(
     state: LimitState,
     weights: Mapping[str, int],
-    room: Room,
-    ask: Ask,
+    room: PoolCapacity,
+    ask: AdmissionRequest,
     now: float,
 ) -> Ticket | Refused:
     """Admit a request to a pool, or refuse it at once.
@@ -127,15 +127,17 @@
     use = _pool_use(state, room.pool)
     shares.record_demand(use, ask.account_id, _own_slot_s(ask), now)
     if not room.slots:
-        return Refused(Why.DOWN, _retry_after(ask.service_s))
+        return Refused(RefusalReason.DOWN, _retry_after(ask.service_s))
     if _slack_s(ask) < 0:
-        return Refused(Why.LATE, _retry_after(ask.service_s))
+        return Refused(RefusalReason.LATE, _retry_after(ask.service_s))
     load = max(room.load, use.total)
     excess_load = load + 1 - _max_load(use, room, ask)
     if excess_load > 0:
-        return Refused(Why.FULL, _retry_delay_s(use, room, ask, excess_load))
+        return Refused(
+            RefusalReason.FULL, _retry_delay_s(use, room, ask, excess_load)
+        )
     if _is_over_share(use, weights, room, ask, now):
-        return Refused(Why.SHARE, _retry_after(shares.SMOOTHING_S))
+        return Refused(RefusalReason.SHARE, _retry_after(shares.SMOOTHING_S))
     return _issue_ticket(use, room, ask, now)
 
 
@@ -147,8 +149,8 @@
 def _is_over_share(
     use: shares.PoolUse,
     weights: Mapping[str, int],
-    room: Room,
-    ask: Ask,
+    room: PoolCapacity,
+    ask: AdmissionRequest,
     now: float,
 ) -> bool:
     """Return whether the request exceeds its account's share of a full pool.
@@ -177,7 +179,7 @@
 
 
 def _issue_ticket(
-    use: shares.PoolUse, room: Room, ask: Ask, now: float
+    use: shares.PoolUse, room: PoolCapacity, ask: AdmissionRequest, now: float
 ) -> Ticket:
     use.slot_s += SLOT_SMOOTHING * (_own_slot_s(ask) - use.slot_s)
     priority = request_data.priority(ask.targets)
@@ -194,7 +196,9 @@
         use.bulk += sign
 
 
-def _max_load(use: shares.PoolUse, room: Room, ask: Ask) -> float:
+def _max_load(
+    use: shares.PoolUse, room: PoolCapacity, ask: AdmissionRequest
+) -> float:
     """Return the load up to which requests of this priority are admitted."""
     match request_data.priority(ask.targets):
         case request_data.Priority.BULK:
@@ -208,12 +212,12 @@
             )
 
 
-def _slots_without_reserve(room: Room, reserve: float) -> float:
+def _slots_without_reserve(room: PoolCapacity, reserve: float) -> float:
     reserved = reserve * math.sqrt(room.slots)
     return room.slots - min(reserved, room.slots * MAX_RESERVED_FRACTION)
 
 
-def _slack_s(ask: Ask) -> float:
+def _slack_s(ask: AdmissionRequest) -> float:
     """Return the seconds a request can queue and still meet its target."""
     first_token_slack_s = ask.targets.first_token_ms / MS
     total_slack_s = ask.targets.total_ms / MS - ask.service_s
@@ -224,16 +228,19 @@
     )
 
 
-def _expected_slot_s(use: shares.PoolUse, ask: Ask) -> float:
+def _expected_slot_s(use: shares.PoolUse, ask: AdmissionRequest) -> float:
     return use.slot_s or _own_slot_s(ask)
 
 
-def _own_slot_s(ask: Ask) -> float:
+def _own_slot_s(ask: AdmissionRequest) -> float:
     return ask.first_token_s + ask.service_s
 
 
 def _retry_delay_s(
-    use: shares.PoolUse, room: Room, ask: Ask, excess_load: float
+    use: shares.PoolUse,
+    room: PoolCapacity,
+    ask: AdmissionRequest,
+    excess_load: float,
 ) -> float:
     """Return the seconds after which a retry can succeed.
 
--- a/beryllug/core/limits_test.py
+++ b/beryllug/core/limits_test.py
@@ -7,11 +7,13 @@
 LOOKUP = config_data.Targets('lookup', 1500, 4000)
 DRAFT = config_data.Targets('draft', 4000, 30000)
 REPORT = config_data.Targets('report', 20000, 180000)
-ROOM = limits.Room('engines', 80, 0, 8)
+ROOM = limits.PoolCapacity('engines', 80, 0, 8)
 
 
-def _ask(targets: config_data.Targets, account_id: str = 'a') -> limits.Ask:
-    return limits.Ask(account_id, targets, 0.2, 1)
+def _ask(
+    targets: config_data.Targets, account_id: str = 'a'
+) -> limits.AdmissionRequest:
+    return limits.AdmissionRequest(account_id, targets, 0.2, 1)
 
 
 class AdmitTest(unittest.TestCase):
@@ -48,9 +50,9 @@
     def test_late(self) -> None:
         """A request that cannot meet its target is refused at once."""
         cases = (
-            (_ask(LOOKUP)._replace(elapsed_s=1.4), limits.Why.LATE),
-            (_ask(LOOKUP)._replace(first_token_s=2), limits.Why.LATE),
-            (_ask(LOOKUP)._replace(service_s=5), limits.Why.LATE),
+            (_ask(LOOKUP)._replace(elapsed_s=1.4), limits.RefusalReason.LATE),
+            (_ask(LOOKUP)._replace(first_token_s=2), limits.RefusalReason.LATE),
+            (_ask(LOOKUP)._replace(service_s=5), limits.RefusalReason.LATE),
         )
         for ask, why in cases:
             with self.subTest(ask=ask):
@@ -63,7 +65,7 @@
         room = ROOM._replace(slots=0)
         decision = limits.admit(limits.LimitState(), {}, room, _ask(LOOKUP), 0)
         assert isinstance(decision, limits.Refused)
-        self.assertIs(decision.why, limits.Why.DOWN)
+        self.assertIs(decision.why, limits.RefusalReason.DOWN)
 
     def test_release(self) -> None:
         """After all tickets are released, nothing is in use."""
@@ -92,7 +94,7 @@
         for step in range(2000):
             account = 'small' if step % 20 == 0 else 'flood'
             sent[account] += 1
-            ask = limits.Ask(account, LOOKUP, 0.2, 0.2)
+            ask = limits.AdmissionRequest(account, LOOKUP, 0.2, 0.2)
             decision = limits.admit(state, {}, room, ask, step / 100)
             if isinstance(decision, limits.Ticket):
                 limits.release(state, decision, step / 100)
--- a/beryllug/core/losses.py
+++ b/beryllug/core/losses.py
@@ -16,7 +16,7 @@
 NO_SERVER = '-'
 
 
-class Ended(NamedTuple):
+class EndedRequest(NamedTuple):
     """How a request ended.
 
     Attributes:
@@ -73,7 +73,7 @@
 
 
 # Fields by which requests can be grouped.
-FIELDS: Mapping[str, Callable[[Ended], str]] = MappingProxyType(
+FIELDS: Mapping[str, Callable[[EndedRequest], str]] = MappingProxyType(
     {
         'second': lambda ended: f'{ended.at:.0f}',
         'process': lambda ended: ended.process,
@@ -85,7 +85,7 @@
 )
 
 
-def ended(lines: Iterable[Line]) -> list[Ended]:
+def ended_requests(lines: Iterable[Line]) -> list[EndedRequest]:
     """Return how each request ended, from the lines of all processes."""
     zones: dict[str, str] = {}
     servers: dict[str, str] = {}
@@ -98,7 +98,7 @@
                 servers[line.request] = line.server
             case 'answered' | 'refused' | 'cut_off' | 'caller_left':
                 found.append(
-                    Ended(
+                    EndedRequest(
                         line.at,
                         line.process,
                         zones.get(line.process, ''),
@@ -110,7 +110,7 @@
     return found
 
 
-def group(requests: Iterable[Ended], by: Iterable[str]) -> list[Group]:
+def group(requests: Iterable[EndedRequest], by: Iterable[str]) -> list[Group]:
     """Group requests by some fields, most losses first.
 
     Args:
--- a/beryllug/core/member_data.py
+++ b/beryllug/core/member_data.py
@@ -34,7 +34,7 @@
     started: int = 0
 
 
-class Note(NamedTuple):
+class GossipNote(NamedTuple):
     """A small value that is spread with heartbeats.
 
     Attributes:
@@ -62,13 +62,13 @@
 
     sender: Member
     news: tuple[Member, ...] = ()
-    notes: tuple[Note, ...] = ()
+    notes: tuple[GossipNote, ...] = ()
     digest: int = 0
     revision: int = 0
     whole: bool = False
 
 
-class ProbeAsk(NamedTuple):
+class ProbeRequest(NamedTuple):
     """Ask a member to probe another one that does not answer the sender."""
 
     address: str
--- a/beryllug/core/membership.py
+++ b/beryllug/core/membership.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class MemberEntry:
     """One member and the time of its last change."""
 
     member: member_data.Member
@@ -54,8 +54,8 @@
     """
 
     own: member_data.Member
-    known: dict[str, Known] = field(default_factory=dict)
-    notes: dict[str, member_data.Note] = field(default_factory=dict)
+    known: dict[str, MemberEntry] = field(default_factory=dict)
+    notes: dict[str, member_data.GossipNote] = field(default_factory=dict)
     sends: dict[str, int] = field(default_factory=dict)
     ring: list[str] = field(default_factory=list)
     round: int = 0
@@ -78,7 +78,7 @@
         _build_ring(table)
 
 
-def merge_note(table: Table, note: member_data.Note) -> bool:
+def merge_note(table: Table, note: member_data.GossipNote) -> bool:
     """Merge a note; False if it is not newer, or there are too many."""
     known = table.notes.get(note.key)
     if known is not None and known.number >= note.number:
@@ -149,7 +149,7 @@
     return known.member if known else None
 
 
-def gone(table: Table) -> list[member_data.Member]:
+def dead_members(table: Table) -> list[member_data.Member]:
     """Return the members with status DEAD."""
     return [
         known.member
@@ -158,9 +158,9 @@
     ]
 
 
-def take_news(
+def pop_updates(
     table: Table, receiver: str
-) -> tuple[tuple[member_data.Member, ...], tuple[member_data.Note, ...]]:
+) -> tuple[tuple[member_data.Member, ...], tuple[member_data.GossipNote, ...]]:
     """Return the updates to send next and count them as sent.
 
     Args:
@@ -184,9 +184,9 @@
     return tuple(updates), tuple(notes)
 
 
-def everything(
+def full_state(
     table: Table,
-) -> tuple[tuple[member_data.Member, ...], tuple[member_data.Note, ...]]:
+) -> tuple[tuple[member_data.Member, ...], tuple[member_data.GossipNote, ...]]:
     """Return all members and notes, for a member that joins or lags."""
     members = (known.member for known in table.known.values())
     return tuple(members), tuple(table.notes.values())
@@ -233,7 +233,7 @@
     if known is not None:
         table.digest ^= _hash(known.member)
     table.digest ^= _hash(member)
-    table.known[member.name] = Known(member, now)
+    table.known[member.name] = MemberEntry(member, now)
     table.sends[member.name] = _send_count(table)
 
 
@@ -260,14 +260,14 @@
     return max(1, math.ceil(math.log2(len(table.ring) + 1)))
 
 
-def _hash(reported: member_data.Member | member_data.Note | None) -> int:
+def _hash(reported: member_data.Member | member_data.GossipNote | None) -> int:
     """Return the hash of a note or a live member; 0 for all others.
 
     The hash ignores suspicions, which are short-lived, and dead members,
     which each process removes at a different time.
     """
     match reported:
-        case member_data.Note(key, number, _):
+        case member_data.GossipNote(key, number, _):
             return zlib.crc32(f'note {key} {number}'.encode())
         case member_data.Member(name=name, incarnation=incarnation):
             if reported.status in _LIVE:
--- a/beryllug/core/orders.py
+++ b/beryllug/core/orders.py
@@ -29,12 +29,12 @@
 
 
 def note(
-    book: orders_data.Book,
+    book: orders_data.SenderState,
     pool: str,
-    world: orders_data.World,
+    world: orders_data.PoolSnapshot,
 ) -> None:
     """Remove orders that are done or obsolete, or whose engine is gone."""
-    loaded = {sight.server_id: sight.loaded for sight in world.sights}
+    loaded = {sight.server_id: sight.loaded for sight in world.engine_reports}
     book.asserted &= loaded.keys()
     desired = _desired(pool, world)
     for step in tuple(book.tried):
@@ -48,7 +48,10 @@
 
 
 def note_withdrawn(
-    book: orders_data.Book, pool: str, world: orders_data.World, now: float
+    book: orders_data.SenderState,
+    pool: str,
+    world: orders_data.PoolSnapshot,
+    now: float,
 ) -> None:
     """Record when each withdrawn version was first seen as withdrawn."""
     withdrawn = _withdrawn(pool, world.document)
@@ -61,12 +64,12 @@
 
 
 def steps(
-    book: orders_data.Book,
+    book: orders_data.SenderState,
     pool: config_data.Pool,
-    world: orders_data.World,
-    terms: orders_data.Terms,
+    world: orders_data.PoolSnapshot,
+    terms: orders_data.OrderLimits,
     now: float,
-) -> list[orders_data.Step]:
+) -> list[orders_data.EngineOrder]:
     """Return the orders to send now, the most urgent first.
 
     Args:
@@ -88,7 +91,7 @@
     ]
     in_progress = Counter(type(step) for step in waiting)
     taken = {step.server_id for step in waiting}
-    chosen: list[orders_data.Step] = []
+    chosen: list[orders_data.EngineOrder] = []
     limited = (
         (
             _missing_loads(book, pool, world),
@@ -106,12 +109,12 @@
     return chosen
 
 
-def still_stands(
-    book: orders_data.Book,
+def is_still_valid(
+    book: orders_data.SenderState,
     pool: config_data.Pool,
-    step: orders_data.Step,
-    world: orders_data.World,
-    terms: orders_data.Terms,
+    step: orders_data.EngineOrder,
+    world: orders_data.PoolSnapshot,
+    terms: orders_data.OrderLimits,
     now: float,
 ) -> bool:
     """Return whether a chosen order is still valid after a new report.
@@ -136,8 +139,8 @@
 
 
 def sent(
-    book: orders_data.Book,
-    step: orders_data.Step,
+    book: orders_data.SenderState,
+    step: orders_data.EngineOrder,
     now: float,
     *,
     read_back: bool,
@@ -148,16 +151,22 @@
     book.tried[step] = orders_data.SentOrder(now, attempts, read_back)
 
 
-def accepted(book: orders_data.Book, step: orders_data.Step) -> None:
+def accepted(
+    book: orders_data.SenderState, step: orders_data.EngineOrder
+) -> None:
     """Record that an engine accepted an order with the current token."""
     book.asserted.add(step.server_id)
     if isinstance(step, orders_data.Assert):
         book.tried.pop(step, None)
 
 
-def keeper(ref: config_data.VersionRef, world: orders_data.World) -> str | None:
+def keeper(
+    ref: config_data.VersionRef, world: orders_data.PoolSnapshot
+) -> str | None:
     """Return the engine that keeps the last copy of a withdrawn version."""
-    engines = [one.server_id for one in world.sights if ref in one.loaded]
+    engines = [
+        one.server_id for one in world.engine_reports if ref in one.loaded
+    ]
     return next(iter(rendezvous.order(ref.version, engines)), None)
 
 
@@ -169,9 +178,9 @@
 
 
 def _may_send(
-    book: orders_data.Book,
+    book: orders_data.SenderState,
     pool: config_data.Pool,
-    terms: orders_data.Terms,
+    terms: orders_data.OrderLimits,
     now: float,
 ) -> bool:
     """Return whether the sender may send orders.
@@ -186,7 +195,7 @@
     return pool.checks_fencing or now >= book.since + terms.settle_s
 
 
-def _desired(pool: str, world: orders_data.World) -> VersionRefs:
+def _desired(pool: str, world: orders_data.PoolSnapshot) -> VersionRefs:
     stopped = {
         config_data.VersionRef(status.model, status.candidate)
         for status in world.rollouts
@@ -212,13 +221,17 @@
 
 
 def _missing_loads(
-    book: orders_data.Book, pool: config_data.Pool, world: orders_data.World
-) -> list[orders_data.Step]:
+    book: orders_data.SenderState,
+    pool: config_data.Pool,
+    world: orders_data.PoolSnapshot,
+) -> list[orders_data.EngineOrder]:
     """Return missing loads by ascending attempts, then ascending copies."""
-    copies = Counter(ref for sight in world.sights for ref in sight.loaded)
-    missing: list[orders_data.Step] = [
+    copies = Counter(
+        ref for sight in world.engine_reports for ref in sight.loaded
+    )
+    missing: list[orders_data.EngineOrder] = [
         orders_data.Load(sight.server_id, ref)
-        for sight in world.sights
+        for sight in world.engine_reports
         for ref in _desired(pool.name, world) - sight.loaded
     ]
     return sorted(
@@ -233,17 +246,17 @@
 
 
 def _allowed_unloads(
-    book: orders_data.Book,
+    book: orders_data.SenderState,
     pool: config_data.Pool,
-    world: orders_data.World,
-    terms: orders_data.Terms,
+    world: orders_data.PoolSnapshot,
+    terms: orders_data.OrderLimits,
     now: float,
-) -> list[orders_data.Step]:
-    found: list[orders_data.Step] = []
+) -> list[orders_data.EngineOrder]:
+    found: list[orders_data.EngineOrder] = []
     for ref in sorted(_withdrawn(pool.name, world.document)):
         found.extend(
             orders_data.Unload(sight.server_id, ref)
-            for sight in world.sights
+            for sight in world.engine_reports
             if ref in sight.loaded
             and _is_drained(book, ref, sight, terms, now)
             and not _keeps_last_copy(pool, ref, sight, world)
@@ -252,10 +265,10 @@
 
 
 def _is_drained(
-    book: orders_data.Book,
+    book: orders_data.SenderState,
     ref: config_data.VersionRef,
-    sight: orders_data.Sight,
-    terms: orders_data.Terms,
+    sight: orders_data.EngineReport,
+    terms: orders_data.OrderLimits,
     now: float,
 ) -> bool:
     """Return whether an engine has no request for a withdrawn version left.
@@ -277,8 +290,8 @@
 def _keeps_last_copy(
     pool: config_data.Pool,
     ref: config_data.VersionRef,
-    sight: orders_data.Sight,
-    world: orders_data.World,
+    sight: orders_data.EngineReport,
+    world: orders_data.PoolSnapshot,
 ) -> bool:
     """Return whether an engine has the copy that must be kept.
 
@@ -293,19 +306,21 @@
 
 
 def _pending_asserts(
-    book: orders_data.Book, pool: config_data.Pool, world: orders_data.World
-) -> list[orders_data.Step]:
+    book: orders_data.SenderState,
+    pool: config_data.Pool,
+    world: orders_data.PoolSnapshot,
+) -> list[orders_data.EngineOrder]:
     desired = _desired(pool.name, world)
     return [
         orders_data.Assert(sight.server_id, min(desired & sight.loaded))
-        for sight in world.sights
+        for sight in world.engine_reports
         if sight.server_id not in book.asserted and desired & sight.loaded
     ]
 
 
 def _one_per_engine(
-    due: list[orders_data.Step], limit: int, taken: set[str]
-) -> Iterable[orders_data.Step]:
+    due: list[orders_data.EngineOrder], limit: int, taken: set[str]
+) -> Iterable[orders_data.EngineOrder]:
     """Yield orders up to a limit, at most one per engine."""
     for step in due:
         if limit and step.server_id not in taken:
@@ -315,14 +330,14 @@
 
 
 def _due(
-    book: orders_data.Book,
-    candidates: list[orders_data.Step],
-    world: orders_data.World,
-    terms: orders_data.Terms,
+    book: orders_data.SenderState,
+    candidates: list[orders_data.EngineOrder],
+    world: orders_data.PoolSnapshot,
+    terms: orders_data.OrderLimits,
     now: float,
-) -> list[orders_data.Step]:
+) -> list[orders_data.EngineOrder]:
     """Return the orders without those that must not be repeated yet."""
-    seen = {sight.server_id: sight.seen_at for sight in world.sights}
+    seen = {sight.server_id: sight.seen_at for sight in world.engine_reports}
     return [
         step
         for step in candidates
@@ -334,7 +349,7 @@
 def _may_repeat(
     tried: orders_data.SentOrder,
     seen_at: float,
-    terms: orders_data.Terms,
+    terms: orders_data.OrderLimits,
     now: float,
 ) -> bool:
     """Return whether an order may be sent again.
@@ -351,7 +366,7 @@
 
 
 def _is_backing_off(
-    tried: orders_data.SentOrder, now: float, terms: orders_data.Terms
+    tried: orders_data.SentOrder, now: float, terms: orders_data.OrderLimits
 ) -> bool:
     delay_s = terms.repeat_s * (1 << min(tried.attempts - 1, MAX_DOUBLINGS))
     return now < tried.sent_at + min(delay_s, MAX_REPEAT_S)
@@ -359,20 +374,24 @@
 
 def _load_limit(
     in_progress: Counter[type],
-    world: orders_data.World,
-    terms: orders_data.Terms,
+    world: orders_data.PoolSnapshot,
+    terms: orders_data.OrderLimits,
 ) -> int:
     """Return how many more loads may start; other engines keep serving."""
-    most = max(terms.at_once, len(world.sights) // LOADS_AT_ONCE_DIVISOR)
+    most = max(
+        terms.at_once, len(world.engine_reports) // LOADS_AT_ONCE_DIVISOR
+    )
     return max(0, most - in_progress[orders_data.Load])
 
 
-def _attempts(book: orders_data.Book, step: orders_data.Step) -> int:
+def _attempts(
+    book: orders_data.SenderState, step: orders_data.EngineOrder
+) -> int:
     tried = book.tried.get(step)
     return tried.attempts if tried else 0
 
 
-def _is_done(step: orders_data.Step, loaded: VersionRefs) -> bool:
+def _is_done(step: orders_data.EngineOrder, loaded: VersionRefs) -> bool:
     match step:
         case orders_data.Load():
             return step.ref in loaded
@@ -382,6 +401,6 @@
             return False
 
 
-def _is_desired(step: orders_data.Step, desired: VersionRefs) -> bool:
+def _is_desired(step: orders_data.EngineOrder, desired: VersionRefs) -> bool:
     """Return whether an order still leads to the desired state."""
     return isinstance(step, orders_data.Unload) == (step.ref not in desired)
--- a/beryllug/core/orders_data.py
+++ b/beryllug/core/orders_data.py
@@ -10,7 +10,7 @@
 from beryllug.core import config_data, view_data
 
 
-class Terms(NamedTuple):
+class OrderLimits(NamedTuple):
     """Durations in seconds, and limits, of the orders to one pool.
 
     Attributes:
@@ -34,7 +34,7 @@
     at_once: int = 4
 
 
-class Sight(NamedTuple):
+class EngineReport(NamedTuple):
     """The latest report of one live engine of a pool.
 
     Attributes:
@@ -80,7 +80,7 @@
     ref: config_data.VersionRef
 
 
-Step = Load | Unload | Assert
+EngineOrder = Load | Unload | Assert
 
 
 class SentOrder(NamedTuple):
@@ -98,22 +98,22 @@
     read_back: bool
 
 
-class World(NamedTuple):
+class PoolSnapshot(NamedTuple):
     """The inputs that determine the orders to a pool.
 
     Attributes:
         document: The current configuration document.
         rollouts: State of each roll-out.
-        sights: The latest reports of the live engines of the pool.
+        engine_reports: The latest reports of the live engines of the pool.
     """
 
     document: config_data.Document
     rollouts: tuple[view_data.RolloutStatus, ...]
-    sights: tuple[Sight, ...]
+    engine_reports: tuple[EngineReport, ...]
 
 
 @dataclass(slots=True)
-class Book:
+class SenderState:
     """The state of one sender while it holds the lease of a pool.
 
     Attributes:
@@ -128,6 +128,6 @@
     fencing: int
     since: float
     withdrawn: dict[config_data.VersionRef, float] = field(default_factory=dict)
-    tried: dict[Step, SentOrder] = field(default_factory=dict)
+    tried: dict[EngineOrder, SentOrder] = field(default_factory=dict)
     asserted: set[str] = field(default_factory=set)
     superseded: bool = False
--- a/beryllug/core/orders_test.py
+++ b/beryllug/core/orders_test.py
@@ -8,7 +8,7 @@
 A1 = config_data.VersionRef('a', '1')
 A2 = config_data.VersionRef('a', '2')
 A3 = config_data.VersionRef('a', '3')
-TERMS = orders_data.Terms(
+TERMS = orders_data.OrderLimits(
     write_s=1, settle_s=7, grace_s=20, longest_s=600, at_once=2
 )
 NOW = 1000.0
@@ -38,17 +38,17 @@
     document: config_data.Document,
     busy: int = 0,
     rollouts: tuple[view_data.RolloutStatus, ...] = (),
-) -> orders_data.World:
+) -> orders_data.PoolSnapshot:
     sights = tuple(
-        orders_data.Sight(name, name, frozenset(refs), busy, NOW)
+        orders_data.EngineReport(name, name, frozenset(refs), busy, NOW)
         for name, refs in loaded.items()
     )
-    return orders_data.World(document, rollouts, sights)
+    return orders_data.PoolSnapshot(document, rollouts, sights)
 
 
-def _book(since: float = 0, withdrawn_at: float = 0) -> orders_data.Book:
+def _book(since: float = 0, withdrawn_at: float = 0) -> orders_data.SenderState:
     """Return the state of a sender whose token all engines accepted."""
-    book = orders_data.Book(3, since, asserted={'x', 'y', 'z'})
+    book = orders_data.SenderState(3, since, asserted={'x', 'y', 'z'})
     book.withdrawn = {A1: withdrawn_at, A2: withdrawn_at}
     return book
 
@@ -175,7 +175,7 @@
 
     def test_token_is_sent(self) -> None:
         """An engine that needs no change is sent the new token."""
-        book = orders_data.Book(4, 0)
+        book = orders_data.SenderState(4, 0)
         world = _world({'x': {A1, A2}}, _document())
         pool = _pool(checks=True)
         chosen = orders.steps(book, pool, world, TERMS, NOW)
--- a/beryllug/core/outage.py
+++ b/beryllug/core/outage.py
@@ -36,12 +36,12 @@
     )
 
 
-def promised(
+def record_promise(
     promises: Promises,
     name: str,
     reply: outage_data.PromiseReply,
     sent_at: float,
-    timings: lease_data.Terms,
+    timings: lease_data.LeaseTimings,
 ) -> None:
     """Record a promise; it counts from before the request was sent.
 
@@ -58,7 +58,7 @@
         promises.until[lease_name, candidate] = end
 
 
-def covered_until(
+def promised_until(
     promises: Promises,
     lease_name: str,
     candidates: Iterable[lease_data.Candidate],
@@ -114,7 +114,9 @@
     return sum(len(shard.rows) for shard in copies.shards.values())
 
 
-def keep(copies: Copies, request: outage_data.CopyAsk, now: float) -> bool:
+def store_copies(
+    copies: Copies, request: outage_data.CopyRequest, now: float
+) -> bool:
     """Store copies; False if there are too many or a new owner gathered."""
     shard = copies.shards.setdefault(request.shard, ShardCopies())
     is_stale = (
@@ -128,7 +130,7 @@
     return True
 
 
-def flushed(copies: Copies, request: outage_data.FlushedAsk) -> None:
+def drop_flushed(copies: Copies, request: outage_data.FlushedRequest) -> None:
     """Remove the copies of an owner that made its rows durable."""
     shard = copies.shards.get(request.shard)
     if shard is not None and shard.fencing <= request.fencing:
@@ -136,7 +138,7 @@
 
 
 def gather(
-    copies: Copies, request: outage_data.GatherAsk
+    copies: Copies, request: outage_data.GatherRequest
 ) -> tuple[journal_data.Row, ...]:
     """Return the copies of a shard for its new owner, and keep them.
 
@@ -210,7 +212,7 @@
     return not reply.promised and current in before.candidates
 
 
-def unclaimed(
+def copy_counts(
     shards: Mapping[int, ShardCopies],
 ) -> dict[int, int]:
     """Return the number of copies by shard, for the dump."""
--- a/beryllug/core/outage_data.py
+++ b/beryllug/core/outage_data.py
@@ -12,7 +12,7 @@
     fencing: int
 
 
-class PromiseAsk(NamedTuple):
+class PromiseRequest(NamedTuple):
     """Ask a candidate to acquire no lease for a while.
 
     Attributes:
@@ -42,7 +42,7 @@
     names: tuple[str, ...] = ()
 
 
-class CopyAsk(NamedTuple):
+class CopyRequest(NamedTuple):
     """Intents of a shard that the platform does not have yet.
 
     Attributes:
@@ -62,14 +62,14 @@
     kept: bool
 
 
-class FlushedAsk(NamedTuple):
+class FlushedRequest(NamedTuple):
     """All copied rows of a shard are now durable."""
 
     shard: int
     fencing: int
 
 
-class GatherAsk(NamedTuple):
+class GatherRequest(NamedTuple):
     """A new owner asks for rows that the platform may not have.
 
     Attributes:
--- a/beryllug/core/peering/aggregation.py
+++ b/beryllug/core/peering/aggregation.py
@@ -37,9 +37,9 @@
 # left reach one of the two before the other.
 MIN_REPORT_RATIO = 0.75
 # Seconds after which a report, or the sum of a zone, expires.
-KEPT_S = 1.5
+REPORT_EXPIRY_S = 1.5
 # Number of own reports kept, so that the one included in a total can be
-# subtracted from it: those sent within `KEPT_S`, and some spare.
+# subtracted from it: those sent within `REPORT_EXPIRY_S`, and some spare.
 MAX_OWN_REPORTS = 10
 # Report numbers wrap around after this value, so that they encode as one byte.
 MAX_REPORT_NUMBER = 127
@@ -84,18 +84,18 @@
         last_totals: The last total for this zone from each other process.
         number: Number of the last own report.
         own: The last own reports by number.
-        told: The sum last sent to the other zones.
+        last_sent_sum: The sum last sent to the other zones.
     """
 
     name: str
     zone: str
-    others: load_sums.Others = field(default_factory=load_sums.Others)
+    others: load_sums.RemoteLoads = field(default_factory=load_sums.RemoteLoads)
     reports: dict[str, _ReceivedReport] = field(default_factory=dict)
     zones: dict[str, _ReceivedZoneSum] = field(default_factory=dict)
     last_totals: dict[str, _ReceivedTotal] = field(default_factory=dict)
     number: int = 0
     own: dict[int, load_sums.Loads] = field(default_factory=dict)
-    told: load_sums.Loads = field(default_factory=dict)
+    last_sent_sum: load_sums.Loads = field(default_factory=dict)
 
 
 def aggregators(known: members.Members, zone: str, own_zone: str) -> list[str]:
@@ -118,7 +118,9 @@
     return chosen
 
 
-def of_others(known: members.Members, own_zone: str) -> list[str]:
+def aggregators_of_other_zones(
+    known: members.Members, own_zone: str
+) -> list[str]:
     """Return the aggregators of all zones except this process's own."""
     return [
         name
@@ -179,7 +181,7 @@
     ignored until the other one has been silent for `SILENT_S`.
     """
     known = state.zones.get(received.zone)
-    if known is None or now - known.at > KEPT_S:
+    if known is None or now - known.at > REPORT_EXPIRY_S:
         known = _ReceivedZoneSum({}, 0, now)
     elif known.reports > received.reports and now - known.at < SILENT_S:
         return
@@ -192,7 +194,7 @@
     state.reports = {
         name: received
         for name, received in state.reports.items()
-        if now - received.at <= KEPT_S
+        if now - received.at <= REPORT_EXPIRY_S
     }
     received = state.reports.values()
     return load_sums.add(each.loads for each in received), len(received)
@@ -205,22 +207,22 @@
     state.zones = {
         zone: each
         for zone, each in state.zones.items()
-        if now - each.at <= KEPT_S
+        if now - each.at <= REPORT_EXPIRY_S
     }
     return load_sums.add(
         (own_zone, *(each.loads for each in state.zones.values()))
     )
 
 
-def holds(state: Aggregation) -> dict[int, int]:
+def included_report_numbers(state: Aggregation) -> dict[int, int]:
     """Return the numbers of the reports included in the current sum."""
     return {
-        load_sums.key_of(name): received.number
+        load_sums.server_key(name): received.number
         for name, received in state.reports.items()
     }
 
 
-def hears_more(
+def record_total(
     state: Aggregation, name: str, received: peering_data.Total, now: float
 ) -> bool:
     """Record a total; return whether another process reports more."""
@@ -242,11 +244,11 @@
     a prompt that was just sent twice at its runner, or hide as much of the
     other processes' load there.
     """
-    number = received.holds.get(load_sums.key_of(state.name))
+    number = received.holds.get(load_sums.server_key(state.name))
     own: Mapping[int, load_sums.Load] = {}
     if number is not None:
         own = state.own.get(number, {})
-    others = load_sums.without(received.part.loads, own)
+    others = load_sums.subtract_own(received.part.loads, own)
     part = received.part._replace(loads=others)
     state.others.loads = load_sums.merged(state.others.loads, part)
     state.others.at = now
@@ -264,7 +266,8 @@
 def _count_fresh_reports(state: Aggregation, now: float) -> int:
     """Count unexpired reports; at least 1, as the own one may be in transit."""
     counts = [
-        now - received.at <= KEPT_S for received in state.reports.values()
+        now - received.at <= REPORT_EXPIRY_S
+        for received in state.reports.values()
     ]
     return max(sum(counts), 1)
 
--- a/beryllug/core/peering/members.py
+++ b/beryllug/core/peering/members.py
@@ -31,10 +31,10 @@
 GONE_PEER_RETENTION_S = 600.0
 # Processes included in one message. With a few in each, all processes are known
 # everywhere after a few rounds, whatever the size of the fleet.
-TOLD = 6
+MAX_PEERS_PER_MESSAGE = 6
 
 
-class Known(NamedTuple):
+class KnownPeer(NamedTuple):
     """A known process.
 
     Attributes:
@@ -71,13 +71,13 @@
     """
 
     name: str
-    known: dict[str, Known] = field(default_factory=dict)
+    known: dict[str, KnownPeer] = field(default_factory=dict)
     gone: dict[str, GonePeer] = field(default_factory=dict)
     orders: dict[str, list[str]] = field(default_factory=dict)
     zones: dict[str, tuple[list[str], list[str]]] = field(default_factory=dict)
 
 
-def heard(members: Members, name: str, seen: Known) -> bool:
+def record_peer(members: Members, name: str, seen: KnownPeer) -> bool:
     """Record a sign of life; return whether the process was unknown."""
     gone = members.gone.get(name)
     is_outdated = gone is not None and seen.heard_at <= gone.at
@@ -92,14 +92,14 @@
     return before is None
 
 
-def heard_again(members: Members, name: str, now: float) -> None:
+def refresh_peer(members: Members, name: str, now: float) -> None:
     """Record a sign of life that does not carry the process's address."""
     known = members.known.get(name)
     if known is not None:
         members.known[name] = known._replace(heard_at=now)
 
 
-def found_gone(members: Members, name: str, at: float) -> bool:
+def mark_gone(members: Members, name: str, at: float) -> bool:
     """Remove a process that was gone at a given time.
 
     Returns:
@@ -114,26 +114,26 @@
     return True
 
 
-def alive_s(members: Members) -> float:
+def peer_timeout_s(members: Members) -> float:
     """Return the seconds of silence after which a process counts as gone."""
     return max(PEER_TIMEOUT_S, PEER_TIMEOUT_PER_PEER_S * len(members.known))
 
 
-def count_ever(members: Members) -> int:
+def count_known_and_gone(members: Members) -> int:
     """Count live and gone processes, including this one."""
     return 1 + len(members.known) + len(members.gone)
 
 
-def forget(members: Members, now: float) -> list[str]:
+def expire_peers(members: Members, now: float) -> list[str]:
     """Remove processes that have been silent too long; return their names."""
-    timeout_s = alive_s(members)
+    timeout_s = peer_timeout_s(members)
     silent = [
         name
         for name, known in members.known.items()
         if now - known.heard_at > timeout_s
     ]
     for peer in silent:
-        found_gone(members, peer, now)
+        mark_gone(members, peer, now)
     members.gone = {
         name: gone
         for name, gone in members.gone.items()
@@ -154,11 +154,13 @@
     )
 
 
-def told(
+def sample_peers(
     members: Members, now: float, rng: random.Random
 ) -> tuple[peering_data.Peer, ...]:
     """Return a random sample of the known processes to send to a peer."""
-    selected = rng.sample(sorted(members.known), min(TOLD, len(members.known)))
+    selected = rng.sample(
+        sorted(members.known), min(MAX_PEERS_PER_MESSAGE, len(members.known))
+    )
     return tuple(
         peering_data.Peer(
             name,
@@ -198,7 +200,7 @@
     return split
 
 
-def partners(
+def choose_gossip_peers(
     members: Members, zone: str, count: int, rng: random.Random
 ) -> list[str]:
     """Return random peers to exchange digests with: one of a zone, then any.
--- a/beryllug/core/peering/members_test.py
+++ b/beryllug/core/peering/members_test.py
@@ -8,8 +8,8 @@
 from beryllug.core.peering import members
 
 
-def _known_peer(name: str, at: float) -> members.Known:
-    return members.Known(f'{name}:1', f'{name}:2', at)
+def _known_peer(name: str, at: float) -> members.KnownPeer:
+    return members.KnownPeer(f'{name}:1', f'{name}:2', at)
 
 
 def _fleet(size: int) -> dict[str, members.Members]:
@@ -17,7 +17,7 @@
     fleet = {f'p{each}': members.Members(f'p{each}') for each in range(size)}
     for known in fleet.values():
         for name in fleet:
-            members.heard(known, name, _known_peer(name, 0))
+            members.record_peer(known, name, _known_peer(name, 0))
     return fleet
 
 
@@ -25,7 +25,7 @@
     fleet: dict[str, members.Members], name: str, now: float
 ) -> None:
     for each in fleet.values():
-        members.found_gone(each, name, now)
+        members.mark_gone(each, name, now)
 
 
 class MembersTest(unittest.TestCase):
@@ -33,25 +33,25 @@
 
     def setUp(self) -> None:
         self.members = members.Members('one')
-        members.heard(self.members, 'two', _known_peer('two', 10))
+        members.record_peer(self.members, 'two', _known_peer('two', 10))
 
     def test_heard(self) -> None:
         """A process is new once; older news of it changes nothing."""
         self.assertFalse(
-            members.heard(self.members, 'one', _known_peer('one', 10))
+            members.record_peer(self.members, 'one', _known_peer('one', 10))
         )
         self.assertTrue(
-            members.heard(self.members, 'six', _known_peer('six', 10))
+            members.record_peer(self.members, 'six', _known_peer('six', 10))
         )
-        members.heard(self.members, 'two', _known_peer('two', 4))
+        members.record_peer(self.members, 'two', _known_peer('two', 4))
         self.assertEqual(self.members.known['two'].heard_at, 10)
 
     def test_gone(self) -> None:
         """A process that is silent or announces its stop is removed."""
-        self.assertEqual(members.forget(self.members, 15.9), [])
-        self.assertEqual(members.forget(self.members, 16.1), ['two'])
-        members.heard(self.members, 'two', _known_peer('two', 20))
-        self.assertTrue(members.found_gone(self.members, 'two', 20))
+        self.assertEqual(members.expire_peers(self.members, 15.9), [])
+        self.assertEqual(members.expire_peers(self.members, 16.1), ['two'])
+        members.record_peer(self.members, 'two', _known_peer('two', 20))
+        self.assertTrue(members.mark_gone(self.members, 'two', 20))
         self.assertEqual(self.members.known, {})
 
     def test_outdated_news(self) -> None:
@@ -59,16 +59,16 @@
 
         A later sign of life does, and invalidates an older departure.
         """
-        members.found_gone(self.members, 'two', 12)
+        members.mark_gone(self.members, 'two', 12)
         self.assertFalse(
-            members.heard(self.members, 'two', _known_peer('two', 11))
+            members.record_peer(self.members, 'two', _known_peer('two', 11))
         )
         self.assertTrue(
-            members.heard(self.members, 'two', _known_peer('two', 13))
+            members.record_peer(self.members, 'two', _known_peer('two', 13))
         )
-        self.assertFalse(members.found_gone(self.members, 'two', 12.5))
-        members.heard_again(self.members, 'two', 18)
-        self.assertEqual(members.forget(self.members, 23), [])
+        self.assertFalse(members.mark_gone(self.members, 'two', 12.5))
+        members.refresh_peer(self.members, 'two', 18)
+        self.assertEqual(members.expire_peers(self.members, 23), [])
 
     def test_large_fleet(self) -> None:
         """75 live processes do not expire one another; a dead one is removed.
@@ -101,8 +101,8 @@
             self._run_round(fleet, now, rng)
         names = sorted(fleet)
         for one, other in itertools.product(names[:6], names[6:]):
-            members.found_gone(fleet[one], other, 5)
-            members.found_gone(fleet[other], one, 5)
+            members.mark_gone(fleet[one], other, 5)
+            members.mark_gone(fleet[other], one, 5)
         for now in range(6, 10):
             self._run_round(fleet, now, rng)
         departed = fleet['p0'].gone
@@ -116,7 +116,7 @@
     def test_ranked(self) -> None:
         """All processes compute the same ranking, whatever their own name."""
         other = members.Members('two')
-        members.heard(other, 'one', _known_peer('one', 10))
+        members.record_peer(other, 'one', _known_peer('one', 10))
         for subject in ('pool', 'desk', 'chat'):
             with self.subTest(subject):
                 self.assertEqual(
@@ -136,7 +136,7 @@
             ('unchanged', lambda: None, 2, []),
             (
                 'another one joins',
-                lambda: members.heard(
+                lambda: members.record_peer(
                     self.members, 'six', _known_peer('six', 10)
                 ),
                 3,
@@ -144,19 +144,19 @@
             ),
             (
                 'its zone is learned',
-                lambda: members.heard(self.members, 'six', zoned),
+                lambda: members.record_peer(self.members, 'six', zoned),
                 3,
                 ['six'],
             ),
             (
                 'it stops',
-                lambda: members.found_gone(self.members, 'six', 12),
+                lambda: members.mark_gone(self.members, 'six', 12),
                 2,
                 [],
             ),
             (
                 'the other one times out',
-                lambda: members.forget(self.members, 20),
+                lambda: members.expire_peers(self.members, 20),
                 1,
                 [],
             ),
@@ -180,7 +180,7 @@
             f'p{number}': members.Members(f'p{number}') for number in range(60)
         }
         for known in fleet.values():
-            members.heard(known, 'p0', _known_peer('p0', 0))
+            members.record_peer(known, 'p0', _known_peer('p0', 0))
         for now in range(1, 16):
             for name, known in fleet.items():
                 called = rng.sample(
@@ -201,7 +201,9 @@
                     self._exchange(fleet, name, peer, now, rng)
                 else:
                     _mark_gone_everywhere(fleet, peer, now)
-        return sum(len(members.forget(each, now)) for each in fleet.values())
+        return sum(
+            len(members.expire_peers(each, now)) for each in fleet.values()
+        )
 
     def _exchange(
         self,
@@ -214,10 +216,12 @@
         for sender, receiver in ((one, other), (other, one)):
             if sender == receiver:
                 continue
-            members.heard(fleet[receiver], sender, _known_peer(sender, now))
-            for peer in members.told(fleet[sender], now, rng):
+            members.record_peer(
+                fleet[receiver], sender, _known_peer(sender, now)
+            )
+            for peer in members.sample_peers(fleet[sender], now, rng):
                 seen = _known_peer(peer.name, now - peer.heard_ago_s)
-                members.heard(fleet[receiver], peer.name, seen)
+                members.record_peer(fleet[receiver], peer.name, seen)
 
 
 if __name__ == '__main__':
