--- a/beryllug/core/peering/peering_data.py
+++ b/beryllug/core/peering/peering_data.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from beryllug.core.canary import canary_data, sessions
-from beryllug.core.placement import crashers, load_sums
+from beryllug.core.placement import poison_requests, load_sums
 
 
 class Peer(NamedTuple):
@@ -28,7 +28,7 @@
     zone: str = ''
 
 
-class RolloutNews(NamedTuple):
+class RolloutProgress(NamedTuple):
     """The progress of a roll-out, as known to the sender.
 
     Attributes:
@@ -44,7 +44,7 @@
     age_s: float
 
 
-class TallyNews(NamedTuple):
+class RolloutTally(NamedTuple):
     """What the sender has observed of a roll-out since its order."""
 
     service: str
@@ -73,7 +73,7 @@
 NOTHING_KNOWN = Versions()
 
 
-class Follower(NamedTuple):
+class WatcherReport(NamedTuple):
     """A process that watches the store, as known to the sender.
 
     Attributes:
@@ -126,7 +126,7 @@
     reports: int = 0
 
 
-class LimitNews(NamedTuple):
+class RateLimitReport(NamedTuple):
     """The rate limit that a server was last known to state.
 
     Attributes:
@@ -141,7 +141,7 @@
     ago_s: float
 
 
-class Claim(NamedTuple):
+class PermitRequest(NamedTuple):
     """A request for a permit to send one request to a rate-limited server.
 
     Attributes:
@@ -150,7 +150,7 @@
     """
 
     number: int
-    limit: LimitNews
+    limit: RateLimitReport
 
 
 class Permit(NamedTuple):
@@ -165,10 +165,10 @@
 
     number: int
     wait_s: float
-    limit: LimitNews
+    limit: RateLimitReport
 
 
-class Note(NamedTuple):
+class PeerNote(NamedTuple):
     """A datagram, sent several times a second by each process.
 
     Attributes:
@@ -210,27 +210,27 @@
 
     name: str
     address: str
-    running: tuple[sessions.Told, ...] = ()
+    running: tuple[sessions.SessionVersion, ...] = ()
     is_watching: bool = False
     versions: Versions = NOTHING_KNOWN
     returned_ago_s: float = 0.0
     since: int = 0
     entries: bytes = b''
-    rollouts: tuple[RolloutNews, ...] = ()
-    losses: tuple[crashers.Loss, ...] = ()
+    rollouts: tuple[RolloutProgress, ...] = ()
+    losses: tuple[poison_requests.Loss, ...] = ()
     gone: tuple[str, ...] = ()
     report: Report | None = None
     zone_sum: ZoneSum | None = None
     total: Total | None = None
-    followers: tuple[Follower, ...] = ()
+    followers: tuple[WatcherReport, ...] = ()
     notes: str = ''
     zone: str = ''
     asks: int = 0
     answers: int = 0
     peers: tuple[Peer, ...] = ()
     evacuated: tuple[str, ...] = ()
-    limits: tuple[LimitNews, ...] = ()
-    claim: Claim | None = None
+    limits: tuple[RateLimitReport, ...] = ()
+    claim: PermitRequest | None = None
     permit: Permit | None = None
     leaving: tuple[str, ...] = ()
     has_lost_store: bool = False
@@ -252,7 +252,7 @@
     replaced: tuple[str, ...]
 
 
-class Held(NamedTuple):
+class HeldState(NamedTuple):
     """State that overrides the data of a store restored from a copy.
 
     Attributes:
@@ -268,7 +268,7 @@
     orders: bytes = b''
 
 
-NOTHING_HELD = Held()
+NOTHING_HELD = HeldState()
 
 
 class Digest(NamedTuple):
@@ -302,12 +302,12 @@
     is_leaving: bool = False
     versions: Versions = Versions()
     peers: tuple[Peer, ...] = ()
-    rollouts: tuple[RolloutNews, ...] = ()
-    tallies: tuple[TallyNews, ...] = ()
+    rollouts: tuple[RolloutProgress, ...] = ()
+    tallies: tuple[RolloutTally, ...] = ()
     table: bytes = b''
     servers: bytes = b''
     orders: bytes = b''
     zone: str = ''
-    followers: tuple[Follower, ...] = ()
+    followers: tuple[WatcherReport, ...] = ()
     evacuated: tuple[str, ...] = ()
-    held: Held = NOTHING_HELD
+    held: HeldState = NOTHING_HELD
--- a/beryllug/core/peering/standing.py
+++ b/beryllug/core/peering/watcher_election.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class Standing:
+class WatcherState:
     """What this process knows about the watchers.
 
     Attributes:
@@ -58,7 +58,7 @@
     waits_until: float = float('-inf')
 
 
-def heard(standing: Standing, name: str, now: float) -> None:
+def record_watcher(standing: WatcherState, name: str, now: float) -> None:
     """Record that a process watches and that the store answers it.
 
     The same news may arrive again later by a longer path; the latest counts.
@@ -69,7 +69,7 @@
         standing.watching[name] = LastAnnouncement(now)
 
 
-def silent(standing: Standing, name: str, now: float) -> None:
+def record_store_silence(standing: WatcherState, name: str, now: float) -> None:
     """Record that the store stopped answering a process that watches.
 
     Earlier news of its watch that arrives later by a longer path is ignored.
@@ -83,25 +83,29 @@
         standing.too_few_since = now
 
 
-def followers(
-    standing: Standing, now: float
-) -> tuple[peering_data.Follower, ...]:
+def known_watchers(
+    standing: WatcherState, now: float
+) -> tuple[peering_data.WatcherReport, ...]:
     """Return the current watchers, to send to other processes."""
     return tuple(
-        peering_data.Follower(name, round(now - standing.watching[name].at, 2))
+        peering_data.WatcherReport(
+            name, round(now - standing.watching[name].at, 2)
+        )
         for name in sorted(watching(standing, now))
     )
 
 
-def take_followers(
-    standing: Standing, reported: Iterable[peering_data.Follower], now: float
+def record_watchers(
+    standing: WatcherState,
+    reported: Iterable[peering_data.WatcherReport],
+    now: float,
 ) -> None:
     """Record the watchers that another process has reported."""
     for follower in reported:
-        heard(standing, follower.name, now - follower.ago_s)
+        record_watcher(standing, follower.name, now - follower.ago_s)
 
 
-def watching(standing: Standing, now: float) -> set[str]:
+def watching(standing: WatcherState, now: float) -> set[str]:
     """Return the names of the current watchers."""
     return {
         name
@@ -110,8 +114,8 @@
     }
 
 
-def started(
-    standing: Standing, now: float, wait_s: float, jitter: float
+def delay_watch_at_start(
+    standing: WatcherState, now: float, wait_s: float, jitter: float
 ) -> None:
     """Delay the watch of this process, which is starting up.
 
@@ -132,7 +136,9 @@
     standing.waits_until = now + wait_s * (lowest + jitter * (highest - lowest))
 
 
-def must_watch(standing: Standing, known: members.Members, now: float) -> bool:
+def must_watch(
+    standing: WatcherState, known: members.Members, now: float
+) -> bool:
     """Return whether this process should watch the store itself."""
     if now < standing.waits_until:
         return False
--- a/beryllug/core/peering/standing_test.py
+++ b/beryllug/core/peering/watcher_election_test.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from beryllug.core.peering import members, standing
+from beryllug.core.peering import members, watcher_election
 
 NAMES = tuple(f'p{number}' for number in range(20))
 
@@ -11,37 +11,37 @@
     fleet = {name: members.Members(name) for name in names}
     for known in fleet.values():
         for name in names:
-            members.heard(known, name, members.Known(name, name, 0))
+            members.record_peer(known, name, members.KnownPeer(name, name, 0))
     return fleet
 
 
 def _watch_and_notify(
     fleet: dict[str, members.Members],
-    states: dict[str, standing.Standing],
+    states: dict[str, watcher_election.WatcherState],
     now: float,
 ) -> set[str]:
     """Return the processes that watch now, and notify all of them."""
     watching = {
         name
         for name, known in fleet.items()
-        if standing.must_watch(states[name], known, now)
+        if watcher_election.must_watch(states[name], known, now)
     }
     for state in states.values():
         for name in watching:
-            standing.heard(state, name, now)
+            watcher_election.record_watcher(state, name, now)
     return watching
 
 
 def _should_watch(
     fleet: dict[str, members.Members],
-    states: dict[str, standing.Standing],
+    states: dict[str, watcher_election.WatcherState],
     now: float,
 ) -> set[str]:
     """Return the processes that should watch now, notifying nobody."""
     return {
         name
         for name, known in fleet.items()
-        if standing.must_watch(states[name], known, now)
+        if watcher_election.must_watch(states[name], known, now)
     }
 
 
@@ -50,16 +50,18 @@
 
     def setUp(self) -> None:
         self.fleet = _fleet(NAMES)
-        self.states = {name: standing.Standing() for name in NAMES}
+        self.states = {name: watcher_election.WatcherState() for name in NAMES}
 
     def test_start(self) -> None:
         """All watch at first, and a few once they know of one another."""
         for name in NAMES:
             alone = members.Members(name)
-            self.assertTrue(standing.must_watch(self.states[name], alone, 0))
+            self.assertTrue(
+                watcher_election.must_watch(self.states[name], alone, 0)
+            )
         for state in self.states.values():
             for name in NAMES:
-                standing.heard(state, name, 0)
+                watcher_election.record_watcher(state, name, 0)
         self.assertEqual(
             len(_watch_and_notify(self.fleet, self.states, 0.5)), 3
         )
@@ -78,9 +80,9 @@
             (0.6, 1.2, True),
         ):
             with self.subTest(wait_s=wait_s, now=now):
-                state = standing.Standing()
-                standing.started(state, 0, wait_s, 0.5)
-                found = standing.must_watch(state, alone, now)
+                state = watcher_election.WatcherState()
+                watcher_election.delay_watch_at_start(state, 0, wait_s, 0.5)
+                found = watcher_election.must_watch(state, alone, now)
                 self.assertEqual(found, expected)
 
     def test_all_watchers_die(self) -> None:
@@ -111,29 +113,33 @@
             watching = {
                 name
                 for name, known in self.fleet.items()
-                if standing.must_watch(self.states[name], known, now)
+                if watcher_election.must_watch(self.states[name], known, now)
             }
             for state in self.states.values():
                 for name in watching - {cut_off}:
-                    standing.heard(state, name, now)
+                    watcher_election.record_watcher(state, name, now)
         self.assertEqual(len(watching - {cut_off}), 3)
 
     def test_alone(self) -> None:
         """A process that knows no other one watches."""
         alone = members.Members('one')
-        self.assertTrue(standing.must_watch(standing.Standing(), alone, 0))
+        self.assertTrue(
+            watcher_election.must_watch(
+                watcher_election.WatcherState(), alone, 0
+            )
+        )
 
     def test_silent(self) -> None:
         """Watchers that the store stopped answering are replaced gradually."""
         _watch_and_notify(self.fleet, self.states, 0)
         former_watchers = _watch_and_notify(self.fleet, self.states, 0.1)
-        self.assertEqual(len(former_watchers), standing.WATCHERS)
-        reported = standing.followers(self.states['p0'], 0.2)
+        self.assertEqual(len(former_watchers), watcher_election.WATCHERS)
+        reported = watcher_election.known_watchers(self.states['p0'], 0.2)
         for state in self.states.values():
             for name in former_watchers:
-                standing.silent(state, name, 0.2)
+                watcher_election.record_store_silence(state, name, 0.2)
             # Earlier news arrives late, by a longer path.
-            standing.take_followers(state, reported, 0.3)
+            watcher_election.record_watchers(state, reported, 0.3)
         for now, least, most in ((0.3, 0, 0), (0.6, 1, 4)):
             others = (
                 _should_watch(self.fleet, self.states, now) - former_watchers
@@ -141,23 +147,25 @@
             self.assertGreaterEqual(len(others), least)
             self.assertLessEqual(len(others), most)
         for name in former_watchers:
-            standing.heard(self.states['p0'], name, 1)
+            watcher_election.record_watcher(self.states['p0'], name, 1)
         self.assertEqual(
-            standing.watching(self.states['p0'], 1), former_watchers
+            watcher_election.watching(self.states['p0'], 1), former_watchers
         )
 
     def _settle(self, now: float) -> set[str]:
         """Make the preferred few the watchers, and return them."""
         for state in self.states.values():
             for name in NAMES:
-                standing.heard(state, name, now - 1)
+                watcher_election.record_watcher(state, name, now - 1)
         _watch_and_notify(self.fleet, self.states, now)
         for state in self.states.values():
             state.watching.clear()
-        chosen = members.ranked(self.fleet['p0'], standing.RANKING_SUBJECT)[:3]
+        chosen = members.ranked(
+            self.fleet['p0'], watcher_election.RANKING_SUBJECT
+        )[:3]
         for state in self.states.values():
             for name in chosen:
-                standing.heard(state, name, now)
+                watcher_election.record_watcher(state, name, now)
         return set(chosen)
 
 
--- a/beryllug/core/placement/backlog.py
+++ b/beryllug/core/placement/backlog.py
@@ -51,15 +51,15 @@
         shared: Identifies the parts that other requests share.
         shared_tokens: Tokens in the shared parts.
         own_tokens: Tokens that only this request has.
-        is_first: Whether runners process it with priority over prompts without
-            this flag.
+        is_priority: Whether runners process it with priority over prompts
+            without this flag.
     """
 
     model: str
     shared: str
     shared_tokens: int
     own_tokens: int
-    is_first: bool = False
+    is_priority: bool = False
 
     @property
     def key(self) -> str:
@@ -137,7 +137,7 @@
     """
 
     items: dict[str, dict[int, Item]] = field(default_factory=dict)
-    others: load_sums.Others = field(default_factory=load_sums.Others)
+    others: load_sums.RemoteLoads = field(default_factory=load_sums.RemoteLoads)
     read_at: dict[tuple[str, str], float] = field(default_factory=dict)
     paces: dict[str, float] = field(default_factory=dict)
     decode_paces: dict[str, float] = field(default_factory=dict)
@@ -150,11 +150,11 @@
     prompt: Prompt,
     now: float,
     *,
-    is_home: bool,
+    is_preferred: bool,
 ) -> int:
     """Record a prompt that is sent to a runner; returns its item number."""
     uncached = uncached_fraction(
-        backlog, instance, prompt, now, is_home=is_home
+        backlog, instance, prompt, now, is_preferred=is_preferred
     )
     tokens = _tokens(prompt, uncached)
     work_s = tokens * pace(backlog, prompt.model)
@@ -164,7 +164,9 @@
     return backlog.number
 
 
-def answers(backlog: Backlog, instance: str, number: int, now: float) -> None:
+def answer_began(
+    backlog: Backlog, instance: str, number: int, now: float
+) -> None:
     """Record that a runner has begun to answer, so prefill is complete."""
     item = backlog.items.get(instance, {}).get(number)
     if item is None:
@@ -194,10 +196,12 @@
     prompt: Prompt,
     now: float,
     *,
-    is_home: bool,
+    is_preferred: bool,
 ) -> float:
     """Return the seconds until a runner is expected to answer a prompt."""
-    return expected(backlog, instance, prompt, now, is_home=is_home).first_s
+    return expected(
+        backlog, instance, prompt, now, is_preferred=is_preferred
+    ).first_s
 
 
 def expected(
@@ -206,15 +210,15 @@
     prompt: Prompt,
     now: float,
     *,
-    is_home: bool,
+    is_preferred: bool,
 ) -> Expected:
     """Return when a runner is expected to answer a prompt."""
     uncached = uncached_fraction(
-        backlog, instance, prompt, now, is_home=is_home
+        backlog, instance, prompt, now, is_preferred=is_preferred
     )
     read_s = _tokens(prompt, uncached) * pace(backlog, prompt.model)
     ordinary_s, priority_s = _queue_waits_s(backlog, instance, now)
-    if prompt.is_first:
+    if prompt.is_priority:
         return Expected(
             priority_s, read_s, max(ordinary_s - priority_s, 0), uncached
         )
@@ -239,15 +243,15 @@
 ) -> tuple[float, float]:
     """Return the waits of an ordinary prompt and of a priority prompt."""
     own = own_backlog(backlog, instance, now)
-    remote = load_sums.of(backlog.others, instance, now)
-    overdue_s = max(own.overdue_s, remote.overdue_cs / load_sums.PARTS)
+    remote = load_sums.remote_load(backlog.others, instance, now)
+    overdue_s = max(own.overdue_s, remote.overdue_cs / load_sums.UNITS)
     priority_overdue_s = max(
-        own.priority_overdue_s, remote.priority_overdue_cs / load_sums.PARTS
+        own.priority_overdue_s, remote.priority_overdue_cs / load_sums.UNITS
     )
     return (
-        own.work_s + remote.work_cs / load_sums.PARTS + overdue_s,
+        own.work_s + remote.work_cs / load_sums.UNITS + overdue_s,
         own.priority_work_s
-        + remote.priority_work_cs / load_sums.PARTS
+        + remote.priority_work_cs / load_sums.UNITS
         + priority_overdue_s,
     )
 
@@ -258,11 +262,11 @@
     if not pending:
         return NOTHING
     items = pending.values()
-    priority = [item for item in items if item.prompt.is_first]
+    priority = [item for item in items if item.prompt.is_priority]
     return Part(*_remaining_s(items, now), *_remaining_s(priority, now))
 
 
-def told(backlog: Backlog, now: float) -> dict[str, Part]:
+def reported(backlog: Backlog, now: float) -> dict[str, Part]:
     """Return this process's share of the backlogs, to report to others.
 
     Work that ends before another process's next choice is left out: it would be
@@ -279,7 +283,7 @@
     }
 
 
-def wrote(
+def record_decode(
     backlog: Backlog, model: str, tokens_out: int, seconds: float
 ) -> None:
     """Learn from the time between the first and last event of an answer."""
@@ -295,7 +299,7 @@
     return tokens_out * backlog.decode_paces.get(model, 0)
 
 
-def least_s(backlog: Backlog, prompt: Prompt) -> float:
+def min_first_s(backlog: Backlog, prompt: Prompt) -> float:
     """Return a lower bound of the seconds until an answer begins.
 
     It assumes that nothing is queued and that all shared tokens are cached. The
@@ -318,13 +322,13 @@
     prompt: Prompt,
     now: float,
     *,
-    is_home: bool,
+    is_preferred: bool,
 ) -> float:
     """Return the fraction of the shared tokens that a runner must prefill."""
     read_at = backlog.read_at.get((instance, prompt.key))
     if read_at is not None and now - read_at < KEPT_S:
         return 0
-    return PREFERRED_UNCACHED_FRACTION if is_home else 1
+    return PREFERRED_UNCACHED_FRACTION if is_preferred else 1
 
 
 def _remaining_s(items: Iterable[Item], now: float) -> tuple[float, float]:
--- a/beryllug/core/placement/backlog_test.py
+++ b/beryllug/core/placement/backlog_test.py
@@ -61,7 +61,9 @@
         for title, now, least, most in table:
             with self.subTest(title):
                 reading = backlog.Backlog()
-                backlog.begin(reading, 'i-0', _prompt(LONG), 0, is_home=False)
+                backlog.begin(
+                    reading, 'i-0', _prompt(LONG), 0, is_preferred=False
+                )
                 wait_s = backlog.wait_s(reading, 'i-0', now)
                 self.assertGreaterEqual(wait_s, least)
                 self.assertLessEqual(wait_s, most)
@@ -71,12 +73,12 @@
         for end in (True, False):
             reading = backlog.Backlog()
             number = backlog.begin(
-                reading, 'i-0', _prompt(LONG), 0, is_home=False
+                reading, 'i-0', _prompt(LONG), 0, is_preferred=False
             )
             if end:
                 backlog.end(reading, 'i-0', number)
             else:
-                backlog.answers(reading, 'i-0', number, 1)
+                backlog.answer_began(reading, 'i-0', number, 1)
             self.assertEqual(backlog.wait_s(reading, 'i-0', 1), 0)
 
     def test_peers(self) -> None:
@@ -96,15 +98,15 @@
         reading.paces['large'] = TOKEN_S
         reading.paces['small'] = TOKEN_S
         long = _prompt(LONG)
-        short = backlog.Prompt('small', '', 0, SHORT, is_first=True)
-        backlog.begin(reading, 'i-0', long, 0, is_home=False)
+        short = backlog.Prompt('small', '', 0, SHORT, is_priority=True)
+        backlog.begin(reading, 'i-0', long, 0, is_preferred=False)
         peer = backlog.Backlog()
         peer.others.loads = _own(reading, 0)
         peer.others.at = 0
         for known in (reading, peer):
             self.assertEqual(backlog.wait_s(known, 'i-0', 0, is_first=True), 0)
             self.assertGreater(backlog.wait_s(known, 'i-0', 0), 2)
-        backlog.begin(reading, 'i-0', short, 0, is_home=False)
+        backlog.begin(reading, 'i-0', short, 0, is_preferred=False)
         waits_s = backlog.wait_s(reading, 'i-0', 0, is_first=True)
         self.assertAlmostEqual(waits_s, SHORT_S, delta=0.02)
 
@@ -112,9 +114,9 @@
         """A backlog that ends within a moment is not reported."""
         reading = backlog.Backlog()
         reading.paces['large'] = TOKEN_S
-        backlog.begin(reading, 'i-0', _prompt(SHORT), 0, is_home=False)
-        self.assertEqual(backlog.told(reading, 0), {})
-        self.assertEqual(set(backlog.told(reading, 1)), {'i-0'})
+        backlog.begin(reading, 'i-0', _prompt(SHORT), 0, is_preferred=False)
+        self.assertEqual(backlog.reported(reading, 0), {})
+        self.assertEqual(set(backlog.reported(reading, 1)), {'i-0'})
 
     def test_overdue_once(self) -> None:
         """Ten processes wait for one runner that is three seconds behind.
@@ -124,7 +126,7 @@
         long.
         """
         reading = backlog.Backlog()
-        key = load_sums.key_of('i-0')
+        key = load_sums.server_key('i-0')
         told = [{key: load_sums.Load(10, 300)} for _ in range(10)]
         reading.others.loads = load_sums.add(told)
         reading.others.at = 0
@@ -135,8 +137,8 @@
         reading = backlog.Backlog()
         self.assertEqual(backlog.write_s(reading, 'large', 100), 0)
         for _ in range(30):
-            backlog.wrote(reading, 'large', 100, 2.0)
-        backlog.wrote(reading, 'large', 0, 9.0)
+            backlog.record_decode(reading, 'large', 100, 2.0)
+        backlog.record_decode(reading, 'large', 0, 9.0)
         self.assertAlmostEqual(backlog.write_s(reading, 'large', 200), 4)
 
     def test_least(self) -> None:
@@ -150,20 +152,20 @@
         reading.paces['large'] = TOKEN_S
         prompt = _prompt(2000, 'menu', 13000)
         for _ in range(30):
-            backlog.wrote(reading, 'large', 100, 9.0)
-        self.assertAlmostEqual(backlog.least_s(reading, prompt), 0.05)
+            backlog.record_decode(reading, 'large', 100, 9.0)
+        self.assertAlmostEqual(backlog.min_first_s(reading, prompt), 0.05)
 
     def test_kept(self) -> None:
         """A cached shared part is not prefilled again until it expires."""
         reading = backlog.Backlog()
         prompt = _prompt(SHORT, 'menu', LONG)
-        fresh_s = backlog.first_s(reading, 'i-0', prompt, 0, is_home=False)
-        number = backlog.begin(reading, 'i-0', prompt, 0, is_home=False)
-        backlog.answers(reading, 'i-0', number, fresh_s)
-        kept_s = backlog.first_s(reading, 'i-0', prompt, 1, is_home=False)
+        fresh_s = backlog.first_s(reading, 'i-0', prompt, 0, is_preferred=False)
+        number = backlog.begin(reading, 'i-0', prompt, 0, is_preferred=False)
+        backlog.answer_began(reading, 'i-0', number, fresh_s)
+        kept_s = backlog.first_s(reading, 'i-0', prompt, 1, is_preferred=False)
         self.assertLess(kept_s, fresh_s / 5)
         late_s = backlog.first_s(
-            reading, 'i-0', prompt, 2 + backlog.KEPT_S, is_home=False
+            reading, 'i-0', prompt, 2 + backlog.KEPT_S, is_preferred=False
         )
         self.assertGreater(late_s, kept_s)
 
@@ -203,7 +205,7 @@
             is_long = rng.random() < 1 / 8
             tokens, work_s = (LONG, LONG_S) if is_long else (SHORT, SHORT_S)
             prompt = _prompt(tokens, 'menu', 300)
-            wish = servers_data.Wish('pool', prompt, None, frozenset())
+            wish = servers_data.Requirements('pool', prompt, None, frozenset())
             server = choose.choose(
                 state,
                 choose.Known(reading, suspicion.Suspicion(), streams.Streams()),
@@ -218,7 +220,9 @@
                 instance = _by_count(reading)
             begins = max(free_at[instance], now)
             free_at[instance] = begins + work_s
-            number = backlog.begin(reading, instance, prompt, now, is_home=True)
+            number = backlog.begin(
+                reading, instance, prompt, now, is_preferred=True
+            )
             reading.paces['large'] = TOKEN_S
             running.append((free_at[instance], reading, instance, number))
             if not is_long:
@@ -230,13 +234,13 @@
         own = [_own(one, now) for one in processes]
         total = load_sums.add(own)
         for one, part in zip(processes, own, strict=True):
-            one.others.loads = load_sums.without(total, part)
+            one.others.loads = load_sums.subtract_own(total, part)
             one.others.at = now
 
 
 def _own(reading: backlog.Backlog, now: float) -> dict[int, load_sums.Load]:
     """Return the report of a process that knows of prefill work only."""
-    return own_loads.of_process(
+    return own_loads.server_loads(
         choose.Known(reading, suspicion.Suspicion(), streams.Streams()), now
     )
 
@@ -246,7 +250,7 @@
 ) -> None:
     """Set the loads of the other processes, as of second 0."""
     reading.others.loads = {
-        load_sums.key_of(instance): load
+        load_sums.server_key(instance): load
         for instance, load in remote_loads.items()
     }
     reading.others.at = 0
--- a/beryllug/core/placement/choose.py
+++ b/beryllug/core/placement/choose.py
@@ -32,7 +32,7 @@
 # runner that does not have it cached: it displaces another prompt from that
 # runner's cache and is billed like a new token. So prompts do not leave their
 # preferred runner for every short wait.
-AGAIN_S = 0.00006
+REFILL_S = 0.00006
 # Fraction of the queued prefill work, overtaken by a priority prompt, that
 # counts against it: it does not delay the prompt's first event, but the later
 # ones, since runners prefill in chunks between the tokens of all streams.
@@ -68,7 +68,7 @@
     state: balance_data.BalanceState,
     known: Known,
     servers: Iterable[servers_data.Server],
-    wish: servers_data.Wish,
+    wish: servers_data.Requirements,
     zone: str,
     now: float,
 ) -> servers_data.Server | None:
@@ -96,7 +96,7 @@
 
 
 def fitting(
-    servers: Iterable[servers_data.Server], wish: servers_data.Wish
+    servers: Iterable[servers_data.Server], wish: servers_data.Requirements
 ) -> list[servers_data.Server]:
     """Return the eligible servers for an attempt.
 
@@ -131,12 +131,14 @@
     healthy = [
         server
         for server in servers
-        if not ejection.is_out(server_load.track(state, server.instance), now)
+        if not ejection.is_ejected(
+            server_load.stats_of(state, server.instance), now
+        )
     ]
     return healthy or servers
 
 
-def home(servers: Sequence[servers_data.Server], key: str) -> str:
+def preferred_instance(servers: Sequence[servers_data.Server], key: str) -> str:
     """Return the instance that all processes prefer for a shared prompt.
 
     The hash is of the name, so that a restarted server gets its own prompts
@@ -147,7 +149,7 @@
     ).instance
 
 
-def _transfer_bytes(wish: servers_data.Wish) -> int:
+def _transfer_bytes(wish: servers_data.Requirements) -> int:
     """Return the expected bytes of a request and its answer."""
     return wish.body_bytes + wish.tokens_out * BYTES_PER_TOKEN
 
@@ -159,17 +161,17 @@
     remote_cost: _RemoteCost,
     now: float,
 ) -> servers_data.Server:
-    preferred = home(usable, prompt.key)
+    preferred = preferred_instance(usable, prompt.key)
 
     def cost_s(server: servers_data.Server) -> float:  # noqa: WPS430
         is_home = server.instance == preferred
         estimate = backlog.expected(
-            known.reading, server.instance, prompt, now, is_home=is_home
+            known.reading, server.instance, prompt, now, is_preferred=is_home
         )
         others_s = streams.cost_s(
             known.streams, server.instance, server.slots, estimate.read_s, now
         )
-        refill_s = estimate.uncached_fraction * prompt.shared_tokens * AGAIN_S
+        refill_s = estimate.uncached_fraction * prompt.shared_tokens * REFILL_S
         remote_s = 0 if server.zone == remote_cost.zone else remote_cost.seconds
         points = suspicion.points_of(known.failures, server.instance, now)
         later_s = estimate.preempted_s * PREEMPTED_FRACTION
@@ -186,7 +188,7 @@
     zone: str,
     now: float,
 ) -> tuple[float, int]:
-    tracked = server_load.track(state, server.instance)
+    tracked = server_load.stats_of(state, server.instance)
     remote = 0 if server.zone == zone else REMOTE_ZONE_LOAD
     tie_breaker = rendezvous.score(zone, server.instance)
     points = suspicion.points_of(known.failures, server.instance, now)
--- a/beryllug/core/placement/choose_test.py
+++ b/beryllug/core/placement/choose_test.py
@@ -63,7 +63,9 @@
         """Each rule, alone."""
         for title, servers, versions, excluded, expected in CASES:
             with self.subTest(title):
-                wish = servers_data.Wish('desk', None, versions, excluded)
+                wish = servers_data.Requirements(
+                    'desk', None, versions, excluded
+                )
                 found = choose.choose(
                     balance_data.BalanceState(),
                     _known(),
@@ -78,8 +80,8 @@
         """Requests of this process outweigh the preference for its own zone."""
         state = balance_data.BalanceState()
         for _ in range(2):
-            server_load.dispatched(state, 'own', 0)
-        wish = servers_data.Wish('desk', None, None, NONE)
+            server_load.record_dispatch(state, 'own', 0)
+        wish = servers_data.Requirements('desk', None, None, NONE)
         found = choose.choose(state, _known(), (OWN, FAR), wish, 'a', 0)
         self.assertEqual(found, FAR)
 
@@ -90,20 +92,20 @@
         sent: the cause may be on this side.
         """
         state = balance_data.BalanceState()
-        wish = servers_data.Wish('desk', None, None, NONE)
+        wish = servers_data.Requirements('desk', None, None, NONE)
         cases: tuple[
             tuple[tuple[servers_data.Server, ...], servers_data.Server], ...
         ] = (((OWN, FAR), FAR), ((OWN,), OWN))
         for servers, expected in cases:
             for _ in range(ejection.FAILURES_TO_EJECT):
-                ejection.failed(server_load.track(state, 'own'), 0)
+                ejection.record_failure(server_load.stats_of(state, 'own'), 0)
             found = choose.choose(state, _known(), servers, wish, 'a', 0)
             self.assertEqual(found, expected)
 
     def test_same_home(self) -> None:
         """All processes prefer the same server for a shared prompt."""
         prompt = backlog.Prompt('m', 'menu', 5000, 100)
-        wish = servers_data.Wish('desk', prompt, None, NONE)
+        wish = servers_data.Requirements('desk', prompt, None, NONE)
         servers = tuple(_server(f's{number}') for number in range(6))
         found = {
             choose.choose(
@@ -131,7 +133,8 @@
         key = next(
             f'menu-{number}'
             for number in range(20)
-            if choose.home((own, away), f'm,menu-{number}') == 'r2'
+            if choose.preferred_instance((own, away), f'm,menu-{number}')
+            == 'r2'
         )
         table: tuple[tuple[str, int, int, str], ...] = (
             ('a short one', 200, 0, 'r1'),
@@ -142,9 +145,9 @@
             with self.subTest(title):
                 known = _known()
                 other = backlog.Prompt('m', '', 0, waiting)
-                backlog.begin(known.reading, 'r1', other, 0, is_home=False)
+                backlog.begin(known.reading, 'r1', other, 0, is_preferred=False)
                 prompt = backlog.Prompt('m', key, shared, 500)
-                wish = servers_data.Wish(
+                wish = servers_data.Requirements(
                     'desk', prompt, None, NONE, body_bytes=900, tokens_out=300
                 )
                 found = choose.choose(
--- a/beryllug/core/placement/cold.py
+++ b/beryllug/core/placement/cold_servers.py
@@ -86,7 +86,7 @@
     if fleet_size.until_settled_s(cold.size, now) > 0:
         return False
     usable_per_s = max(per_s * USED_PART, 1)
-    draw = rendezvous.share(f'{instance}/{cold.name}')
+    draw = rendezvous.unit_hash(f'{instance}/{cold.name}')
     if draw * cold.size.ever >= usable_per_s:
         return False
     window_s = WINDOW_S / min(per_s, 1)
--- a/beryllug/core/placement/cold_test.py
+++ b/beryllug/core/placement/cold_servers_test.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from beryllug.core.placement import cold, fleet_size
+from beryllug.core.placement import cold_servers, fleet_size
 
 PER_S = 8.0
 # Requests in a second at which a server of that rate crashes.
@@ -46,11 +46,13 @@
 def _arrivals(load: _Load, seed: int = 1) -> list[list[float]]:
     """Return when requests arrive at each server while it is cold."""
     rng = random.Random(seed)
-    states = [cold.Cold(f'p{number}') for number in range(load.processes)]
+    states = [
+        cold_servers.Cold(f'p{number}') for number in range(load.processes)
+    ]
     servers = [f'i-{seed}-{number}' for number in range(load.servers)]
     arrivals: dict[str, list[float]] = {name: [] for name in servers}
     for state, name in itertools.product(states, servers):
-        cold.becomes_cold(state, name, LONG_S, 0)
+        cold_servers.becomes_cold(state, name, LONG_S, 0)
         fleet_size.count(state.size, load.known, load.known, -60)
         if load.is_new:
             state.size.counted = 0
@@ -63,8 +65,8 @@
             fleet_size.count(each.size, known, known, now)
         for state, name in itertools.product(states, servers):
             has_request = rng.random() < load.demand_per_s * STEP_S
-            if has_request and cold.may_send(state, name, PER_S, now):
-                cold.sent(state, name, now)
+            if has_request and cold_servers.may_send(state, name, PER_S, now):
+                cold_servers.sent(state, name, now)
                 arrivals[name].append(now)
     return list(arrivals.values())
 
@@ -125,7 +127,7 @@
     """One process and one server."""
 
     def setUp(self) -> None:
-        self.state = cold.Cold('p')
+        self.state = cold_servers.Cold('p')
         fleet_size.count(self.state.size, 1, 1, -10)
 
     def test_end(self) -> None:
@@ -140,18 +142,19 @@
             with self.subTest(title):
                 self.setUp()
                 for at, seconds in reports:
-                    cold.becomes_cold(self.state, 'i', seconds, at)
+                    cold_servers.becomes_cold(self.state, 'i', seconds, at)
                 self.assertEqual(
-                    cold.is_cold(self.state, 'i', until - 0.01), until > 0
+                    cold_servers.is_cold(self.state, 'i', until - 0.01),
+                    until > 0,
                 )
-                self.assertFalse(cold.is_cold(self.state, 'i', until))
+                self.assertFalse(cold_servers.is_cold(self.state, 'i', until))
 
     def test_gone(self) -> None:
         """Servers that are gone while they are cold are not kept forever."""
         for number in range(100):
             name = f'i-{number}'
-            cold.becomes_cold(self.state, name, LONG_S, number)
-            cold.sent(self.state, name, number)
+            cold_servers.becomes_cold(self.state, name, LONG_S, number)
+            cold_servers.sent(self.state, name, number)
         self.assertLessEqual(len(self.state.until), LONG_S + 1)
         self.assertLessEqual(len(self.state.sent), LONG_S + 1)
 
@@ -160,16 +163,16 @@
         for per_s, sent in ((0.0, 100), (0.5, 2), (2.0, 3), (8.0, 18)):
             with self.subTest(per_s=per_s):
                 self.setUp()
-                cold.becomes_cold(self.state, 'i', LONG_S, 0)
+                cold_servers.becomes_cold(self.state, 'i', LONG_S, 0)
                 count = sum(self._sends(per_s, step) for step in range(100))
                 self.assertEqual(count, sent)
 
     def _sends(self, per_s: float, step: int) -> bool:
         """Send a request, if the server may get one."""
         now = step * LONG_S / 100
-        sends = cold.may_send(self.state, 'i', per_s, now)
+        sends = cold_servers.may_send(self.state, 'i', per_s, now)
         if sends:
-            cold.sent(self.state, 'i', now)
+            cold_servers.sent(self.state, 'i', now)
         return sends
 
 
--- a/beryllug/core/placement/sizes.py
+++ b/beryllug/core/placement/escalation.py
@@ -37,7 +37,7 @@
 SURE = 100
 
 
-class Why(StrEnum):
+class SizeReason(StrEnum):
     """Why the size of an answer was chosen; for the log."""
 
     LARGER = 'asked of the largest model'
@@ -50,7 +50,7 @@
     NO_REPEAT = "the fleet's bound on repeats"
 
 
-class Outlook(NamedTuple):
+class ExpectedTiming(NamedTuple):
     """Expected timing of the largest model's answer.
 
     Attributes:
@@ -76,13 +76,13 @@
     return 0
 
 
-def judge(
+def decide_escalation(
     models: Sequence[str],
     size: int,
     rank: int,
     confidence: int | None,
-    outlook: Outlook,
-) -> Why:
+    outlook: ExpectedTiming,
+) -> SizeReason:
     """Tell whether the request is sent to the largest model, and why.
 
     Args:
@@ -94,22 +94,22 @@
     """
     largest = len(models) - 1
     if confidence is None or size >= largest:
-        return Why.LARGEST
+        return SizeReason.LARGEST
     threshold: float = MIN_CONFIDENCE.get(rank, DEFAULT_MIN_CONFIDENCE)
     if confidence >= threshold:
-        return Why.SURE
+        return SizeReason.SURE
     if outlook.finish_slack_s < 0:
         # An answer that is cut off serves its caller less than one that may not
         # be good enough, and its prefill has delayed others for nothing.
-        return Why.MAY_NOT_FINISH
+        return SizeReason.MAY_NOT_FINISH
     if outlook.slack_s < 0 and confidence >= threshold * LATE_CONFIDENCE_FACTOR:
-        return Why.LATE
+        return SizeReason.LATE
     if confidence >= SURE * (1 - _delay_cost(rank, outlook)):
-        return Why.DELAY
-    return Why.LARGER
+        return SizeReason.DELAY
+    return SizeReason.LARGER
 
 
-def _delay_cost(rank: int, outlook: Outlook) -> float:
+def _delay_cost(rank: int, outlook: ExpectedTiming) -> float:
     """Return the cost of delaying others, relative to the answer's value.
 
     One more prompt delays every queued request of the runner by its prefill
--- a/beryllug/core/placement/sizes_test.py
+++ b/beryllug/core/placement/escalation_test.py
@@ -5,19 +5,27 @@
 import unittest
 from typing import NamedTuple
 
-from beryllug.core.placement import sizes
+from beryllug.core.placement import escalation
 
 MODELS = ('small', 'middle', 'large')
-IDLE = sizes.Outlook(wait_s=0, read_s=0.3, target_s=3, slack_s=2)
+IDLE = escalation.ExpectedTiming(wait_s=0, read_s=0.3, target_s=3, slack_s=2)
 LATE = IDLE._replace(slack_s=-1)
-BUSY = sizes.Outlook(wait_s=1, read_s=0.3, target_s=3, slack_s=1)
+BUSY = escalation.ExpectedTiming(wait_s=1, read_s=0.3, target_s=3, slack_s=1)
 LONG = BUSY._replace(read_s=2)
 MAY_NOT_FINISH = IDLE._replace(finish_slack_s=-0.1)
 SHORT = BUSY._replace(read_s=0.03)
-Why = sizes.Why
+Why = escalation.SizeReason
 # Size that answered, rank, confidence, outlook; the decision.
 CASES: tuple[
-    tuple[str, int, int, int | None, sizes.Outlook, sizes.Why], ...
+    tuple[
+        str,
+        int,
+        int,
+        int | None,
+        escalation.ExpectedTiming,
+        escalation.SizeReason,
+    ],
+    ...,
 ] = (
     ('sure enough', 0, 0, 50, IDLE, Why.SURE),
     ('not sure enough for an urgent one', 0, 0, 49, IDLE, Why.LARGER),
@@ -86,12 +94,14 @@
         """Each case of the table."""
         for title, size, rank, confidence, outlook, expected in CASES:
             with self.subTest(title):
-                found = sizes.judge(MODELS, size, rank, confidence, outlook)
+                found = escalation.decide_escalation(
+                    MODELS, size, rank, confidence, outlook
+                )
                 self.assertIs(found, expected)
 
     def test_one_model(self) -> None:
         """A single model has no larger one to escalate to."""
-        found = sizes.judge(('solo',), 0, 0, 0, IDLE)
+        found = escalation.decide_escalation(('solo',), 0, 0, 0, IDLE)
         self.assertIs(found, Why.LARGEST)
 
     def test_overload(self) -> None:
@@ -130,16 +140,18 @@
         kind = event.kind
         if event.confidence is None:
             at = _read(free_at, event.at, kind.small_s)
-            unsure = rng.randrange(sizes.SURE) < UNSURE
-            sure = rng.randrange(sizes.SURE) if unsure else sizes.SURE
+            unsure = rng.randrange(escalation.SURE) < UNSURE
+            sure = rng.randrange(escalation.SURE) if unsure else escalation.SURE
             heapq.heappush(events, event._replace(at=at, confidence=sure))
             continue
         first_at = event.at
         outlook = _outlook(event, min(free_at))
         if not is_delay_known:
             outlook = outlook._replace(wait_s=0)
-        worth = kind.worth * event.confidence / sizes.SURE
-        why = sizes.judge(MODELS, 0, kind.rank, event.confidence, outlook)
+        worth = kind.worth * event.confidence / escalation.SURE
+        why = escalation.decide_escalation(
+            MODELS, 0, kind.rank, event.confidence, outlook
+        )
         if why is Why.LARGER:
             first_at = _read(free_at, event.at, kind.large_s)
             worth = kind.worth
@@ -165,11 +177,11 @@
     return free_at[best]
 
 
-def _outlook(event: _Event, free_at: float) -> sizes.Outlook:
+def _outlook(event: _Event, free_at: float) -> escalation.ExpectedTiming:
     wait_s = max(free_at - event.at, 0)
     due_at = event.arrived_at + TARGET_S
     read_s = event.kind.large_s
-    return sizes.Outlook(
+    return escalation.ExpectedTiming(
         wait_s, read_s, TARGET_S, due_at - event.at - wait_s - read_s
     )
 
--- a/beryllug/core/placement/lateness.py
+++ b/beryllug/core/placement/lateness.py
@@ -41,7 +41,7 @@
     """
 
     own: dict[str, deque[AnswerStart]] = field(default_factory=dict)
-    others: load_sums.Others = field(default_factory=load_sums.Others)
+    others: load_sums.RemoteLoads = field(default_factory=load_sums.RemoteLoads)
 
 
 def began(
@@ -66,13 +66,14 @@
     subject = _subject(model, rank)
     own = _own_sum(state, subject, now)
     remote = (
-        load_sums.on_subject(state.others, subject, now) or load_sums.NOTHING
+        load_sums.remote_subject_load(state.others, subject, now)
+        or load_sums.NOTHING
     )
-    late_s = (own.summed + remote.summed) / load_sums.PARTS
+    late_s = (own.summed + remote.summed) / load_sums.UNITS
     return late_s / max(own.counted + remote.counted, MIN_ANSWERS)
 
 
-def told(state: Lateness, now: float) -> dict[str, load_sums.Load]:
+def reported(state: Lateness, now: float) -> dict[str, load_sums.Load]:
     """Return the sums of this process, to report to others."""
     return {subject: _own_sum(state, subject, now) for subject in state.own}
 
@@ -83,7 +84,7 @@
         starts.popleft()
     late_s = sum(each.late_s for each in starts)
     return load_sums.Load(
-        counted=len(starts), summed=round(late_s * load_sums.PARTS)
+        counted=len(starts), summed=round(late_s * load_sums.UNITS)
     )
 
 
--- a/beryllug/core/placement/lateness_test.py
+++ b/beryllug/core/placement/lateness_test.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from beryllug.core.placement import lateness, load_sums, sizes
+from beryllug.core.placement import lateness, load_sums, escalation
 
 MODELS = ('small', 'middle', 'large')
 LARGE = MODELS[-1]
@@ -118,15 +118,17 @@
         if self.is_known:
             late_s = lateness.expected_s(self.state, LARGE, kind.rank, now)
         first_s = wait_s + kind.read_s + late_s
-        outlook = sizes.Outlook(
+        outlook = escalation.ExpectedTiming(
             wait_s + late_s,
             kind.read_s,
             kind.target_s,
             kind.target_s - first_s,
             kind.patience_s - first_s - kind.write_s,
         )
-        why = sizes.judge(MODELS, 0, kind.rank, confidence, outlook)
-        if why is not sizes.Why.LARGER:
+        why = escalation.decide_escalation(
+            MODELS, 0, kind.rank, confidence, outlook
+        )
+        if why is not escalation.SizeReason.LARGER:
             return
         self._number += 1
         expected_at = now + wait_s + kind.read_s
@@ -187,7 +189,7 @@
         sender = lateness.Lateness()
         for _ in range(10):
             lateness.began(sender, LARGE, 0, 1.5, 9)
-        told = lateness.told(sender, 10)
+        told = lateness.reported(sender, 10)
         receiver = lateness.Lateness()
         receiver.others.at = 10
         receiver.others.loads = {
--- a/beryllug/core/placement/listing.py
+++ b/beryllug/core/placement/listing.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Book:
+class ServerListing:
     """The listed servers, and those that were dropped recently.
 
     Attributes:
@@ -67,12 +67,12 @@
     returned_at: float = float('-inf')
 
 
-def store_failed(book: Book) -> None:
+def store_failed(book: ServerListing) -> None:
     """Record that the store could not be read."""
     book.was_store_down = True
 
 
-def store_answered(book: Book, now: float) -> None:
+def store_answered(book: ServerListing, now: float) -> None:
     """Record that the store could be read."""
     if book.was_store_down:
         book.returned_at = now
@@ -85,7 +85,7 @@
     book.was_store_down = False
 
 
-def store_returned(book: Book, now: float) -> None:
+def store_returned(book: ServerListing, now: float) -> None:
     """Record that the store was restored from an older copy.
 
     Entries that it lacks are handled as expired: their servers write them
@@ -95,7 +95,7 @@
     store_answered(book, now)
 
 
-def states_leaving(book: Book, instance: str, now: float) -> bool:
+def record_leaving(book: ServerListing, instance: str, now: float) -> bool:
     """Record a leaving notice of a server; returns whether it is new.
 
     It holds whatever the server's entry says, before or after: a leaving server
@@ -110,7 +110,7 @@
     return until is None
 
 
-def forget_leaving(book: Book, now: float) -> None:
+def forget_leaving(book: ServerListing, now: float) -> None:
     """Remove the leaving notices of servers whose entry expired long ago."""
     book.leaving = {
         instance: until
@@ -119,7 +119,7 @@
     }
 
 
-def is_contradicted(book: Book, server: servers_data.Server) -> bool:
+def is_contradicted(book: ServerListing, server: servers_data.Server) -> bool:
     """Tell whether an entry of an older copy denies that a server leaves."""
     if server.instance in book.departed:
         return True
@@ -132,7 +132,7 @@
     )
 
 
-def is_stale(book: Book, server: servers_data.Server) -> bool:
+def is_stale(book: ServerListing, server: servers_data.Server) -> bool:
     """Tell whether an entry belongs to an earlier start than the known one.
 
     Accepting it would list a server that has crashed. An entry without a start
@@ -141,7 +141,9 @@
     return server.born < book.start_times.get(server.name, 0)
 
 
-def put(book: Book, server: servers_data.Server) -> servers_data.Server | None:
+def put(
+    book: ServerListing, server: servers_data.Server
+) -> servers_data.Server | None:
     """Store an entry that was added or changed and is not stale.
 
     Returns:
@@ -161,7 +163,9 @@
     return before
 
 
-def drop(book: Book, name: str, now: float) -> servers_data.Server | None:
+def drop(
+    book: ServerListing, name: str, now: float
+) -> servers_data.Server | None:
     """Remove an entry.
 
     A server that had announced that it leaves is gone. Any other one may have
@@ -189,19 +193,19 @@
     return server
 
 
-def withhold(book: Book, name: str) -> servers_data.Server | None:
+def withhold(book: ServerListing, name: str) -> servers_data.Server | None:
     """Remove an entry from the list without keeping its server as doubted."""
     return book.servers.pop(name, None)
 
 
-def is_draining(book: Book, server: servers_data.Server) -> bool:
+def is_draining(book: ServerListing, server: servers_data.Server) -> bool:
     """Tell whether a server takes no new requests, by entry or answers."""
     is_leaving = server.state is servers_data.State.LEAVING
     return is_leaving or server.instance in book.leaving
 
 
 def usable(
-    book: Book, now: float
+    book: ServerListing, now: float
 ) -> tuple[list[servers_data.Server], list[servers_data.Server]]:
     """Return the listed and the doubted servers that are not leaving.
 
@@ -233,7 +237,7 @@
     return listed, doubted
 
 
-def _record_departure(book: Book, server: servers_data.Server) -> None:
+def _record_departure(book: ServerListing, server: servers_data.Server) -> None:
     book.departed[server.instance] = None
     while len(book.departed) > MAX_DEPARTED:
         book.departed.pop(next(iter(book.departed)))
--- a/beryllug/core/placement/listing_test.py
+++ b/beryllug/core/placement/listing_test.py
@@ -19,7 +19,7 @@
     """A server whose entry is dropped, with and without a store outage."""
 
     def setUp(self) -> None:
-        self.book = listing.Book(doubt_s=1.5)
+        self.book = listing.ServerListing(doubt_s=1.5)
         listing.put(self.book, _server('s1'))
 
     def test_dropped(self) -> None:
@@ -126,10 +126,10 @@
     """A server states in its answers that it leaves."""
 
     def setUp(self) -> None:
-        self.book = listing.Book(doubt_s=1.5)
+        self.book = listing.ServerListing(doubt_s=1.5)
         listing.put(self.book, _server('s1'))
         listing.put(self.book, _server('s2', port=2))
-        self.assertTrue(listing.states_leaving(self.book, 's1', 0))
+        self.assertTrue(listing.record_leaving(self.book, 's1', 0))
 
     def test_outranks_entry(self) -> None:
         """An entry that still says ready does not restore a leaving server."""
@@ -137,7 +137,7 @@
         listing.put(self.book, _server('s1', State.LEAVING))
         listing.put(self.book, _server('s1'))
         self.assertEqual(self._taking(1), ['s2'])
-        self.assertFalse(listing.states_leaving(self.book, 's1', 2))
+        self.assertFalse(listing.record_leaving(self.book, 's1', 2))
         listing.forget_leaving(self.book, 1000)
         self.assertEqual(self._taking(1000), ['s2'])
 
@@ -152,7 +152,7 @@
         """A leaving notice arrives while the server is doubted."""
         listing.drop(self.book, 's2', 3)
         self.assertEqual(self._taking(3), ['s2'])
-        listing.states_leaving(self.book, 's2', 3.5)
+        listing.record_leaving(self.book, 's2', 3.5)
         self.assertEqual(self._taking(3.5), [])
 
     def test_started_again(self) -> None:
@@ -164,7 +164,7 @@
     def test_forgotten(self) -> None:
         """Leaving notices of servers that are gone are removed."""
         listing.drop(self.book, 's1', 3)
-        listing.states_leaving(self.book, 'unlisted', 3)
+        listing.record_leaving(self.book, 'unlisted', 3)
         listing.forget_leaving(self.book, 3 + listing.LEAVING_S / 2)
         self.assertEqual(len(self.book.leaving), 2)
         listing.forget_leaving(self.book, 3 + listing.LEAVING_S)
--- a/beryllug/core/placement/load_sums.py
+++ b/beryllug/core/placement/load_sums.py
@@ -13,9 +13,9 @@
 
 # Seconds for which the sum of the other processes is valid; it is sent four
 # times a second while there is something to report.
-TOLD_S = 1.5
+REPORT_VALID_S = 1.5
 # Fractions of a second, and of a suspicion point, that the numbers count.
-PARTS = 100
+UNITS = 100
 
 
 class Load(NamedTuple):
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Others:
+class RemoteLoads:
     """Load of all other processes, as last reported.
 
     Attributes:
@@ -82,7 +82,7 @@
     slice_count: int = 1
 
 
-def key_of(instance: str) -> int:
+def server_key(instance: str) -> int:
     """Return the key of a server in messages, a hash that takes five bytes.
 
     Two servers of 10,000 share a key once in a hundred fleets; each then seems
@@ -93,21 +93,23 @@
 
 def subject_key(subject: str) -> int:
     """Return the key of a subject in messages."""
-    return key_of(f'subject {subject}')
+    return server_key(f'subject {subject}')
 
 
-def on_subject(others: Others, subject: str, now: float) -> Load | None:
+def remote_subject_load(
+    others: RemoteLoads, subject: str, now: float
+) -> Load | None:
     """Return the others' load on a subject; None without a valid report."""
-    if now - others.at > TOLD_S:
+    if now - others.at > REPORT_VALID_S:
         return None
     return others.loads.get(subject_key(subject), NOTHING)
 
 
-def of(others: Others, instance: str, now: float) -> Load:
+def remote_load(others: RemoteLoads, instance: str, now: float) -> Load:
     """Return the load of the other processes at a server."""
-    if now - others.at > TOLD_S:
+    if now - others.at > REPORT_VALID_S:
         return NOTHING
-    return others.loads.get(key_of(instance), NOTHING)
+    return others.loads.get(server_key(instance), NOTHING)
 
 
 def add(parts: Iterable[Loads]) -> dict[int, Load]:
@@ -120,7 +122,7 @@
     return total
 
 
-def without(total: Loads, own: Loads) -> dict[int, Load]:
+def subtract_own(total: Loads, own: Loads) -> dict[int, Load]:
     """Return a sum without the contribution of one process.
 
     A sum has only the longest delay. If it is the process's own, the others are
--- a/beryllug/core/placement/own_loads.py
+++ b/beryllug/core/placement/own_loads.py
@@ -9,14 +9,14 @@
 POINT_DECIMALS = 1
 
 
-def of_process(known: choose.Known, now: float) -> dict[int, load_sums.Load]:
+def server_loads(known: choose.Known, now: float) -> dict[int, load_sums.Load]:
     """Return a process's load and suspicion points by server key.
 
     Args:
         known: What it knows; reports of other processes are left out.
         now: The present second.
     """
-    parts = backlog.told(known.reading, now)
+    parts = backlog.reported(known.reading, now)
     running = known.streams.own
     points = {
         instance: suspicion.own_points(known.failures, instance, now)
@@ -34,11 +34,11 @@
             _hundredths(round(points.get(instance, 0), POINT_DECIMALS)),
         )
         if load != load_sums.NOTHING:
-            found[load_sums.key_of(instance)] = load
+            found[load_sums.server_key(instance)] = load
     return found
 
 
-def on_subjects(
+def subject_loads(
     subjects: Mapping[str, load_sums.Load],
 ) -> dict[int, load_sums.Load]:
     """Return a process's loads on subjects by key, to report to others."""
@@ -50,4 +50,4 @@
 
 
 def _hundredths(number: float) -> int:
-    return round(number * load_sums.PARTS)
+    return round(number * load_sums.UNITS)
--- a/beryllug/core/placement/crashers.py
+++ b/beryllug/core/placement/poison_requests.py
@@ -59,7 +59,9 @@
     _trim(state.broken)
 
 
-def lost(state: Crashers, instance: str, now: float) -> list[Loss]:
+def record_server_lost(
+    state: Crashers, instance: str, now: float
+) -> list[Loss]:
     """Record that a server is gone; returns the attributed losses."""
     at_server = state.broken.pop(instance, {})
     found = [
@@ -81,7 +83,7 @@
     _trim(state.losses)
 
 
-def tell(state: Crashers) -> tuple[Loss, ...]:
+def pop_unreported(state: Crashers) -> tuple[Loss, ...]:
     """Return the losses that were not reported to peers yet, and clear them."""
     untold = tuple(state.untold)
     state.untold.clear()
--- a/beryllug/core/placement/returning.py
+++ b/beryllug/core/placement/retry_delay.py
@@ -29,7 +29,7 @@
     STOPPING = auto()
 
 
-class Lack(NamedTuple):
+class PlacementFailure(NamedTuple):
     """Why there is no server for a request.
 
     Attributes:
@@ -87,7 +87,7 @@
 LEAST_LEFT_S = 1.5
 
 
-def after_s(lack: Lack, left_s: float) -> float:
+def retry_in_s(lack: PlacementFailure, left_s: float) -> float:
     """Return the seconds after which a refused caller should retry.
 
     Args:
@@ -100,7 +100,7 @@
     return min(max(left_s, 0) * RETRY_FRACTION, most_s)
 
 
-def held_s(left_s: float) -> float:
+def table_wait_s(left_s: float) -> float:
     """Return the seconds for which a request waits for the route table.
 
     Args:
--- a/beryllug/core/placement/returning_test.py
+++ b/beryllug/core/placement/retry_delay_test.py
@@ -4,10 +4,10 @@
 import unittest
 from typing import NamedTuple
 
-from beryllug.core.placement import returning
+from beryllug.core.placement import retry_delay
 
-Cause = returning.Cause
-NO_TABLE = returning.Lack(Cause.NO_TABLE)
+Cause = retry_delay.Cause
+NO_TABLE = retry_delay.PlacementFailure(Cause.NO_TABLE)
 CASES: tuple[tuple[str, Cause, float | None, float, float], ...] = (
     ('a short call', Cause.NO_TABLE, None, 1.5, 0.45),
     ('a long one', Cause.NO_TABLE, None, 25, 1.4),
@@ -52,7 +52,9 @@
         """Each case of the table."""
         for title, cause, due_s, left_s, expected in CASES:
             with self.subTest(title):
-                found = returning.after_s(returning.Lack(cause, due_s), left_s)
+                found = retry_delay.retry_in_s(
+                    retry_delay.PlacementFailure(cause, due_s), left_s
+                )
                 self.assertAlmostEqual(found, expected)
 
     def test_outage(self) -> None:
@@ -64,8 +66,8 @@
         meet the same cause once more.
         """
         at_once = Policy(0, WITHOUT_WAIT_S)
-        held_s = returning.held_s(PATIENCE_S)
-        after_s = returning.after_s(NO_TABLE, PATIENCE_S - held_s)
+        held_s = retry_delay.table_wait_s(PATIENCE_S)
+        after_s = retry_delay.retry_in_s(NO_TABLE, PATIENCE_S - held_s)
         waiting = Policy(held_s, after_s)
         self.assertLess(_on_time(at_once, may_return=True), 0.66)
         self.assertLess(_on_time(at_once, may_return=False), 0.15)
@@ -80,8 +82,8 @@
         lost. With the wait nearly all are answered on time.
         """
         rng = random.Random(5)
-        held_s = returning.held_s(PATIENCE_S)
-        after_s = returning.after_s(NO_TABLE, PATIENCE_S - held_s)
+        held_s = retry_delay.table_wait_s(PATIENCE_S)
+        after_s = retry_delay.retry_in_s(NO_TABLE, PATIENCE_S - held_s)
         on_time = {SHORT_S: 0, after_s: 0}
         for _ in range(CALLERS):
             came_at = rng.uniform(0, AWAY_S)
@@ -98,7 +100,9 @@
         """A short call does not wait, nor does one without time left."""
         for left_s, expected in ((1.5, 0), (-1, 0), (5, 1.4), (25, 2.4)):
             with self.subTest(left_s):
-                self.assertAlmostEqual(returning.held_s(left_s), expected)
+                self.assertAlmostEqual(
+                    retry_delay.table_wait_s(left_s), expected
+                )
 
 
 def _on_time(policy: Policy, may_return: bool) -> float:
--- a/beryllug/core/placement/statements.py
+++ b/beryllug/core/placement/server_headers.py
@@ -21,7 +21,7 @@
 MAX_BACK_OFF_S = 3600.0
 
 
-class Texts(NamedTuple):
+class HeaderValues(NamedTuple):
     """Unparsed header values by which a server states something.
 
     Attributes:
@@ -71,7 +71,7 @@
 
 
 def read(
-    texts: Texts, status: int, *, is_sealed: bool
+    texts: HeaderValues, status: int, *, is_sealed: bool
 ) -> tuple[Statement, ...]:
     """Return what an answer states about its server.
 
--- a/beryllug/core/placement/statements_test.py
+++ b/beryllug/core/placement/server_headers_test.py
@@ -2,13 +2,13 @@
 
 import unittest
 
-from beryllug.core.placement import statements
+from beryllug.core.placement import server_headers
 
-BackOff = statements.BackOff
-Leaving = statements.Leaving
-RateLimit = statements.RateLimit
-Unreadable = statements.Unreadable
-Found = tuple[statements.Statement, ...]
+BackOff = server_headers.BackOff
+Leaving = server_headers.Leaving
+RateLimit = server_headers.RateLimit
+Unreadable = server_headers.Unreadable
+Found = tuple[server_headers.Statement, ...]
 
 
 class StatementsTest(unittest.TestCase):
@@ -28,9 +28,9 @@
         )
         for text, found in table:
             with self.subTest(text):
-                texts = statements.Texts(leaving=text)
+                texts = server_headers.HeaderValues(leaving=text)
                 self.assertEqual(
-                    statements.read(texts, 200, is_sealed=False), found
+                    server_headers.read(texts, 200, is_sealed=False), found
                 )
 
     def test_limit(self) -> None:
@@ -43,13 +43,13 @@
         )
         for text, is_sealed, found in table:
             with self.subTest(text=text, is_sealed=is_sealed):
-                texts = statements.Texts(limit=text)
-                read = statements.read(texts, 200, is_sealed=is_sealed)
+                texts = server_headers.HeaderValues(limit=text)
+                read = server_headers.read(texts, 200, is_sealed=is_sealed)
                 self.assertEqual(read, found)
 
     def test_back_off(self) -> None:
         """An invalid time is reported, and a huge one is limited."""
-        most_s = statements.MAX_BACK_OFF_S
+        most_s = server_headers.MAX_BACK_OFF_S
         table: tuple[tuple[int, str, Found], ...] = (
             (503, '3', (BackOff(3),)),
             (429, '3', (BackOff(3),)),
@@ -74,8 +74,8 @@
         )
         for status, text, found in table:
             with self.subTest(status=status, text=text):
-                texts = statements.Texts(retry_after=text)
-                read = statements.read(texts, status, is_sealed=False)
+                texts = server_headers.HeaderValues(retry_after=text)
+                read = server_headers.read(texts, status, is_sealed=False)
                 self.assertEqual(read, found)
 
 
--- a/beryllug/core/placement/servers_data.py
+++ b/beryllug/core/placement/servers_data.py
@@ -54,7 +54,7 @@
 NO_SERVERS: Mapping[str, Server] = MappingProxyType({})
 
 
-class Wish(NamedTuple):
+class Requirements(NamedTuple):
     """Requirements of one attempt for the choice of a server.
 
     Attributes:
--- a/beryllug/core/placement/streams.py
+++ b/beryllug/core/placement/streams.py
@@ -30,7 +30,7 @@
     """
 
     own: dict[str, int] = field(default_factory=dict)
-    others: load_sums.Others = field(default_factory=load_sums.Others)
+    others: load_sums.RemoteLoads = field(default_factory=load_sums.RemoteLoads)
 
 
 def begin(streams: Streams, instance: str) -> None:
@@ -49,7 +49,7 @@
 
 def running(streams: Streams, instance: str, now: float) -> int:
     """Return the estimated number of running requests at a runner."""
-    remote = load_sums.of(streams.others, instance, now).running
+    remote = load_sums.remote_load(streams.others, instance, now).running
     return streams.own.get(instance, 0) + remote
 
 
--- a/beryllug/core/placement/streams_test.py
+++ b/beryllug/core/placement/streams_test.py
@@ -87,7 +87,7 @@
 
 
 def _key(instance: str) -> int:
-    return load_sums.key_of(instance)
+    return load_sums.server_key(instance)
 
 
 def _delayed(*, is_reported: bool) -> int:
@@ -108,15 +108,15 @@
             streams.end(known.streams, due[1])
         tokens = LONG if rng.random() < LONG_PART else 600
         prompt = backlog.Prompt('m', f'menu-{rng.randrange(40)}', 200, tokens)
-        wish = servers_data.Wish('pool', prompt, None, frozenset())
+        wish = servers_data.Requirements('pool', prompt, None, frozenset())
         server = choose.choose(
             balance_data.BalanceState(), known, RUNNERS, wish, 'a', now
         )
         assert server is not None
         number = backlog.begin(
-            known.reading, server.instance, prompt, now, is_home=True
+            known.reading, server.instance, prompt, now, is_preferred=True
         )
-        backlog.answers(known.reading, server.instance, number, now)
+        backlog.answer_began(known.reading, server.instance, number, now)
         known.reading.paces['m'] = PACE_S
         if tokens * PACE_S > LATE_S:
             delayed += sum(each[1] == server.instance for each in running)
--- a/beryllug/core/placement/suspicion.py
+++ b/beryllug/core/placement/suspicion.py
@@ -43,7 +43,7 @@
     """
 
     counts: dict[str, Count] = field(default_factory=dict)
-    others: load_sums.Others = field(default_factory=load_sums.Others)
+    others: load_sums.RemoteLoads = field(default_factory=load_sums.RemoteLoads)
 
 
 def failed(state: Suspicion, instance: str, points: float, now: float) -> None:
@@ -55,7 +55,10 @@
 def points_of(state: Suspicion, instance: str, now: float) -> float:
     """Return the present points of a server, from all processes."""
     own = own_points(state, instance, now)
-    remote = load_sums.of(state.others, instance, now).points / load_sums.PARTS
+    remote = (
+        load_sums.remote_load(state.others, instance, now).points
+        / load_sums.UNITS
+    )
     if remote:
         remote *= _decay(now - state.others.at)
     return min(own + remote, MOST)
--- a/beryllug/core/placement/suspicion_test.py
+++ b/beryllug/core/placement/suspicion_test.py
@@ -21,7 +21,7 @@
     )
     for instance, zone in ((GREY, 'a'), ('sound-1', 'b'), ('sound-2', 'c'))
 )
-WISH = servers_data.Wish('desk', None, None, frozenset())
+WISH = servers_data.Requirements('desk', None, None, frozenset())
 FAIL_RATE = 0.4
 PROCESSES = 8
 
@@ -46,7 +46,7 @@
         """
         state = suspicion.Suspicion()
         suspicion.failed(state, GREY, 1, 0)
-        key = load_sums.key_of(GREY)
+        key = load_sums.server_key(GREY)
         for at, told in ((0, 200), (0.25, 190), (0.5, 180)):
             state.others.loads = {key: load_sums.Load(points=told)}
             state.others.at = at
@@ -92,14 +92,14 @@
 def _share_all(states: list[suspicion.Suspicion], now: float) -> None:
     """Report to each process what all others have observed."""
     own = [
-        own_loads.of_process(
+        own_loads.server_loads(
             choose.Known(backlog.Backlog(), state, streams.Streams()), now
         )
         for state in states
     ]
     total = load_sums.add(own)
     for state, part in zip(states, own, strict=True):
-        state.others.loads = load_sums.without(total, part)
+        state.others.loads = load_sums.subtract_own(total, part)
         state.others.at = now
 
 
--- a/beryllug/core/placement/zones_test.py
+++ b/beryllug/core/placement/zones_test.py
@@ -85,7 +85,7 @@
             yield _Request(now, zone, prompt, 12000, 380)
         else:
             shared = f'help-{rng.randrange(200)}'
-            prompt = backlog.Prompt('small', shared, 200, 600, is_first=True)
+            prompt = backlog.Prompt('small', shared, 200, 600, is_priority=True)
             yield _Request(now, zone, prompt, 800, 290)
 
 
@@ -121,7 +121,7 @@
 
     def _place(self, req: _Request) -> None:
         known = self._known[req.zone]
-        wish = servers_data.Wish(
+        wish = servers_data.Requirements(
             'pool',
             req.prompt,
             None,
@@ -133,9 +133,16 @@
             balance_data.BalanceState(), known, RUNNERS, wish, req.zone, req.at
         )
         assert server is not None
-        is_home = choose.home(RUNNERS, req.prompt.key) == server.instance
+        is_home = (
+            choose.preferred_instance(RUNNERS, req.prompt.key)
+            == server.instance
+        )
         number = backlog.begin(
-            known.reading, server.instance, req.prompt, req.at, is_home=is_home
+            known.reading,
+            server.instance,
+            req.prompt,
+            req.at,
+            is_preferred=is_home,
         )
         read_s = (
             self._unread(server, req) * known.reading.paces[req.prompt.model]
@@ -152,7 +159,7 @@
         """Return when a prompt is prefilled; priority prompts delay others."""
         free_at = max(self._free_at[instance], req.at)
         self._free_at[instance] = free_at + read_s
-        if not req.prompt.is_first:
+        if not req.prompt.is_priority:
             return free_at + read_s
         first_free_at = max(self._first_free_at[instance], req.at)
         self._first_free_at[instance] = first_free_at + read_s
@@ -177,32 +184,32 @@
         for at, zone, instance, number in begun:
             if at <= now:
                 reading = self._known[zone].reading
-                backlog.answers(reading, instance, number, at)
+                backlog.answer_began(reading, instance, number, at)
 
     def _tell(self, now: float) -> None:
         if now - self._told_at < TOLD_EVERY_S:
             return
         self._told_at = now
         own = {
-            zone: own_loads.of_process(known, now)
+            zone: own_loads.server_loads(known, now)
             for zone, known in self._known.items()
         }
         total = load_sums.add(own.values())
         for zone, known in self._known.items():
             others = known.reading.others
-            others.loads = load_sums.without(total, own[zone])
+            others.loads = load_sums.subtract_own(total, own[zone])
             others.at = now
 
 
 def _play(
     byte_s: float = choose.REMOTE_BYTE_S,
-    again_s: float = choose.AGAIN_S,
+    again_s: float = choose.REFILL_S,
     per_s: float = PER_S,
 ) -> _Result:
     requests = list(_draw(random.Random(11), per_s))
     with (
         mock.patch.object(choose, 'REMOTE_BYTE_S', byte_s),
-        mock.patch.object(choose, 'AGAIN_S', again_s),
+        mock.patch.object(choose, 'REFILL_S', again_s),
     ):
         return _Replay().play(requests)
 
@@ -233,7 +240,7 @@
         """
         heavy = _play(
             byte_s=4 * choose.REMOTE_BYTE_S,
-            again_s=4 * choose.AGAIN_S,
+            again_s=4 * choose.REFILL_S,
             per_s=OVERLOAD_PER_S,
         )
         today = _play(per_s=OVERLOAD_PER_S)
--- a/beryllug/core/rating_health.py
+++ b/beryllug/core/rating_health.py
@@ -46,7 +46,7 @@
     return None
 
 
-def rated(judge: cascade_data.Judge, delay_s: float) -> None:
+def rated(judge: cascade_data.RatingServiceHealth, delay_s: float) -> None:
     """Record a rating that arrived after this delay."""
     judge.failures = 0
     step = delay_s - judge.delay_s
@@ -54,7 +54,9 @@
     judge.deviation_s += SMOOTHING * (abs(step) - judge.deviation_s)
 
 
-def missed(judge: cascade_data.Judge, waited_s: float, now: float) -> None:
+def missed(
+    judge: cascade_data.RatingServiceHealth, waited_s: float, now: float
+) -> None:
     """Record a rating that failed or did not arrive in time."""
     judge.failures += 1
     if waited_s > judge.delay_s:
@@ -65,7 +67,9 @@
         judge.retry_at = now + pause_s
 
 
-def repeated(judge: cascade_data.Judge, first: float, second: float) -> None:
+def repeated(
+    judge: cascade_data.RatingServiceHealth, first: float, second: float
+) -> None:
     """Record two ratings of one answer.
 
     A pair with a rating at an end of the scale is ignored: clipped ratings
@@ -80,18 +84,22 @@
         judge.noise = (INITIAL_NOISE + squared) / 2
 
 
-def mismatched(judge: cascade_data.Judge, model: str, rating: float) -> None:
+def mismatched(
+    judge: cascade_data.RatingServiceHealth, model: str, rating: float
+) -> None:
     """Record the rating of a model's answer to a different request."""
     known = judge.excess.get(model, HARMLESS_EXCESS)
     judge.excess[model] = known + PROBE_SMOOTHING * (rating - known)
 
 
-def noise(judge: cascade_data.Judge) -> float:
+def noise(judge: cascade_data.RatingServiceHealth) -> float:
     """Return the variance of a rating around the true rating."""
     return judge.noise or INITIAL_NOISE
 
 
-def corrected(judge: cascade_data.Judge, model: str, rating: float) -> float:
+def corrected(
+    judge: cascade_data.RatingServiceHealth, model: str, rating: float
+) -> float:
     """Return a rating minus the amount its model's answers are overrated.
 
     The measured excess is increased by a factor because ratings are clipped
@@ -104,17 +112,17 @@
     return rating - EXCESS_CORRECTION_FACTOR * (excess - HARMLESS_EXCESS)
 
 
-def longest_s(judge: cascade_data.Judge) -> float:
+def longest_s(judge: cascade_data.RatingServiceHealth) -> float:
     """Return the longest time to wait for a rating."""
     return judge.delay_s + DEVIATIONS * judge.deviation_s
 
 
-def is_reachable(judge: cascade_data.Judge, now: float) -> bool:
+def is_reachable(judge: cascade_data.RatingServiceHealth, now: float) -> bool:
     """Return whether to send requests; an unreachable service is retried."""
     return judge.failures < FAILURES_UNREACHABLE or now >= judge.retry_at
 
 
-def is_trusted(judge: cascade_data.Judge) -> bool:
+def is_trusted(judge: cascade_data.RatingServiceHealth) -> bool:
     """Return whether ratings still separate good answers from wrong ones.
 
     A service that fails this for one model's answers fails it for all, since
@@ -123,7 +131,7 @@
     return all(excess < UNTRUSTED_EXCESS for excess in judge.excess.values())
 
 
-def is_usable(judge: cascade_data.Judge, now: float) -> bool:
+def is_usable(judge: cascade_data.RatingServiceHealth, now: float) -> bool:
     """Return whether ratings arrive in time and can be trusted."""
     in_time = longest_s(judge) <= LONGEST_WAIT_S
     return in_time and is_reachable(judge, now) and is_trusted(judge)
--- a/beryllug/core/rating_model.py
+++ b/beryllug/core/rating_model.py
@@ -35,7 +35,7 @@
 Row = Sequence[float]
 
 
-class Place(NamedTuple):
+class RatingKey(NamedTuple):
     """The attributes that answers with a common rating distribution share.
 
     Attributes:
@@ -65,7 +65,7 @@
     weight: float
 
 
-class Reading(NamedTuple):
+class RatingParameters(NamedTuple):
     """Parameters for interpreting ratings.
 
     Attributes:
@@ -79,7 +79,7 @@
 
 def learn(
     state: cascade_data.CascadeState,
-    place: Place,
+    place: RatingKey,
     rating: float,
     noise: float,
 ) -> None:
@@ -90,7 +90,10 @@
 
 
 def audit(
-    ledger: cascade_data.Ledger, known: Belief, rating: float, reading: Reading
+    ledger: cascade_data.CascadeQuality,
+    known: Belief,
+    rating: float,
+    reading: RatingParameters,
 ) -> None:
     """Record the rating of an answer that was drawn for an audit.
 
@@ -109,7 +112,7 @@
     ledger.audit_expected = ledger.audit_expected * AUDIT_DECAY + expected
 
 
-def audit_error(ledger: cascade_data.Ledger, least: float) -> float:
+def audit_error(ledger: cascade_data.CascadeQuality, least: float) -> float:
     """Return the actual minus the predicted quality of audited answers.
 
     Answers whose probability was overestimated are chosen more often, so the
@@ -128,7 +131,7 @@
     ]
 
 
-def belief(state: cascade_data.CascadeState, place: Place) -> Belief:
+def belief(state: cascade_data.CascadeState, place: RatingKey) -> Belief:
     """Return the estimated distribution of the true ratings of a stage."""
     root_prior = LAST_STAGE_PRIOR if place.last else DEFAULT_PRIOR
     kind_key, account_key = _keys(place)
@@ -144,12 +147,12 @@
     if known is None or known.counts != (kind.count, account.count):
         mass, total = _shrunk(account, _shrunk(kind, root_prior)[0])
         counts = (kind.count, account.count)
-        known = cascade_data.Known(counts, mass, total)
+        known = cascade_data.CachedEstimate(counts, mass, total)
         account.known = known
     return Belief(known.mass, known.weight)
 
 
-def weight(state: cascade_data.CascadeState, place: Place) -> float:
+def weight(state: cascade_data.CascadeState, place: RatingKey) -> float:
     """Return the decayed number of ratings of a stage and kind of request."""
     cell = state.cells.get(_keys(place)[0])
     return cell.weight if cell else 0
@@ -160,7 +163,9 @@
     return Belief(_posterior(known.mass, rating, noise), known.weight)
 
 
-def chance(known: Belief, reading: Reading, confidence_z: float = 0) -> float:
+def chance(
+    known: Belief, reading: RatingParameters, confidence_z: float = 0
+) -> float:
     """Return the probability that an answer is good.
 
     Args:
@@ -174,7 +179,9 @@
     return min(max(good - confidence_z * error, 0), 1)
 
 
-def expected_best(known: Belief, reading: Reading, alternative: float) -> float:
+def expected_best(
+    known: Belief, reading: RatingParameters, alternative: float
+) -> float:
     """Return the expected value of rating an answer and then choosing.
 
     This is the mean, over the ratings that the answer may get, of the greater
@@ -261,7 +268,7 @@
 LAST_STAGE_PRIOR = _prior(rise=7, fall=1)
 
 
-def _keys(place: Place) -> tuple[cascade_data.CellKey, ...]:
+def _keys(place: RatingKey) -> tuple[cascade_data.CellKey, ...]:
     """Return the keys of the cells of its kind and of its account."""
     model, escalated, kind, account_id, _ = place
     return (
--- a/beryllug/core/rendezvous.py
+++ b/beryllug/core/rendezvous.py
@@ -24,7 +24,7 @@
     return hashed
 
 
-def share(name: str) -> float:
+def unit_hash(name: str) -> float:
     """Return a hash of a name in [0, 1), equal in all processes."""
     return score(name, '') / (_UINT64_MASK + 1)
 
--- a/beryllug/core/retry.py
+++ b/beryllug/core/retry.py
@@ -92,13 +92,13 @@
     crashed: bool = False
 
 
-class Again(NamedTuple):
+class RetryAfter(NamedTuple):
     """The request may be retried after a delay in seconds."""
 
     delay_s: float
 
 
-def first_try(state: RetryState, pool: str) -> None:
+def record_first_attempt(state: RetryState, pool: str) -> None:
     """Count a first attempt, which adds a fraction of a retry to the budget.
 
     Called when a server was chosen: a request that finds no server puts no
@@ -111,7 +111,7 @@
 
 def may_retry(
     state: RetryState, attempt: Attempt, now: float, jitter: float
-) -> Again | Denial:
+) -> RetryAfter | Denial:
     """Decide whether a failed attempt is retried.
 
     Args:
@@ -140,15 +140,15 @@
         # many there are. Each is tried alone, so they arrive no faster than
         # the remaining servers answer them.
         budget.retries += 1
-        return Again(delay_s)
+        return RetryAfter(delay_s)
     if budget.tokens < 1:
         return Denial.BUDGET
     budget.tokens -= 1
     budget.retries += 1
-    return Again(delay_s)
+    return RetryAfter(delay_s)
 
 
-def ran_for_sure_not(failure: Failure) -> bool:
+def did_not_run(failure: Failure) -> bool:
     """Return whether a request that failed this way surely did not run."""
     return failure in SURELY_NOT_RUN
 
@@ -169,7 +169,7 @@
     if attempt.answer_begun:
         # An answer must never combine the texts of two runs.
         return Denial.ANSWER_BEGUN
-    if not attempt.repeatable and not ran_for_sure_not(attempt.failure):
+    if not attempt.repeatable and not did_not_run(attempt.failure):
         # The server may have run it although its answer was lost. A second
         # run could hold a second booking slot.
         return Denial.MAY_HAVE_RUN
--- a/beryllug/core/retry_test.py
+++ b/beryllug/core/retry_test.py
@@ -47,7 +47,7 @@
                 state = retry.RetryState()
                 decision = retry.may_retry(state, attempt, 0, 0.5)
                 if denial is None:
-                    self.assertIsInstance(decision, retry.Again)
+                    self.assertIsInstance(decision, retry.RetryAfter)
                 else:
                     self.assertIs(decision, denial)
 
@@ -73,7 +73,7 @@
         for number, granted in ((1, True), (5, True), (6, False)):
             lost = ATTEMPT._replace(number=number, crashed=True)
             decision = retry.may_retry(state, lost, 0, 0.5)
-            self.assertEqual(isinstance(decision, retry.Again), granted)
+            self.assertEqual(isinstance(decision, retry.RetryAfter), granted)
         self.assertIs(
             retry.may_retry(state, ATTEMPT, 0, 0.5), retry.Denial.BUDGET
         )
@@ -95,10 +95,10 @@
     """Count the retries granted when every n-th first attempt fails."""
     granted = 0
     for number in range(1, tries + 1):
-        retry.first_try(state, 'engines')
+        retry.record_first_attempt(state, 'engines')
         if number % failure_interval == 0:
             decision = retry.may_retry(state, ATTEMPT, 0, 0.5)
-            granted += isinstance(decision, retry.Again)
+            granted += isinstance(decision, retry.RetryAfter)
     return granted
 
 
--- a/beryllug/core/retry_window.py
+++ b/beryllug/core/retry_window.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 
-class Use(Enum):
+class RepeatReason(Enum):
     """Why a request is repeated."""
 
     FAILED = auto()
@@ -28,12 +28,12 @@
 # process slides as that of the bound does; the rest allows for clock drift.
 # Escalations to a larger model leave a part for failed requests, which would
 # otherwise get no answer.
-FRACTIONS_WITHOUT_SUMS: Mapping[Use, float] = MappingProxyType(
-    {Use.FAILED: 0.9, Use.LARGER: 0.72}
+FRACTIONS_WITHOUT_SUMS: Mapping[RepeatReason, float] = MappingProxyType(
+    {RepeatReason.FAILED: 0.9, RepeatReason.LARGER: 0.72}
 )
 # The same with sums, besides what others may have sent since.
-FRACTIONS_WITH_SUMS: Mapping[Use, float] = MappingProxyType(
-    {Use.FAILED: 0.95, Use.LARGER: 0.85}
+FRACTIONS_WITH_SUMS: Mapping[RepeatReason, float] = MappingProxyType(
+    {RepeatReason.FAILED: 0.95, RepeatReason.LARGER: 0.85}
 )
 # Maximum repeats of one request: routes permit three servers.
 MAX_REPEATS_PER_REQUEST = 2
@@ -52,7 +52,7 @@
     window_s: float
 
 
-class Sent(NamedTuple):
+class SentCounts(NamedTuple):
     """Numbers of requests and of repeats within a window."""
 
     asked: int
@@ -67,23 +67,23 @@
     repeats: deque[float] = field(default_factory=deque)
 
 
-def asked(window: Window, now: float) -> None:
+def record_request(window: Window, now: float) -> None:
     """Count a request."""
     window.requests.append(now)
 
 
-def sent(window: Window, bound: Bound, now: float) -> Sent:
+def count_sent(window: Window, bound: Bound, now: float) -> SentCounts:
     """Return how much this process sent within the window."""
     _drop_until(window, now - bound.window_s)
-    return Sent(len(window.requests), len(window.repeats))
+    return SentCounts(len(window.requests), len(window.repeats))
 
 
 def may_repeat(
-    own: Sent,
+    own: SentCounts,
     bound: Bound,
     processes: int,
-    others: Sent | None,
-    use: Use,
+    others: SentCounts | None,
+    use: RepeatReason,
 ) -> bool:
     """Return whether one more repeat is within the bound.
 
@@ -114,7 +114,7 @@
     return repeated_estimate + 1 <= FRACTIONS_WITH_SUMS[use] * fleet_bound
 
 
-def repeated(window: Window, now: float) -> None:
+def record_repeat(window: Window, now: float) -> None:
     """Count a repeat."""
     window.repeats.append(now)
 
--- a/beryllug/core/retry_window_test.py
+++ b/beryllug/core/retry_window_test.py
@@ -34,35 +34,41 @@
     now = -bound.window_s
     while now < SECONDS:
         now += rng.expovariate(REQUESTS_PER_S)
-        retry_window.asked(window, now)
+        retry_window.record_request(window, now)
         sample = rng.random()
         if sample > UNSURE_FRACTION + FAILED_FRACTION:
             continue
         is_failed = sample > UNSURE_FRACTION
-        use = retry_window.Use.FAILED if is_failed else retry_window.Use.LARGER
-        own = retry_window.sent(window, bound, now)
+        use = (
+            retry_window.RepeatReason.FAILED
+            if is_failed
+            else retry_window.RepeatReason.LARGER
+        )
+        own = retry_window.count_sent(window, bound, now)
         if retry_window.may_repeat(own, bound, processes, None, use):
-            retry_window.repeated(window, now)
+            retry_window.record_repeat(window, now)
         elif now > 0:
             denied[is_failed] += 1
     return _Denied(*denied)
 
 
 def _repeat(
-    window: retry_window.Window, now: float, use: retry_window.Use
+    window: retry_window.Window, now: float, use: retry_window.RepeatReason
 ) -> bool:
     """Send a repeat if it is permitted; returns whether it was."""
-    own = retry_window.sent(window, BOUND, now)
+    own = retry_window.count_sent(window, BOUND, now)
     is_permitted = retry_window.may_repeat(own, BOUND, 8, None, use)
     if is_permitted:
-        retry_window.repeated(window, now)
+        retry_window.record_repeat(window, now)
     return is_permitted
 
 
 def _may_repeat(window: retry_window.Window, now: float) -> bool:
     """Return whether a process without sums may send a repeat."""
-    own = retry_window.sent(window, BOUND, now)
-    return retry_window.may_repeat(own, BOUND, 1, None, retry_window.Use.FAILED)
+    own = retry_window.count_sent(window, BOUND, now)
+    return retry_window.may_repeat(
+        own, BOUND, 1, None, retry_window.RepeatReason.FAILED
+    )
 
 
 class _Traffic(NamedTuple):
@@ -79,15 +85,17 @@
     unsure: float
     failed: float
 
-    def repeats(self, rng: random.Random, now: float) -> list[retry_window.Use]:
+    def repeats(
+        self, rng: random.Random, now: float
+    ) -> list[retry_window.RepeatReason]:
         """Return the repeats that a request needs, at most two."""
         repeats_needed = []
         if rng.random() < self.unsure:
-            repeats_needed.append(retry_window.Use.LARGER)
+            repeats_needed.append(retry_window.RepeatReason.LARGER)
         while (
             now > 15 and len(repeats_needed) < 2 and rng.random() < self.failed
         ):
-            repeats_needed.append(retry_window.Use.FAILED)
+            repeats_needed.append(retry_window.RepeatReason.FAILED)
         return repeats_needed
 
 
@@ -101,7 +109,7 @@
     def __init__(self, processes: int, bound: retry_window.Bound) -> None:
         self.bound = bound
         self.windows = [retry_window.Window() for _ in range(processes)]
-        self.sums = [[retry_window.Sent(0, 0) for _ in self.windows]]
+        self.sums = [[retry_window.SentCounts(0, 0) for _ in self.windows]]
         self.asked: list[float] = []
         self.repeats: list[float] = []
         self.denied = 0
@@ -110,12 +118,15 @@
         """Simulate a tenth of a second."""
         for number, window in enumerate(self.windows):
             if rng.random() < traffic.requests_per_s * STEP_S:
-                retry_window.asked(window, now)
+                retry_window.record_request(window, now)
                 self.asked.append(now)
                 for use in traffic.repeats(rng, now):
                     self._repeat(number, now, use)
         self.sums.append(
-            [retry_window.sent(each, self.bound, now) for each in self.windows]
+            [
+                retry_window.count_sent(each, self.bound, now)
+                for each in self.windows
+            ]
         )
 
     def excess(self, now: float) -> float:
@@ -125,22 +136,24 @@
         asked = sum(at >= since for at in self.asked)
         return repeats - self.bound.ratio * asked - self.bound.slack
 
-    def _repeat(self, number: int, now: float, use: retry_window.Use) -> None:
+    def _repeat(
+        self, number: int, now: float, use: retry_window.RepeatReason
+    ) -> None:
         delay_steps = int(retry_window.MAX_SUM_AGE_S / STEP_S)
         sums = self.sums[max(len(self.sums) - delay_steps, 0)]
         all_asked = sum(each.asked for each in sums)
         all_repeated = sum(each.repeated for each in sums)
-        others = retry_window.Sent(
+        others = retry_window.SentCounts(
             all_asked - sums[number].asked, all_repeated - sums[number].repeated
         )
         window = self.windows[number]
-        own = retry_window.sent(window, self.bound, now)
+        own = retry_window.count_sent(window, self.bound, now)
         if not retry_window.may_repeat(
             own, self.bound, len(self.windows), others, use
         ):
             self.denied += 1
             return
-        retry_window.repeated(window, now)
+        retry_window.record_repeat(window, now)
         self.repeats.append(now)
 
 
@@ -166,10 +179,10 @@
             now = step * STEP_S
             for number, window in enumerate(windows):
                 for _ in range(load[number % len(load)]):
-                    retry_window.asked(window, now)
+                    retry_window.record_request(window, now)
                     asked.append(now)
                 while _may_repeat(window, now):
-                    retry_window.repeated(window, now)
+                    retry_window.record_repeat(window, now)
                     repeats.append(now)
             since = now - BOUND.window_s
             in_window = sum(at >= since for at in repeats)
@@ -243,10 +256,11 @@
         now = 0.0
         for _ in range(400):
             now += rng.expovariate(REQUESTS_PER_S)
-            retry_window.asked(window, now)
-            _repeat(window, now, retry_window.Use.LARGER)
+            retry_window.record_request(window, now)
+            _repeat(window, now, retry_window.RepeatReason.LARGER)
         permitted = [
-            _repeat(window, now, retry_window.Use.FAILED) for _ in range(5)
+            _repeat(window, now, retry_window.RepeatReason.FAILED)
+            for _ in range(5)
         ]
         self.assertEqual(all(permitted), True)
 
--- a/beryllug/core/rollout.py
+++ b/beryllug/core/rollout.py
@@ -77,7 +77,7 @@
     return record._replace(stage=stage, percent=stages[stage])
 
 
-def absorb(
+def include_report(
     record: Record,
     declared: config_data.Rollout,
     report: rpc_data.EvidenceReport,
@@ -92,7 +92,7 @@
         now: Wall-clock time in seconds.
     """
     candidate = config_data.VersionRef(record.model, record.candidate)
-    heard = exposure.hear(
+    heard = exposure.record_report(
         record.exposure, report, now, braked=candidate in report.braked
     )
     if heard is None:
@@ -122,7 +122,7 @@
     return _advance_or_hold(record, declared)
 
 
-def carry_out(
+def apply_decision(
     record: Record,
     declared: config_data.Rollout,
     decision: rollout_data.Decision,
@@ -147,13 +147,15 @@
             )
 
 
-def deal(record: Record, declared: config_data.Rollout, now: float) -> Record:
+def allocate(
+    record: Record, declared: config_data.Rollout, now: float
+) -> Record:
     """Allocate the free exposure budget if the roll-out is running."""
     if record.verdict is not view_data.Verdict.RUNNING:
         return record
     kept = exposure.write_off(record.exposure, now)
     unjudged = exposure.limit(declared, rollout_checks.credit(record, declared))
-    return record._replace(exposure=exposure.deal(kept, unjudged, now))
+    return record._replace(exposure=exposure.allocate(kept, unjudged, now))
 
 
 def status(record: Record) -> view_data.RolloutStatus:
@@ -202,9 +204,9 @@
 def _observe(
     record: Record,
     declared: config_data.Rollout,
-    trials: tuple[evidence_data.Trial, ...] | None,
+    trials: tuple[evidence_data.SequentialTest, ...] | None,
     pair: Pair,
-) -> tuple[evidence_data.Trial, ...]:
+) -> tuple[evidence_data.SequentialTest, ...]:
     if trials is None:
         trials = tuple(evidence.begin() for _ in evidence_data.MEASURES)
     return tuple(
@@ -287,12 +289,14 @@
     )
 
 
-Scopes = dict[str, tuple[evidence_data.Trial, ...]]
+Scopes = dict[str, tuple[evidence_data.SequentialTest, ...]]
 
 
 def _map_trials(
     scopes: Scopes,
-    change: Callable[[evidence_data.Trial], evidence_data.Trial],
+    change: Callable[
+        [evidence_data.SequentialTest], evidence_data.SequentialTest
+    ],
 ) -> Scopes:
     return {
         account_id: tuple(change(trial) for trial in trials)
--- a/beryllug/core/rollout_checks.py
+++ b/beryllug/core/rollout_checks.py
@@ -77,7 +77,7 @@
         return
     needed = BASE_EVIDENCE + _growth(record, declared)
     for measure, trial in _judged_trials(all_accounts, declared):
-        if trial.best > -needed:
+        if trial.min_stage_ratio > -needed:
             yield f'too little evidence on {measure}'
     for account_id, trials in record.scopes.items():
         for measure, trial in _judged_trials(trials, declared):
@@ -116,7 +116,7 @@
 def _odds(
     record: Record,
     account_id: str,
-    trials: tuple[evidence_data.Trial, ...],
+    trials: tuple[evidence_data.SequentialTest, ...],
 ) -> Iterator[tuple[float, Measure]]:
     part = ALL_ACCOUNTS_PART
     if account_id != rollout_data.ALL_ACCOUNTS:
@@ -154,8 +154,9 @@
 
 
 def _judged_trials(
-    trials: tuple[evidence_data.Trial, ...], declared: config_data.Rollout
-) -> Iterator[tuple[Measure, evidence_data.Trial]]:
+    trials: tuple[evidence_data.SequentialTest, ...],
+    declared: config_data.Rollout,
+) -> Iterator[tuple[Measure, evidence_data.SequentialTest]]:
     """Yield the tests that must pass before the next stage."""
     required = {Measure.ERROR, Measure.LATE}
     if evidence_bounds.needs_rating(declared):
@@ -165,5 +166,7 @@
             yield measure, trial
 
 
-def _incumbent_answers(trials: tuple[evidence_data.Trial, ...]) -> float:
+def _incumbent_answers(
+    trials: tuple[evidence_data.SequentialTest, ...],
+) -> float:
     return trials[0].base.answers + trials[0].incumbent.answers
--- a/beryllug/core/rollout_data.py
+++ b/beryllug/core/rollout_data.py
@@ -80,7 +80,7 @@
     candidate: str
     incumbent: str
     percent: int
-    scopes: dict[str, tuple[evidence_data.Trial, ...]]
+    scopes: dict[str, tuple[evidence_data.SequentialTest, ...]]
     exposure: Exposure
     accounts: int = 1
     stage: int = 0
--- a/beryllug/core/rollout_test.py
+++ b/beryllug/core/rollout_test.py
@@ -51,7 +51,7 @@
         """Add a report, then decide and allocate."""
         self.sequence += 1
         report = rpc_data.EvidenceReport('entry/1', self.sequence, counts)
-        self.record = rollout.absorb(
+        self.record = rollout.include_report(
             self.record, self.declared, report, now=self.sequence
         )
         self.decide()
@@ -59,8 +59,12 @@
     def decide(self) -> None:
         """Decide and allocate without a report."""
         decision = rollout.decide(self.record, self.declared)
-        self.record = rollout.carry_out(self.record, self.declared, decision)
-        self.record = rollout.deal(self.record, self.declared, self.sequence)
+        self.record = rollout.apply_decision(
+            self.record, self.declared, decision
+        )
+        self.record = rollout.allocate(
+            self.record, self.declared, self.sequence
+        )
         self.verdicts.append(self.record.verdict)
         self.stages.append(self.record.stage)
 
@@ -160,7 +164,7 @@
         report = rpc_data.EvidenceReport(
             'entry/1', 1, (_counts(NEW, 'kutch', 3, 1),)
         )
-        again = rollout.absorb(fleet.record, UNRATED, report, now=9)
+        again = rollout.include_report(fleet.record, UNRATED, report, now=9)
         self.assertEqual(again, fleet.record)
 
     def test_interrupted(self) -> None:
--- a/beryllug/core/rpc_data.py
+++ b/beryllug/core/rpc_data.py
@@ -14,7 +14,7 @@
 )
 
 
-class ViewAsk(NamedTuple):
+class ViewRequest(NamedTuple):
     """An entry asks its control process for the view and its changes."""
 
     entry: str
@@ -120,7 +120,7 @@
     durable: tuple[bool, ...]
 
 
-class LookupAsk(NamedTuple):
+class LookupRequest(NamedTuple):
     """Ask a shard's owner for the latest row of a kind under a key."""
 
     account_id: str
@@ -255,7 +255,7 @@
     keys: bytes = b''
 
 
-class PartsAsk(NamedTuple):
+class PartsRequest(NamedTuple):
     """Ask a peer for parts by their digests."""
 
     digests: tuple[str, ...]
@@ -309,7 +309,7 @@
     budgets: dict[str, int]
 
 
-class RolloutAsk(NamedTuple):
+class RolloutRequest(NamedTuple):
     """Ask the process that controls a rollout for its state."""
 
     model: str
--- a/beryllug/core/server_load.py
+++ b/beryllug/core/server_load.py
@@ -17,32 +17,32 @@
 DEVIATIONS = 2.0
 
 
-def track(
+def stats_of(
     state: balance_data.BalanceState, server_id: str
-) -> balance_data.Track:
+) -> balance_data.ServerStats:
     """Return the observations of a server, created at the first use."""
-    stats = state.tracks.get(server_id)
+    stats = state.server_stats.get(server_id)
     if stats is None:
-        stats = balance_data.Track()
-        state.tracks[server_id] = stats
+        stats = balance_data.ServerStats()
+        state.server_stats[server_id] = stats
     return stats
 
 
-def dispatched(
+def record_dispatch(
     state: balance_data.BalanceState, server_id: str, now: float
 ) -> None:
     """Count a request that is dispatched to a server."""
-    _record_change(track(state, server_id), 1, now)
+    _record_change(stats_of(state, server_id), 1, now)
 
 
-def finished(
+def record_end(
     state: balance_data.BalanceState, server_id: str, now: float
 ) -> None:
     """Count a request that ended on a server, with any outcome."""
-    _record_change(track(state, server_id), -1, now)
+    _record_change(stats_of(state, server_id), -1, now)
 
 
-def report(
+def apply_reports(
     state: balance_data.BalanceState,
     loads: Iterable[view_data.ServerLoad],
     clock_offset: float,
@@ -56,7 +56,7 @@
             of this process's clock.
     """
     for load in loads:
-        stats = track(state, load.server_id)
+        stats = stats_of(state, load.server_id)
         measured_at = load.reported_at + clock_offset
         if stats.reported is None or measured_at > stats.reported_at:
             stats.reported = load.running + load.queued
@@ -65,7 +65,9 @@
             _drop_changes_until(stats, measured_at)
 
 
-def load_of(stats: balance_data.Track, now: float, others: float = 0) -> float:
+def load_of(
+    stats: balance_data.ServerStats, now: float, others: float = 0
+) -> float:
     """Return the estimated number of requests on a server.
 
     Args:
@@ -81,7 +83,7 @@
 
 
 def pool_load(
-    tracks: Iterable[balance_data.Track], entries: int, now: float
+    tracks: Iterable[balance_data.ServerStats], entries: int, now: float
 ) -> float:
     """Return the estimated number of requests on a pool.
 
@@ -103,14 +105,14 @@
     return load + max(own_count, entries * max(own_mean, lower_bound))
 
 
-def is_reported(stats: balance_data.Track, now: float) -> bool:
+def is_reported(stats: balance_data.ServerStats, now: float) -> bool:
     """Return whether the server has a report that is recent enough."""
     return (
         stats.reported is not None and now - stats.reported_at <= REPORT_VALID_S
     )
 
 
-def smoothed(stats: balance_data.Track, now: float) -> float:
+def smoothed(stats: balance_data.ServerStats, now: float) -> float:
     """Return the recent mean of this process's requests on a server."""
     decay = math.exp(-max(now - stats.smoothed_at, 0) / SMOOTHING_S)
     return decay * stats.smoothed + (1 - decay) * stats.in_flight
@@ -123,14 +125,16 @@
     listed = {server.server_id for server in servers}
     removed = [
         server_id
-        for server_id, stats in state.tracks.items()
+        for server_id, stats in state.server_stats.items()
         if server_id not in listed and not stats.in_flight
     ]
     for server_id in removed:
-        state.tracks.pop(server_id)
+        state.server_stats.pop(server_id)
 
 
-def _record_change(stats: balance_data.Track, sign: int, now: float) -> None:
+def _record_change(
+    stats: balance_data.ServerStats, sign: int, now: float
+) -> None:
     stats.smoothed = smoothed(stats, now)
     stats.smoothed_at = now
     stats.in_flight += sign
@@ -139,6 +143,6 @@
     _drop_changes_until(stats, now - CHANGES_KEPT_S)
 
 
-def _drop_changes_until(stats: balance_data.Track, until: float) -> None:
+def _drop_changes_until(stats: balance_data.ServerStats, until: float) -> None:
     while stats.changes and stats.changes[0][0] <= until:
         stats.change -= stats.changes.popleft()[1]
--- a/beryllug/core/stage_chance.py
+++ b/beryllug/core/stage_chance.py
@@ -6,14 +6,14 @@
 
 from beryllug.core import cascade_data, rating_health, rating_model
 
-Question = cascade_data.Question
+CascadeRequest = cascade_data.CascadeRequest
 
 
-def place_of(
-    question: Question, stage: int, escalated: bool
-) -> rating_model.Place:
+def rating_key(
+    question: CascadeRequest, stage: int, escalated: bool
+) -> rating_model.RatingKey:
     """Return the attributes that select the distribution of a stage."""
-    return rating_model.Place(
+    return rating_model.RatingKey(
         question.offers[stage].model,
         escalated,
         question.kind,
@@ -23,18 +23,18 @@
 
 
 def reading(
-    state: cascade_data.CascadeState, question: Question
-) -> rating_model.Reading:
+    state: cascade_data.CascadeState, question: CascadeRequest
+) -> rating_model.RatingParameters:
     """Return the current rating noise and the cascade's minimum rating."""
-    return rating_model.Reading(
+    return rating_model.RatingParameters(
         rating_health.noise(state.judge), question.cascade.min_rating
     )
 
 
 def after_rating(
     state: cascade_data.CascadeState,
-    question: Question,
-    place: rating_model.Place,
+    question: CascadeRequest,
+    place: rating_model.RatingKey,
     answer: cascade_data.Answer,
 ) -> rating_model.Belief:
     """Return the estimate for one answer, given its ratings."""
@@ -48,8 +48,8 @@
 
 def of_answer(
     state: cascade_data.CascadeState,
-    question: Question,
-    place: rating_model.Place,
+    question: CascadeRequest,
+    place: rating_model.RatingKey,
     answer: cascade_data.Answer,
 ) -> float:
     """Return the probability that an answer is good, given any ratings."""
@@ -57,8 +57,10 @@
     return rating_model.chance(known, reading(state, question))
 
 
-def of_last(state: cascade_data.CascadeState, question: Question) -> float:
+def of_last(
+    state: cascade_data.CascadeState, question: CascadeRequest
+) -> float:
     """Return the probability for the last stage after an escalation."""
     last = len(question.offers) - 1
-    place = place_of(question, last, escalated=True)
+    place = rating_key(question, last, escalated=True)
     return of_answer(state, question, place, cascade_data.Answer(last, None))
--- a/beryllug/core/stamps.py
+++ b/beryllug/core/stamps.py
@@ -11,7 +11,7 @@
 # Seconds after a store was restored for which the state it had acknowledged
 # before takes precedence over what it reports: by then the other processes
 # have written their entries again.
-HELD_S = 10.0
+RESTORE_HOLD_S = 10.0
 
 
 def stamp(era: int, revision: int) -> int:
@@ -29,11 +29,11 @@
     return stamped % _REVISION_COUNT
 
 
-def is_return(stamped: int, before: int) -> bool:
+def is_restored(stamped: int, before: int) -> bool:
     """Return whether a store was restored after a known stamp."""
     return before > 0 and era(stamped) > era(before)
 
 
-def shown(stamped: int) -> str:
+def format_stamp(stamped: int) -> str:
     """Format a stamp for people as ``ERA/REVISION``."""
     return f'{era(stamped)}/{revision(stamped)}'
--- a/beryllug/core/stamps_test.py
+++ b/beryllug/core/stamps_test.py
@@ -20,7 +20,7 @@
         for value, (era, revision) in zip(stamped, cases, strict=True):
             self.assertEqual(stamps.era(value), era)
             self.assertEqual(stamps.revision(value), revision)
-            self.assertEqual(stamps.shown(value), f'{era}/{revision}')
+            self.assertEqual(stamps.format_stamp(value), f'{era}/{revision}')
 
     def test_return(self) -> None:
         """Only a later era than that of a known stamp is a restore."""
@@ -32,7 +32,7 @@
         )
         for stamped, before, is_return in cases:
             with self.subTest(stamped=stamped, before=before):
-                self.assertIs(stamps.is_return(stamped, before), is_return)
+                self.assertIs(stamps.is_restored(stamped, before), is_return)
 
 
 if __name__ == '__main__':
--- a/beryllug/core/suspects.py
+++ b/beryllug/core/suspects.py
@@ -34,9 +34,9 @@
 Verdict = suspects_data.Verdict
 
 
-def reported(
+def record_report(
     table: suspects_data.Table, report: rpc_data.CrashReport, now: float
-) -> tuple[suspects_data.Note, ...]:
+) -> tuple[suspects_data.SuspectNote, ...]:
     """Record the report of a lost server.
 
     Args:
@@ -54,7 +54,7 @@
         at=min(report.at, now),
     )
     new_notes = [
-        suspects_data.Note(
+        suspects_data.SuspectNote(
             fingerprint,
             (loss._replace(trial_id=_trial_id_of(report, fingerprint)),),
         )
@@ -70,7 +70,7 @@
 
 def merge(
     table: suspects_data.Table,
-    notes: Iterable[suspects_data.Note],
+    notes: Iterable[suspects_data.SuspectNote],
     now: float,
 ) -> bool:
     """Merge notes; order and repetition do not change the result.
@@ -102,7 +102,7 @@
         table.notes = {note.fingerprint: note for note in ranked[:MAX_NOTES]}
 
 
-def kept_until(note: suspects_data.Note) -> float:
+def kept_until(note: suspects_data.SuspectNote) -> float:
     """Return the second until which a note is valid.
 
     A cleared note is kept too: a late report of the same loss must find that
@@ -112,14 +112,14 @@
     return max((*until, *(trial.until for trial in note.trials)), default=0)
 
 
-def is_refused(note: suspects_data.Note, now: float) -> bool:
+def is_refused(note: suspects_data.SuspectNote, now: float) -> bool:
     """Tell whether a server was lost under a trial of the request."""
     return any(
         loss.trial_id and now < loss.at + REFUSED_S for loss in note.losses
     )
 
 
-def is_suspect(note: suspects_data.Note, now: float) -> bool:
+def is_suspect(note: suspects_data.SuspectNote, now: float) -> bool:
     """Tell whether the request needs a trial before it may run."""
     return any(
         not loss.cleared and now < loss.at + SUSPICION_S for loss in note.losses
@@ -128,7 +128,7 @@
 
 def judge(
     table: suspects_data.Table,
-    request: suspects_data.TrialAsk,
+    request: suspects_data.TrialRequest,
     now: float,
 ) -> suspects_data.TrialReply:
     """Decide whether a request may run, and record its trial if there is one.
@@ -161,9 +161,9 @@
     return TrialReply(Verdict.TRY)
 
 
-def ended(
+def record_trial_end(
     table: suspects_data.Table, end: suspects_data.TrialEnd
-) -> suspects_data.Note | None:
+) -> suspects_data.SuspectNote | None:
     """Record that a suspected request ended without loss of its server.
 
     Returns:
@@ -186,7 +186,7 @@
 
 
 def open_trial(
-    note: suspects_data.Note, now: float
+    note: suspects_data.SuspectNote, now: float
 ) -> suspects_data.Trial | None:
     """Return the trial of a request that may still be running."""
     lost = {loss.trial_id for loss in note.losses}
@@ -204,7 +204,7 @@
     return frozenset(trial.server_id for trial in running if trial is not None)
 
 
-def shown(
+def suspects_for_entries(
     table: suspects_data.Table, now: float
 ) -> tuple[rpc_data.Suspect, ...]:
     """Return the suspects and refused requests for entry processes."""
@@ -233,7 +233,9 @@
     return report.trial_id if fingerprint == report.tried else ''
 
 
-def _view_suspect(note: suspects_data.Note, now: float) -> rpc_data.Suspect:
+def _view_suspect(
+    note: suspects_data.SuspectNote, now: float
+) -> rpc_data.Suspect:
     trial = open_trial(note, now)
     return rpc_data.Suspect(
         fingerprint=note.fingerprint,
@@ -245,8 +247,9 @@
 
 
 def _merge_note(
-    existing: suspects_data.Note | None, received: suspects_data.Note
-) -> suspects_data.Note:
+    existing: suspects_data.SuspectNote | None,
+    received: suspects_data.SuspectNote,
+) -> suspects_data.SuspectNote:
     if existing is None:
         return received
     losses = list(existing.losses)
@@ -259,7 +262,7 @@
         trials[trial.trial_id] = known._replace(ended=is_ended)
     latest = sorted(trials.values(), key=_trial_until)
     losses.sort(key=_loss_order)
-    return suspects_data.Note(
+    return suspects_data.SuspectNote(
         existing.fingerprint,
         tuple(losses[-MAX_LOSSES:]),
         tuple(latest[-MAX_TRIALS:]),
--- a/beryllug/core/suspects_data.py
+++ b/beryllug/core/suspects_data.py
@@ -44,7 +44,7 @@
     ended: bool = False
 
 
-class Note(NamedTuple):
+class SuspectNote(NamedTuple):
     """Losses and trials of one fingerprint; two notes can be merged."""
 
     fingerprint: str
@@ -60,7 +60,7 @@
         wants: Whether the peer should reply with its own.
     """
 
-    notes: tuple[Note, ...] = ()
+    notes: tuple[SuspectNote, ...] = ()
     wants: bool = False
 
 
@@ -68,7 +68,7 @@
 class Table:
     """The notes of one process, by fingerprint."""
 
-    notes: dict[str, Note] = field(default_factory=dict)
+    notes: dict[str, SuspectNote] = field(default_factory=dict)
 
 
 class Verdict(StrEnum):
@@ -80,7 +80,7 @@
     REFUSE = 'refuse'
 
 
-class TrialAsk(NamedTuple):
+class TrialRequest(NamedTuple):
     """Ask whether a suspected request may run on a server.
 
     Attributes:
@@ -144,7 +144,7 @@
     UNCLEAR = 'unclear'
 
 
-class Seen(NamedTuple):
+class SuspectsApplied(NamedTuple):
     """Confirms that an entry has applied the suspects of a view change.
 
     Attributes:
--- a/beryllug/core/suspects_test.py
+++ b/beryllug/core/suspects_test.py
@@ -30,7 +30,7 @@
     now: float = AT,
 ) -> Verdict:
     """Return the verdict on a request that is to run on a server."""
-    request = suspects_data.TrialAsk(name, server, trial_id, 20)
+    request = suspects_data.TrialRequest(name, server, trial_id, 20)
     return suspects.judge(table, request, now).verdict
 
 
@@ -40,13 +40,13 @@
     def setUp(self) -> None:
         """Two requests ran on a server that was lost."""
         self.table = suspects_data.Table()
-        suspects.reported(self.table, report('s1', ('a', 'b')), AT)
+        suspects.record_report(self.table, report('s1', ('a', 'b')), AT)
 
     def test_convicted(self) -> None:
         """A request whose trial loses its server is refused for REFUSED_S."""
         self.assertEqual(get_verdict(self.table, 'a', 's2'), Verdict.TRY)
         lost = report('s2', ('a',), AT, ('a', 't'))
-        suspects.reported(self.table, lost, AT)
+        suspects.record_report(self.table, lost, AT)
         last = AT + suspects.REFUSED_S
         for now, verdict in (
             (AT, Verdict.REFUSE),
@@ -57,13 +57,13 @@
             self.assertEqual(
                 get_verdict(self.table, 'a', 's3', 'u', now), verdict
             )
-        self.assertEqual(suspects.shown(self.table, last), ())
+        self.assertEqual(suspects.suspects_for_entries(self.table, last), ())
 
     def test_restarted_server(self) -> None:
         """The only server restarts and is lost again under the trial."""
         get_verdict(self.table, 'a', 's1')
         lost = report('s1', ('a',), AT + 1, ('a', 't'))
-        suspects.reported(self.table, lost, AT + 1)
+        suspects.record_report(self.table, lost, AT + 1)
         verdict = get_verdict(self.table, 'a', 's1', 'u', AT + 1)
         self.assertEqual(verdict, Verdict.REFUSE)
 
@@ -74,11 +74,13 @@
         new loss does.
         """
         get_verdict(self.table, 'b', 's2')
-        suspects.ended(self.table, suspects_data.TrialEnd('b', 't', True))
-        suspects.reported(self.table, report('s1', ('b',), AT + 1), AT + 1)
+        suspects.record_trial_end(
+            self.table, suspects_data.TrialEnd('b', 't', True)
+        )
+        suspects.record_report(self.table, report('s1', ('b',), AT + 1), AT + 1)
         self.assertEqual(get_verdict(self.table, 'b', 's2', 'u'), Verdict.RUN)
         again = AT + LATER
-        suspects.reported(self.table, report('s1', ('b',), again), again)
+        suspects.record_report(self.table, report('s1', ('b',), again), again)
         self.assertEqual(
             get_verdict(self.table, 'b', 's2', 'u', again), Verdict.TRY
         )
@@ -97,16 +99,16 @@
                 found = get_verdict(self.table, name, server, trial_id)
                 self.assertEqual(found, verdict)
         end = suspects_data.TrialEnd('a', 't', answered=False)
-        suspects.ended(self.table, end)
+        suspects.record_trial_end(self.table, end)
         self.assertEqual(get_verdict(self.table, 'a', 's4', 'x'), Verdict.TRY)
 
     def test_bounded(self) -> None:
         """Refused requests are kept when a lost rack fills the table."""
         get_verdict(self.table, 'a', 's2')
         lost = report('s2', ('a',), AT, ('a', 't'))
-        suspects.reported(self.table, lost, AT)
+        suspects.record_report(self.table, lost, AT)
         many = tuple(map(str, range(2 * suspects.MAX_NOTES)))
-        suspects.reported(self.table, report('s3', many, AT + 1), AT + 1)
+        suspects.record_report(self.table, report('s3', many, AT + 1), AT + 1)
         self.assertEqual(len(self.table.notes), suspects.MAX_NOTES)
         self.assertEqual(
             get_verdict(self.table, 'a', 's4', 'u'), Verdict.REFUSE
@@ -121,10 +123,10 @@
         loss = suspects_data.Loss('s1', 'v1', AT)
         tried = suspects_data.Trial('t', 's2', AT + 20)
         notes = (
-            suspects_data.Note('a', (loss,)),
-            suspects_data.Note('a', (loss._replace(cleared=True),)),
-            suspects_data.Note('a', (), (tried,)),
-            suspects_data.Note(
+            suspects_data.SuspectNote('a', (loss,)),
+            suspects_data.SuspectNote('a', (loss._replace(cleared=True),)),
+            suspects_data.SuspectNote('a', (), (tried,)),
+            suspects_data.SuspectNote(
                 'a',
                 (loss._replace(at=AT - 1), loss._replace(trial_id='t')),
                 (tried._replace(ended=True),),
--- a/beryllug/core/token_keys.py
+++ b/beryllug/core/token_keys.py
@@ -43,7 +43,7 @@
     return now - listed.keys[-1].made_at >= SIGNS_S
 
 
-def renewed(listed: KeyList, secret: str, now: float) -> KeyList:
+def add_key(listed: KeyList, secret: str, now: float) -> KeyList:
     """Return a list of the latest old key and a new one.
 
     Args:
@@ -54,7 +54,7 @@
     return KeyList((*listed.keys[-1:], Key(secret, now)))
 
 
-def in_use(listed: KeyList, now: float) -> tuple[rpc_data.TokenKey, ...]:
+def valid_keys(listed: KeyList, now: float) -> tuple[rpc_data.TokenKey, ...]:
     """Return the valid keys, the signing one first.
 
     Args:
--- a/beryllug/core/usage.py
+++ b/beryllug/core/usage.py
@@ -56,7 +56,7 @@
         )
 
 
-def of_rows(rows: Iterable[journal_data.Row]) -> Totals:
+def sum_rows(rows: Iterable[journal_data.Row]) -> Totals:
     """Return the totals of some rows."""
     totals = Totals()
     for row in rows:
@@ -64,7 +64,7 @@
     return totals
 
 
-def stored(totals: Totals, folded: int) -> usage_data.Usage:
+def to_stored_usage(totals: Totals, folded: int) -> usage_data.Usage:
     """Return totals in the stored form, in a stable order."""
     return usage_data.Usage(
         folded,
@@ -94,8 +94,8 @@
     for seq, segment in segments.items():
         # Another owner may have added some in the meantime.
         if before.folded < seq <= upto:
-            add(totals, stored(segment, seq))
-    return stored(totals, max(before.folded, upto))
+            add(totals, to_stored_usage(segment, seq))
+    return to_stored_usage(totals, max(before.folded, upto))
 
 
 def _add_account(
--- a/beryllug/core/view_merge.py
+++ b/beryllug/core/view_merge.py
@@ -12,7 +12,7 @@
 Part = TypeVar('Part')
 
 
-class Known(NamedTuple):
+class EntryState(NamedTuple):
     """The state that an entry received from control processes.
 
     Attributes:
@@ -30,7 +30,7 @@
     accept: bool = True
 
 
-def merge(known: Known, update: rpc_data.ViewUpdate) -> Known:
+def merge(known: EntryState, update: rpc_data.ViewUpdate) -> EntryState:
     """Return the state after an update."""
     view = known.view
     if update.document is not None and update.revision > view.revision:
@@ -40,7 +40,7 @@
         servers=_new_or_old(view.servers, update.servers),
         loads=_new_or_old(view.loads, update.loads),
     )
-    return Known(
+    return EntryState(
         view=view,
         suspects=_new_or_old(known.suspects, update.suspects),
         token_keys=_new_or_old(known.token_keys, update.token_keys),
--- a/beryllug/core/view_parts.py
+++ b/beryllug/core/view_parts.py
@@ -37,7 +37,7 @@
     budgets: Mapping[str, Shares] = {}
 
 
-NOTHING = ViewParts()
+NO_PARTS = ViewParts()
 
 
 def changes(
@@ -46,7 +46,7 @@
     """Return the fields of an update for one entry.
 
     Args:
-        sent: The parts that its stream has sent; `NOTHING` at its start.
+        sent: The parts that its stream has sent; `NO_PARTS` at its start.
         present: The current parts.
         entry: Name of the entry process.
 
--- a/beryllug/drivers/config_store.py
+++ b/beryllug/drivers/config_store.py
@@ -21,8 +21,8 @@
 from beryllug.drivers import object_api, object_data, part_store
 
 MAX_ATTEMPTS = 8
-PAUSE_S = 0.05
-MAX_PAUSE_S = 1.0
+RETRY_DELAY_S = 0.05
+MAX_RETRY_DELAY_S = 1.0
 
 
 class Snapshot(NamedTuple):
@@ -41,7 +41,7 @@
     chunks: tuple[bytes, ...] = ()
 
 
-class Apply(NamedTuple):
+class ApplyRequest(NamedTuple):
     """A request to activate a document.
 
     Attributes:
@@ -130,7 +130,7 @@
                 # parts of the old one were collected: start again.
                 await asyncio.sleep(_retry_delay_s(attempt))
             else:
-                self.parts.keep_only(current.root.parts)
+                self.parts.retain_only(current.root.parts)
                 return Snapshot(
                     current.version, current.root, _join(chunks), chunks
                 )
@@ -162,7 +162,9 @@
         """
         return _join(await self.parts.get(root.parts))
 
-    async def past(self, revision: int) -> config_data.Document | None:
+    async def document_of_revision(
+        self, revision: int
+    ) -> config_data.Document | None:
         """Return the document of a revision in the history, or None.
 
         Raises:
@@ -171,7 +173,7 @@
         current = await self.read_root()
         return await self._document_at(current.root, revision)
 
-    async def apply(self, req: Apply, now: float) -> Outcome:
+    async def apply(self, req: ApplyRequest, now: float) -> Outcome:
         """Activate a document if the expected revision is current.
 
         Args:
@@ -184,7 +186,7 @@
         return await _ApplyOperation(self, self._api, req, now).run()
 
     async def explain(
-        self, root: config_root.Root, req: Apply
+        self, root: config_root.Root, req: ApplyRequest
     ) -> tuple[diff.Difference, ...]:
         """Return the differences to report with a conflict."""
         try:
@@ -196,7 +198,7 @@
             return diff.compare(current_document, req.document)
         return diff.compare(base, current_document)
 
-    def overtaken(self, version: int) -> None:
+    def record_version(self, version: int) -> None:
         """Record that the root has at least this version."""
         self._min_version = max(self._min_version, version)
 
@@ -208,7 +210,7 @@
                 listed = await self.parts.get((entry.manifest,))
                 digests = document_parts.read_manifest(listed[0])
                 chunks = await self.parts.get(digests)
-                self.parts.keep_only(root.parts)
+                self.parts.retain_only(root.parts)
                 return _join(chunks)
         return None
 
@@ -220,13 +222,13 @@
         self,
         store: ConfigStore,
         api: object_api.ObjectApi,
-        req: Apply,
+        req: ApplyRequest,
         now: float,
     ) -> None:
         self._store = store
         self._api = api
         self._req = req
-        self._stamp = config_root.Stamp(req.author, now, req.apply_id)
+        self._stamp = config_root.ApplyInfo(req.author, now, req.apply_id)
         self._parts_root_version = -1
         self._uncertain_version = -1
 
@@ -254,7 +256,9 @@
             # The root has changed since: a write that is conditional on the
             # previous version can't take effect any more.
             self._uncertain_version = -1
-        revision = config_root.applied(current.root, self._req.apply_id)
+        revision = config_root.revision_of_apply(
+            current.root, self._req.apply_id
+        )
         if revision is not None:
             return result.Ok(revision)
         expected = self._req.expect_revision
@@ -266,7 +270,7 @@
         return await self._write(current)
 
     async def _refusal(self, root: config_root.Root) -> Refusal:
-        if not config_root.reaches_back(root, self._req.expect_revision):
+        if not config_root.has_history_since(root, self._req.expect_revision):
             reason = 'the history no longer reaches back to this apply'
             return Uncertain(self._req.apply_id, reason)
         differences = await self._store.explain(root, self._req)
@@ -297,12 +301,12 @@
         try:
             written = await self._api.write(config_root.KEY, raw, version)
         except object_data.ConflictError as exc:
-            self._store.overtaken(exc.current_version)
+            self._store.record_version(exc.current_version)
             return None
         except object_data.UncertainError:
             self._uncertain_version = version
             raise
-        self._store.overtaken(written)
+        self._store.record_version(written)
         return result.Ok(root.revision)
 
 
@@ -323,4 +327,4 @@
 
 
 def _retry_delay_s(attempt: int) -> float:
-    return min(PAUSE_S * (1 << attempt), MAX_PAUSE_S)
+    return min(RETRY_DELAY_S * (1 << attempt), MAX_RETRY_DELAY_S)
--- a/beryllug/drivers/config_store_test.py
+++ b/beryllug/drivers/config_store_test.py
@@ -30,7 +30,7 @@
     async def asyncSetUp(self) -> None:
         self.api = object_fake_test.FakeObjects()
         self.store = config_store.ConfigStore(self.api)
-        no_delay = mock.patch.object(config_store, 'PAUSE_S', 0)
+        no_delay = mock.patch.object(config_store, 'RETRY_DELAY_S', 0)
         no_delay.start()
         self.addCleanup(no_delay.stop)
 
@@ -44,7 +44,7 @@
         """Apply with a new `ConfigStore`, as another process would."""
         store = config_store.ConfigStore(self.api)
         name = apply_id or f'{author}-{expect}'
-        req = config_store.Apply(document, expect, author, name)
+        req = config_store.ApplyRequest(document, expect, author, name)
         return await store.apply(req, 1)
 
     async def document(self) -> config_data.Document:
@@ -71,7 +71,9 @@
         self.assertEqual(await self.apply(_weighted(2), 1), result.Ok(2))
         self.assertEqual(await self.document(), _weighted(2))
         self.assertEqual(
-            await self.store.past(1), FIRST, 'the history keeps it'
+            await self.store.document_of_revision(1),
+            FIRST,
+            'the history keeps it',
         )
 
     async def test_race(self) -> None:
@@ -124,8 +126,8 @@
             ('and the re-read after it', [WRITE_ROOT, READ_ROOT], [READ_ROOT]),
         ):
             with self.subTest(title):
-                self.api.lose = list(lose)
-                self.api.drop = list(drop)
+                self.api.lost_responses = list(lose)
+                self.api.lost_requests = list(drop)
                 outcome = await self.apply(_weighted(revision + 1), revision)
                 revision += 1
                 self.assertEqual(outcome, result.Ok(revision))
@@ -140,8 +142,8 @@
         """
         await self.apply(FIRST, 0)
         store = config_store.ConfigStore(self.api)
-        self.api.lose = [WRITE_ROOT]
-        req = config_store.Apply(_weighted(2), 1, 'ann', 'ann-1')
+        self.api.lost_responses = [WRITE_ROOT]
+        req = config_store.ApplyRequest(_weighted(2), 1, 'ann', 'ann-1')
         applying = asyncio.create_task(store.apply(req, 1))
         while self.revisions()[0] < 2:
             await asyncio.sleep(0)
@@ -272,7 +274,9 @@
         self.assertEqual(len(self.api.stored), before - 8)
         self.assertEqual(await self.document(), _weighted(last))
         oldest = last + 1 - config_root.HISTORY
-        self.assertEqual(await self.store.past(oldest), _weighted(oldest))
+        self.assertEqual(
+            await self.store.document_of_revision(oldest), _weighted(oldest)
+        )
 
     async def test_collect_during_apply(self) -> None:
         """A collector deletes the parts of an apply that is paused.
--- a/beryllug/drivers/datagrams.py
+++ b/beryllug/drivers/datagrams.py
@@ -17,7 +17,7 @@
 METHOD = 'note'
 SEPARATOR = b' '
 # Fits into one packet on any usual network link.
-MOST_BYTES = 1400
+MAX_DATAGRAM_BYTES = 1400
 
 
 class Datagrams(asyncio.DatagramProtocol):
@@ -61,7 +61,7 @@
         """Send a message to addresses, each ``ip:port``."""
         signature = self._keys.sign(METHOD, time.time())
         raw = signature.encode() + SEPARATOR + wire.encode(message)
-        if self._transport is None or len(raw) > MOST_BYTES:
+        if self._transport is None or len(raw) > MAX_DATAGRAM_BYTES:
             self.dropped += 1
             return
         for address in addresses:
--- a/beryllug/drivers/datagrams_test.py
+++ b/beryllug/drivers/datagrams_test.py
@@ -55,7 +55,9 @@
 
     async def test_too_large(self) -> None:
         """A message that exceeds one packet is not sent."""
-        self.receiver.send((self.address,), Message('x' * datagrams.MOST_BYTES))
+        self.receiver.send(
+            (self.address,), Message('x' * datagrams.MAX_DATAGRAM_BYTES)
+        )
         self.assertEqual((self.receiver.sent, self.receiver.dropped), (0, 1))
 
 
--- a/beryllug/drivers/engine.py
+++ b/beryllug/drivers/engine.py
@@ -4,9 +4,10 @@
 id, version and priority in headers, and calls for resume, cancel, load,
 orders, cache events and KV cache transfer.
 
-Chat completions return the response as an `http_client.Incoming`, whose bytes
-pass through unparsed, and raise the HTTP client's errors, which tell whether a
-byte can have been sent. The other calls raise `engine_data.EngineError`s.
+Chat completions return the response as an `http_client.IncomingResponse`, whose
+bytes pass through unparsed, and raise the HTTP client's errors, which tell
+whether a byte can have been sent. The other calls raise
+`engine_data.EngineError`s.
 """
 
 from http import HTTPStatus
@@ -41,8 +42,8 @@
     """The interface to model engines, each at its address."""
 
     async def chat(
-        self, address: str, ask: engine_data.ChatAsk
-    ) -> http_client.Incoming:
+        self, address: str, ask: engine_data.ChatRequest
+    ) -> http_client.IncomingResponse:
         """Run a chat completion; returns once the response head arrived.
 
         Raises:
@@ -52,7 +53,7 @@
 
     async def resume(
         self, address: str, request_id: str, offset: int
-    ) -> http_client.Incoming | None:
+    ) -> http_client.IncomingResponse | None:
         """Resume a response body at a byte offset.
 
         Returns:
@@ -86,7 +87,9 @@
     ) -> engine_data.CacheEvents:
         """Read the prefix cache events after a sequence number."""
 
-    async def export_kv(self, address: str, ask: engine_data.ChatAsk) -> bytes:
+    async def export_kv(
+        self, address: str, ask: engine_data.ChatRequest
+    ) -> bytes:
         """Export the KV cache that the engine has for a prompt's prefix."""
 
     async def import_kv(self, address: str, exported: bytes) -> int:
@@ -142,17 +145,17 @@
         self._timeout_s = timeout_s
 
     async def chat(
-        self, address: str, ask: engine_data.ChatAsk
-    ) -> http_client.Incoming:
+        self, address: str, ask: engine_data.ChatRequest
+    ) -> http_client.IncomingResponse:
         """Run a chat completion; see `Engine`."""
         outgoing = http_data.Outgoing(
-            'POST', CHAT, _chat_headers(ask), ask.body, ask.fresh
+            'POST', CHAT, _chat_headers(ask), ask.body, ask.new_connection
         )
         return await self._client.request(address, outgoing)
 
     async def resume(
         self, address: str, request_id: str, offset: int
-    ) -> http_client.Incoming | None:
+    ) -> http_client.IncomingResponse | None:
         """Resume a response body at a byte offset; see `Engine`."""
         target = f'{_request_path(request_id)}/resume?offset={offset}'
         outgoing = http_data.Outgoing('GET', target, {})
@@ -210,7 +213,9 @@
         events = (engine_data.CacheEvent(**line) for line in decoded['events'])
         return engine_data.CacheEvents(decoded['latest'], tuple(events))
 
-    async def export_kv(self, address: str, ask: engine_data.ChatAsk) -> bytes:
+    async def export_kv(
+        self, address: str, ask: engine_data.ChatRequest
+    ) -> bytes:
         """Export the KV cache that the engine has for a prompt's prefix."""
         outgoing = http_data.Outgoing(
             'POST', '/v1/kv/export', _chat_headers(ask), ask.body
@@ -248,7 +253,7 @@
         return incoming.status, body
 
 
-def is_declined(incoming: http_client.Incoming) -> bool:
+def is_declined(incoming: http_client.IncomingResponse) -> bool:
     """Return whether the server states that it did not run the request.
 
     Such a request may be sent to another server. A response that rejects the
@@ -259,7 +264,7 @@
     return has_decline_status and incoming.headers.get(RUN) == NOT_RUN
 
 
-def _chat_headers(ask: engine_data.ChatAsk) -> http_data.Headers:
+def _chat_headers(ask: engine_data.ChatRequest) -> http_data.Headers:
     return {
         'content-type': JSON_TYPE,
         REQUEST_ID: ask.request_id,
--- a/beryllug/drivers/engine_data.py
+++ b/beryllug/drivers/engine_data.py
@@ -6,7 +6,7 @@
 from beryllug.core import config_data
 
 
-class ChatAsk(NamedTuple):
+class ChatRequest(NamedTuple):
     """A chat completion request.
 
     Attributes:
@@ -15,7 +15,7 @@
         version: The model and the version that it must run on.
         body: The caller's JSON body, forwarded unchanged.
         priority: Lower goes first while requests wait for the batch.
-        fresh: Open a new connection instead of reusing an idle one.
+        new_connection: Open a new connection instead of reusing an idle one.
     """
 
     request_id: str
@@ -23,7 +23,7 @@
     version: config_data.VersionRef
     body: bytes
     priority: int = 0
-    fresh: bool = False
+    new_connection: bool = False
 
 
 class Usage(NamedTuple):
--- a/beryllug/drivers/engine_stream.py
+++ b/beryllug/drivers/engine_stream.py
@@ -41,7 +41,7 @@
         self.size += len(chunk)
         self._tail = (self._tail + chunk)[-TAIL_BYTES:]
 
-    def is_whole(self) -> bool:
+    def reached_end(self) -> bool:
         """Return whether the stream has ended properly."""
         return self._tail.endswith(DONE)
 
--- a/beryllug/drivers/event_split.py
+++ b/beryllug/drivers/event_split.py
@@ -25,7 +25,7 @@
         self._buffer = b''
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether part of an event is buffered."""
         return bool(self._buffer.strip())
 
--- a/beryllug/drivers/event_split_test.py
+++ b/beryllug/drivers/event_split_test.py
@@ -26,7 +26,7 @@
                     event for chunk in chunks for event in splitter.feed(chunk)
                 ]
                 self.assertEqual([event.event_id for event in events], ids)
-                self.assertEqual(splitter.has_rest, has_rest)
+                self.assertEqual(splitter.has_partial_event, has_rest)
                 raw = b''.join(event.raw for event in events)
                 self.assertTrue(b''.join(chunks).startswith(raw))
 
--- a/beryllug/drivers/http_client.py
+++ b/beryllug/drivers/http_client.py
@@ -45,7 +45,7 @@
         self.idle_s = IDLE_S
 
 
-class Incoming:
+class IncomingResponse:
     """A response whose head has arrived; the body is read as a stream."""
 
     def __init__(
@@ -62,12 +62,12 @@
         self._broken = False
 
     @property
-    def is_whole(self) -> bool:
+    def reached_end(self) -> bool:
         """Whether the body was read to its end."""
         return self._complete
 
     @property
-    def is_cut(self) -> bool:
+    def is_broken(self) -> bool:
         """Whether the connection broke before the end of the body."""
         return self._broken
 
@@ -172,7 +172,7 @@
         address: str,
         outgoing: http_data.Outgoing,
         timeout_s: float | None = None,
-    ) -> Incoming:
+    ) -> IncomingResponse:
         """Send a request and return once the response head has arrived.
 
         Args:
@@ -188,7 +188,7 @@
             BrokenError: Bytes were written; the request may have run.
         """
         deadline = _deadline(timeout_s)
-        conn = None if outgoing.fresh else self._take_idle(address)
+        conn = None if outgoing.new_connection else self._take_idle(address)
         if conn is None:
             conn = await self._connect(address, timeout_s)
         try:
@@ -202,7 +202,7 @@
         address: str,
         outgoing: http_data.Outgoing,
         timeout_s: float | None = None,
-    ) -> tuple[Incoming, bytes]:
+    ) -> tuple[IncomingResponse, bytes]:
         """Send a request and read the whole response.
 
         Raises:
@@ -241,7 +241,7 @@
         link.on_idle_end = self._remove_idle
         kept[link] = conn
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address."""
         for link in self._idle.pop(address, {}):
             link.on_idle_end = None
@@ -299,7 +299,7 @@
         conn: _Connection,
         outgoing: http_data.Outgoing,
         deadline: float | None,
-    ) -> Incoming:
+    ) -> IncomingResponse:
         payload = _serialize(conn, outgoing)
         link = conn.link
         if link.transport.is_closing():
@@ -312,7 +312,9 @@
         except (OSError, TimeoutError, h11.RemoteProtocolError) as exc:
             raise http_data.BrokenError(f'{link.address}: {exc!r}') from exc
 
-    async def _send(self, conn: _Connection, payload: bytes) -> Incoming:
+    async def _send(
+        self, conn: _Connection, payload: bytes
+    ) -> IncomingResponse:
         link = conn.link
         parser = conn.parser
         # A server may respond before it has read a long body: waiting for the
@@ -325,7 +327,7 @@
             elif not isinstance(event, h11.InformationalResponse):
                 raise ConnectionResetError('closed before an answer')
             event = parser.next_event()
-        incoming = Incoming(self, conn, event)
+        incoming = IncomingResponse(self, conn, event)
         conn.idle_s = _idle_s(incoming.headers)
         return incoming
 
--- a/beryllug/drivers/http_client_test.py
+++ b/beryllug/drivers/http_client_test.py
@@ -272,7 +272,7 @@
         second.close()
         await self.answer(address)
         self.assertEqual(self.accepted, 1)
-        await self.client.call(address, ASK._replace(fresh=True))
+        await self.client.call(address, ASK._replace(new_connection=True))
         self.assertEqual(self.accepted, 2)
 
     async def test_forget(self) -> None:
@@ -281,7 +281,7 @@
         for address in addresses:
             await self.answer(address)
         self.assertEqual(self.client.idle_connections, 2)
-        self.client.forget(addresses[0])
+        self.client.close_idle(addresses[0])
         self.assertEqual(self.client.idle_connections, 1)
         await self.answer(addresses[0])
         self.assertEqual(self.accepted, 3)
--- a/beryllug/drivers/http_data.py
+++ b/beryllug/drivers/http_data.py
@@ -57,8 +57,8 @@
         headers: Header values by lower-case name, without framing headers.
             Without a host header, the address of the server is sent as host.
         body: The whole body.
-        fresh: Open a new connection instead of reusing an idle one. The
-            server may close an idle connection just as the request is
+        new_connection: Open a new connection instead of reusing an idle one.
+            The server may close an idle connection just as the request is
             written; it is then unknown whether the request ran.
     """
 
@@ -66,7 +66,7 @@
     target: str
     headers: Headers
     body: bytes = b''
-    fresh: bool = False
+    new_connection: bool = False
 
 
 to_json = msgspec.json.Encoder().encode
--- a/beryllug/drivers/http_link.py
+++ b/beryllug/drivers/http_link.py
@@ -15,7 +15,7 @@
 import struct
 from collections.abc import Callable
 
-from beryllug.drivers import socket_guard
+from beryllug.drivers import tcp_keepalive
 
 # Unread bytes above which reading from the transport is paused.
 READ_HIGH_WATER_BYTES = 131072
@@ -58,7 +58,7 @@
         self.transport = transport
         sock = transport.get_extra_info('socket')
         if sock is not None:
-            socket_guard.set_keepalive(sock)
+            tcp_keepalive.set_keepalive(sock)
 
     def data_received(self, data: bytes) -> None:
         """Buffer received bytes; abort the connection if it was idle."""
--- a/beryllug/drivers/http_server.py
+++ b/beryllug/drivers/http_server.py
@@ -72,8 +72,8 @@
     """Serves one address until it is stopped.
 
     Attributes:
-        mode: The limits and whether the server drains. Changed limits of
-            requests and idle time apply to new connections only: a client
+        shared_state: The limits and whether the server drains. Changed limits
+            of requests and idle time apply to new connections only: a client
             may rely on the idle timeout in force when it connected.
     """
 
@@ -82,19 +82,21 @@
         handler: Handler,
         limits: http_data.Limits | None = None,
         *,
-        end_with_client: bool = False,
+        cancel_on_disconnect: bool = False,
     ) -> None:
         """Create a server; `start` opens its socket.
 
         Args:
             handler: Responds to one request.
             limits: Limits on each connection.
-            end_with_client: Cancel the handler as soon as its client closes
-                the connection, so that abandoned work ends.
+            cancel_on_disconnect: Cancel the handler as soon as its client
+                closes the connection, so that abandoned work ends.
         """
         self._handler = handler
-        self._end_with_client = end_with_client
-        self.mode = http_exchange.SharedState(limits or http_data.Limits())
+        self._end_with_client = cancel_on_disconnect
+        self.shared_state = http_exchange.SharedState(
+            limits or http_data.Limits()
+        )
         self._server: asyncio.Server | None = None
         self._clients: dict[http_link.Link, _Client] = {}
         self._deadline_timer: asyncio.TimerHandle | None = None
@@ -128,7 +130,7 @@
         `stop` closes one that a client is just writing a request to, the
         client can't know whether the request ran.
         """
-        self.mode.draining = True
+        self.shared_state.draining = True
 
     async def stop(self, grace_s: float = 0) -> None:
         """Stop accepting, let requests in flight finish, close the rest."""
@@ -164,7 +166,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _on_open(self, link: http_link.Link) -> None:
-        if len(self._clients) >= self.mode.limits.connections:
+        if len(self._clients) >= self.shared_state.limits.connections:
             link.abort()
             return
         client = _Client(link)
@@ -181,7 +183,7 @@
         """
         loop = asyncio.get_running_loop()
         self._expire_overdue(loop.time())
-        limits = self.mode.limits
+        limits = self.shared_state.limits
         shortest = min(limits.read_s, limits.idle_s, limits.write_s)
         period = min(shortest / CHECKS_PER_LIMIT, MAX_CHECK_INTERVAL_S)
         # At multiples of the period, so that all servers of a process share
@@ -213,18 +215,18 @@
         the connection for ever.
         """
         client.busy = False
-        client.link.deadline = _now() + self.mode.limits.write_s
+        client.link.deadline = _now() + self.shared_state.limits.write_s
         client.link.transport.close()
 
     async def _serve_requests(self, client: _Client) -> None:
         link = client.link
-        limits = self.mode.limits
+        limits = self.shared_state.limits
         parser = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits.header_bytes
         )
         reader = http_reader.RequestReader(link, parser, limits, client.peer)
         while True:
-            exchange = Exchange(parser, link, self.mode)
+            exchange = Exchange(parser, link, self.shared_state)
             link.deadline = _now() + limits.idle_s
             client.busy = await reader.wait_first_byte()
             if not client.busy:
--- a/beryllug/drivers/http_server_test.py
+++ b/beryllug/drivers/http_server_test.py
@@ -418,7 +418,7 @@
         The process is still loading, but its socket listens: the request
         waits in the backlog and is answered instead of refused.
         """
-        listener = listeners.open_at('127.0.0.1:0')
+        listener = listeners.open_listener('127.0.0.1:0')
         assert listener is not None
         late_server = http_server.HttpServer(self._handle, LIMITS)
         self.addAsyncCleanup(late_server.stop)
@@ -434,7 +434,7 @@
 
     def test_taken(self) -> None:
         """No listener is opened on an address in use."""
-        self.assertIsNone(listeners.open_at(f'127.0.0.1:{self.port}'))
+        self.assertIsNone(listeners.open_listener(f'127.0.0.1:{self.port}'))
 
     async def test_drain(self) -> None:
         """A draining server serves requests, but closes the connection."""
--- a/beryllug/drivers/json_decode.py
+++ b/beryllug/drivers/json_decode.py
@@ -28,7 +28,7 @@
         raise object_data.ObjectApiError(f'unreadable answer: {exc}') from exc
 
 
-def each(
+def decode_entries(
     raw: Iterable[msgspec.Raw], expected_type: type[Any]
 ) -> tuple[list[Any], list[str]]:
     """Decode entries; returns them and the errors of the invalid ones."""
--- a/beryllug/drivers/listeners.py
+++ b/beryllug/drivers/listeners.py
@@ -7,7 +7,7 @@
 BACKLOG = 512
 
 
-def open_at(address: str) -> socket.socket | None:
+def open_listener(address: str) -> socket.socket | None:
     """Listen on an address.
 
     Connections wait in the socket's backlog until a server accepts them;
--- a/beryllug/drivers/object_api.py
+++ b/beryllug/drivers/object_api.py
@@ -211,7 +211,10 @@
         return reply
 
     def _count(
-        self, kind: str, outgoing: http_data.Outgoing, reply: _Reply | None
+        self,
+        kind: str,
+        outgoing: http_data.Outgoing,
+        reply: _Reply | None,
     ) -> None:
         previous = self._counts.get(kind, object_data.CallCount())
         received = 0 if reply is None else len(reply.body)
--- a/beryllug/drivers/object_fake_test.py
+++ b/beryllug/drivers/object_fake_test.py
@@ -15,9 +15,10 @@
     Attributes:
         calls: Number of calls by kind.
         down: Whether every call fails.
-        lose: Calls, as ``write KEY``, whose next response is lost after the
-            call took effect.
-        drop: Calls, as ``write KEY``, that are lost before they take effect.
+        lost_responses: Calls, as ``write KEY``, whose next response is lost
+            after the call took effect.
+        lost_requests: Calls, as ``write KEY``, that are lost before they take
+            effect.
         replica: The objects that reads return instead of the current ones.
         before_write: Called once with the key before the next write takes
             effect.
@@ -28,8 +29,8 @@
         """Create an empty store without faults."""
         self.calls: Counter[str] = Counter()
         self.down = False
-        self.lose: list[str] = []
-        self.drop: list[str] = []
+        self.lost_responses: list[str] = []
+        self.lost_requests: list[str] = []
         self.replica: dict[str, object_data.Object] | None = None
         self.before_write: Hook | None = None
         self.delay_s: float = 0
@@ -139,13 +140,13 @@
         await asyncio.sleep(self.delay_s)
         if self.down:
             raise object_data.UnavailableError('down')
-        _fail_once(self.drop, f'{kind} {key}')
+        _fail_once(self.lost_requests, f'{kind} {key}')
 
     def _finish_call(self, kind: str, key: str) -> None:
-        _fail_once(self.lose, f'{kind} {key}')
+        _fail_once(self.lost_responses, f'{kind} {key}')
 
 
-class Path:
+class FakeConnection:
     """One process's access to the objects, which can be cut separately.
 
     Attributes:
--- a/beryllug/drivers/part_collector.py
+++ b/beryllug/drivers/part_collector.py
@@ -67,7 +67,7 @@
             return 0
         raw = config_root.encode(current.root)
         written = await self._api.write(config_root.KEY, raw, current.version)
-        self._store.overtaken(written)
+        self._store.record_version(written)
         return await self._delete(due)
 
     def _update_unused(
@@ -97,7 +97,7 @@
         used = {*root.parts, *manifests}
         for listed in await self._store.parts.get(manifests):
             used.update(document_parts.read_manifest(listed))
-        self._store.parts.keep_only((*root.parts, *manifests))
+        self._store.parts.retain_only((*root.parts, *manifests))
         return {document_parts.key_of(digest) for digest in used}
 
     async def _delete(self, due: dict[str, int]) -> int:
--- a/beryllug/drivers/part_store.py
+++ b/beryllug/drivers/part_store.py
@@ -39,7 +39,7 @@
             if document_parts.is_whole(part):
                 self._cached[part.digest] = part.content
 
-    def keep_only(self, digests: Iterable[str]) -> None:
+    def retain_only(self, digests: Iterable[str]) -> None:
         """Drop all other parts from the cache."""
         wanted = set(digests)
         self._cached = {
--- a/beryllug/drivers/plain_service.py
+++ b/beryllug/drivers/plain_service.py
@@ -13,7 +13,7 @@
 IDEMPOTENCY_KEY = 'idempotency-key'
 
 
-class PlainAsk(NamedTuple):
+class PlainRequest(NamedTuple):
     """A call of a plain service.
 
     Attributes:
@@ -24,7 +24,7 @@
         body: The body as received.
         content_type: Media type of the body, or empty.
         idempotency_key: The caller's key, or empty.
-        fresh: Open a new connection instead of reusing an idle one.
+        new_connection: Open a new connection instead of reusing an idle one.
     """
 
     request_id: str
@@ -34,13 +34,15 @@
     body: bytes = b''
     content_type: str = ''
     idempotency_key: str = ''
-    fresh: bool = False
+    new_connection: bool = False
 
 
 class PlainService(Protocol):
     """The interface to plain services, each at its address."""
 
-    async def call(self, address: str, ask: PlainAsk) -> http_client.Incoming:
+    async def call(
+        self, address: str, ask: PlainRequest
+    ) -> http_client.IncomingResponse:
         """Forward a call; returns once the response head arrived.
 
         Raises:
@@ -56,7 +58,9 @@
         """Keep the HTTP client."""
         self._client = client
 
-    async def call(self, address: str, ask: PlainAsk) -> http_client.Incoming:
+    async def call(
+        self, address: str, ask: PlainRequest
+    ) -> http_client.IncomingResponse:
         """Forward a call; see `PlainService`."""
         headers = {REQUEST_ID: ask.request_id, ACCOUNT: ask.account_id}
         if ask.content_type:
@@ -64,6 +68,6 @@
         if ask.idempotency_key:
             headers[IDEMPOTENCY_KEY] = ask.idempotency_key
         outgoing = http_data.Outgoing(
-            ask.method, ask.target, headers, ask.body, ask.fresh
+            ask.method, ask.target, headers, ask.body, ask.new_connection
         )
         return await self._client.request(address, outgoing)
--- a/beryllug/drivers/rating.py
+++ b/beryllug/drivers/rating.py
@@ -19,7 +19,7 @@
     """No rating was returned."""
 
 
-class RatingAsk(NamedTuple):
+class RatingRequest(NamedTuple):
     """A response to be rated."""
 
     request_id: str
@@ -27,10 +27,10 @@
     answer: str
 
 
-class Rater(Protocol):
+class RatingService(Protocol):
     """The interface to the rating service."""
 
-    async def rate(self, ask: RatingAsk, timeout_s: float) -> float:
+    async def rate(self, ask: RatingRequest, timeout_s: float) -> float:
         """Rate a response, from 0 to 1.
 
         Raises:
@@ -50,8 +50,8 @@
         self._client = client
         self._address = address
 
-    async def rate(self, ask: RatingAsk, timeout_s: float) -> float:
-        """Rate a response; see `Rater`."""
+    async def rate(self, ask: RatingRequest, timeout_s: float) -> float:
+        """Rate a response; see `RatingService`."""
         fields = {
             'request_id': ask.request_id,
             'answer': ask.answer,
--- a/beryllug/drivers/rpc_peers.py
+++ b/beryllug/drivers/rpc_peers.py
@@ -7,7 +7,7 @@
 MAX_CLIENTS = 64
 
 
-class Caller(Protocol):
+class PeerCaller(Protocol):
     """The interface of this service to others."""
 
     async def call(
@@ -24,10 +24,10 @@
         """
 
 
-class RedialingCaller(Caller, Protocol):
+class ReconnectingCaller(PeerCaller, Protocol):
     """A caller whose connections can be closed and reopened."""
 
-    async def drop(self, address: str) -> None:
+    async def disconnect(self, address: str) -> None:
         """Close the connection to a peer; the next call opens a new one."""
 
 
@@ -76,7 +76,7 @@
         await self._evict()
         return await client.call(method, ask, timeout_s)
 
-    async def drop(self, address: str) -> None:
+    async def disconnect(self, address: str) -> None:
         """Close the connection to a peer; the next call opens a new one."""
         client = self._clients.pop(address, None)
         if client is not None:
--- a/beryllug/drivers/store_data.py
+++ b/beryllug/drivers/store_data.py
@@ -3,7 +3,7 @@
 from typing import Any, NamedTuple
 
 
-class Stored(NamedTuple):
+class StoredObject(NamedTuple):
     """An object of the store.
 
     Attributes:
@@ -30,7 +30,7 @@
         errors: Decoding errors of the other objects.
     """
 
-    found: tuple[Stored, ...]
+    found: tuple[StoredObject, ...]
     revision: int
     errors: tuple[str, ...] = ()
 
@@ -43,10 +43,10 @@
 
 
 class Change(NamedTuple):
-    """A change of one object; `is_gone` if it was deleted."""
+    """A change of one object; `is_deleted` if it was deleted."""
 
-    stored: Stored
-    is_gone: bool
+    stored: StoredObject
+    is_deleted: bool
 
 
 class Changes(NamedTuple):
--- a/beryllug/drivers/store_era.py
+++ b/beryllug/drivers/store_era.py
@@ -15,16 +15,16 @@
     Attributes:
         era: The era, 0 if none is known.
         on_changed: Called with each new era and the previous one.
-        on_unreadable: Called with each header value that is not an era.
+        on_invalid: Called with each header value that is not an era.
     """
 
     def __init__(self) -> None:
         """Start without a known era."""
         self.era = 0
         self.on_changed: Listener = _ignore_change
-        self.on_unreadable: Callable[[str], None] = _ignore_unreadable
+        self.on_invalid: Callable[[str], None] = _ignore_unreadable
 
-    def answered(self, header: str) -> None:
+    def check_response(self, header: str) -> None:
         """Check the era header of a response; an empty one is ignored.
 
         Raises:
@@ -37,13 +37,13 @@
             or not header.isdigit()
             or len(header) > MAX_ERA_DIGITS
         ):
-            self.on_unreadable(header)
+            self.on_invalid(header)
             return
         if int(header) < self.era:
             raise object_data.UncertainError('an answer of an earlier era')
-        self.learn(int(header))
+        self.advance(int(header))
 
-    def learn(self, era: int) -> None:
+    def advance(self, era: int) -> None:
         """Record an era that a response or another process reports."""
         previous = self.era
         if era > previous:
@@ -56,4 +56,4 @@
 
 
 def _ignore_unreadable(header: str) -> None:
-    """Default of `on_unreadable`."""
+    """Default of `on_invalid`."""
--- a/beryllug/drivers/weight_store.py
+++ b/beryllug/drivers/weight_store.py
@@ -83,7 +83,7 @@
             raise WeightStoreError(f'answer unreadable: {exc}') from exc
 
 
-def _raise_failure(incoming: http_client.Incoming) -> None:
+def _raise_failure(incoming: http_client.IncomingResponse) -> None:
     if incoming.status == HTTPStatus.TOO_MANY_REQUESTS:
         raise RateLimitedError(http_data.retry_after(incoming.headers))
     if incoming.status != HTTPStatus.OK:
--- a/beryllug/entry/admission.py
+++ b/beryllug/entry/admission.py
@@ -20,18 +20,18 @@
 
 CODES = types.MappingProxyType(
     {
-        limits.Why.SHARE: refusal.Code.OVER_LIMIT,
-        limits.Why.FULL: refusal.Code.NO_SERVER,
-        limits.Why.LATE: refusal.Code.DEADLINE,
-        limits.Why.DOWN: refusal.Code.NO_SERVER,
+        limits.RefusalReason.SHARE: refusal.Code.OVER_LIMIT,
+        limits.RefusalReason.FULL: refusal.Code.NO_SERVER,
+        limits.RefusalReason.LATE: refusal.Code.DEADLINE,
+        limits.RefusalReason.DOWN: refusal.Code.NO_SERVER,
     }
 )
 MESSAGES = types.MappingProxyType(
     {
-        limits.Why.SHARE: 'the account uses more than its share',
-        limits.Why.FULL: 'no capacity is free',
-        limits.Why.LATE: 'the target can not be met now',
-        limits.Why.DOWN: 'no backend server takes work now',
+        limits.RefusalReason.SHARE: 'the account uses more than its share',
+        limits.RefusalReason.FULL: 'no capacity is free',
+        limits.RefusalReason.LATE: 'the target can not be met now',
+        limits.RefusalReason.DOWN: 'no backend server takes work now',
     }
 )
 
@@ -65,7 +65,7 @@
         self._observed_at: dict[estimates.Key, float] = {}
         self._document = link.known.view.document
         self._weights: dict[str, int] = {}
-        link.listen(self._on_view)
+        link.subscribe(self._on_view)
 
     async def start(self) -> None:
         """Do nothing: the link's updates drive this service."""
@@ -124,7 +124,7 @@
         """
         now = time.monotonic()
         first_token_s, service_s = self._expected_times(name, call.facts, now)
-        request = limits.Ask(
+        request = limits.AdmissionRequest(
             account_id=call.account.account_id,
             targets=call.facts.targets,
             first_token_s=first_token_s,
@@ -178,7 +178,7 @@
         whole_s = OPTIMISTIC_TARGET_SHARE * facts.targets.total_ms / MS
         return min(known.first_token_s, first_s), min(known.service_s, whole_s)
 
-    def _on_view(self, known: view_merge.Known) -> None:
+    def _on_view(self, known: view_merge.EntryState) -> None:
         document = known.view.document
         if document is not self._document:
             self._document = document
--- a/beryllug/entry/answers.py
+++ b/beryllug/entry/answers.py
@@ -19,7 +19,7 @@
 STORE_TIMEOUT_S = 3.0
 FETCH_TIMEOUT_S = 3.0
 RESEND_INTERVAL_S = 0.5
-MAX_OWED_BYTES = 16777216
+MAX_PENDING_BYTES = 16777216
 
 
 class Answers:
@@ -50,7 +50,7 @@
         size = sum(len(body) for body in self._pending.values())
         return {'owed': len(self._pending), 'owed_bytes': size}
 
-    async def keep(
+    async def store(
         self,
         request_id: str,
         status: int,
@@ -95,7 +95,7 @@
     def _add_pending(self, name: str, body: bytes) -> None:
         """Keep a body in memory, within a bound, until it is stored."""
         size = sum(len(pending) for pending in self._pending.values())
-        if size + len(body) > MAX_OWED_BYTES:
+        if size + len(body) > MAX_PENDING_BYTES:
             logging.error('event=answer_dropped name=%s', name)
             return
         self._pending[name] = body
--- a/beryllug/entry/probe.py
+++ b/beryllug/entry/attempt_observer.py
@@ -6,7 +6,7 @@
 from beryllug.entry import exposure
 
 
-class Probe(Protocol):
+class AttemptObserver(Protocol):
     """Receives the start and the end of each attempt of a call."""
 
     def begin(self) -> None:
--- a/beryllug/entry/attempts.py
+++ b/beryllug/entry/attempts.py
@@ -23,7 +23,7 @@
     call_data,
     crashes,
     liveness,
-    probe,
+    attempt_observer,
     routing,
     trials,
 )
@@ -31,30 +31,32 @@
 SERVER_ERROR = 500
 RETRY_AFTER_S = 1.0
 
-Send = Callable[[view_data.BackendServer], Awaitable[http_client.Incoming]]
+Send = Callable[
+    [view_data.BackendServer], Awaitable[http_client.IncomingResponse]
+]
 RefusalCheck = Callable[[], refusal.Code | None]
 
 
-class Order(NamedTuple):
+class AttemptSpec(NamedTuple):
     """Specification of the attempts of a call.
 
     Attributes:
         pick: Criteria for the selection of a server.
         send: Sends the request to a server and returns the response head.
         refusal_check: Returns why it must not be sent now, None if it may.
-        probe: Notified of each attempt.
+        observer: Notified of each attempt.
     """
 
     pick: balance_data.Pick
     send: Send
     refusal_check: RefusalCheck
-    probe: probe.Probe
+    observer: attempt_observer.AttemptObserver
 
 
 class Opened(NamedTuple):
     """An attempt whose response head has arrived and body is unread."""
 
-    incoming: http_client.Incoming
+    incoming: http_client.IncomingResponse
     attempt: routing.Attempt
     head_at: float
 
@@ -78,7 +80,7 @@
         self._crashes = crash_reports
         self._trials = trials.Trials(routes, crash_reports)
 
-    async def open(self, call: call_data.Call, order: Order) -> Opened:
+    async def open(self, call: call_data.Call, order: AttemptSpec) -> Opened:
         """Make attempts until a server answers.
 
         The caller must pass the result to `close`.
@@ -91,7 +93,7 @@
         definitely_not_run = True
         crashed = False
         number = 0
-        self._routing.first_try(order.pick.pool)
+        self._routing.count_first_attempt(order.pick.pool)
         while True:
             number += 1
             failed = await self._try(
@@ -102,7 +104,7 @@
             excluded.add(failed.server_id)
             crashed = crashed or failed.crashed
             failed = failed._replace(crashed=crashed)
-            if not retry.ran_for_sure_not(failed.failure):
+            if not retry.did_not_run(failed.failure):
                 definitely_not_run = False
             await self._wait_or_refuse(
                 call, order, failed, (number, definitely_not_run)
@@ -114,16 +116,16 @@
         running = self._routing.fingerprints_on(attempt.server.server_id)
         opened.incoming.close()
         self._routing.end(call, attempt, time.monotonic())
-        if opened.incoming.is_whole:
-            self._crashes.ended(call, attempt, answered=True)
+        if opened.incoming.reached_end:
+            self._crashes.report_alive(call, attempt, answered=True)
         else:
-            cut = opened.incoming.is_cut
-            self._crashes.watch(call, attempt, running, cut=cut)
+            cut = opened.incoming.is_broken
+            self._crashes.check_in_background(call, attempt, running, cut=cut)
 
     async def _try(
         self,
         call: call_data.Call,
-        order: Order,
+        order: AttemptSpec,
         excluded: frozenset[str],
         definitely_not_run: bool,
     ) -> Opened | _Failed:
@@ -137,10 +139,10 @@
             raise refusal.RefusedError(amended) from exc
 
     async def _attempt(
-        self, call: call_data.Call, order: Order, excluded: frozenset[str]
+        self, call: call_data.Call, order: AttemptSpec, excluded: frozenset[str]
     ) -> Opened | _Failed:
         pick = order.pick._replace(excluded=excluded)
-        place = await self._trials.place(call, pick)
+        place = await self._trials.select_server(call, pick)
         # No await from this check to the dispatch: the version may have been
         # withdrawn while a suspected request waited for its trial.
         try:
@@ -150,18 +152,18 @@
                 self._crashes.abandon_trial(call, place.trial_id)
             raise
         self._routing.begin(call, attempt)
-        order.probe.begin()
+        order.observer.begin()
         try:
             return await self._send(call, order, attempt)
         except BaseException:
-            order.probe.drop()
+            order.observer.drop()
             running = self._routing.fingerprints_on(attempt.server.server_id)
             self._routing.end(call, attempt, time.monotonic())
-            self._crashes.watch(call, attempt, running)
+            self._crashes.check_in_background(call, attempt, running)
             raise
 
     def _may_dispatch(
-        self, order: Order, place: trials.Place
+        self, order: AttemptSpec, place: trials.SelectedServer
     ) -> routing.Attempt:
         code = order.refusal_check()
         if code is not None:
@@ -174,7 +176,7 @@
         return attempt._replace(trial_id=place.trial_id)
 
     async def _send(
-        self, call: call_data.Call, order: Order, attempt: routing.Attempt
+        self, call: call_data.Call, order: AttemptSpec, attempt: routing.Attempt
     ) -> Opened | _Failed:
         try:
             async with asyncio.timeout_at(call.deadline):
@@ -188,17 +190,17 @@
         else:
             outcome = _failure_of(call, incoming)
             if outcome is None:
-                self._crashes.answers(call, attempt)
+                self._crashes.report_answer_started(call, attempt)
                 return Opened(incoming, attempt, time.monotonic())
             await _discard_body(incoming)
             failure = outcome
         found = await self._record_failure(call, attempt, failure)
-        if retry.ran_for_sure_not(failure):
-            order.probe.drop()
+        if retry.did_not_run(failure):
+            order.observer.drop()
         else:
-            gone = found is liveness.Found.GONE
-            order.probe.end(evidence_book.Answer(failed=True, crashed=gone))
-        crashed = found is not liveness.Found.LIVES
+            gone = found is liveness.ServerLiveness.GONE
+            order.observer.end(evidence_book.Answer(failed=True, crashed=gone))
+        crashed = found is not liveness.ServerLiveness.ALIVE
         return _Failed(failure, attempt.server.server_id, crashed)
 
     async def _record_failure(
@@ -206,31 +208,33 @@
         call: call_data.Call,
         attempt: routing.Attempt,
         failure: retry.Failure,
-    ) -> liveness.Found:
+    ) -> liveness.ServerLiveness:
         """Report a failed attempt and return the state of its server."""
         now = time.monotonic()
         if failure is not retry.Failure.DECLINED:
-            self._routing.failed(attempt, now)
+            self._routing.record_failure(attempt, now)
         running = self._routing.fingerprints_on(attempt.server.server_id)
         self._routing.end(call, attempt, now)
         match failure:
             case retry.Failure.BROKEN:
-                found = await self._crashes.suspect(call, attempt, running)
-                if found is liveness.Found.GONE:
-                    self._routing.failed(attempt, now, gone=True)
+                found = await self._crashes.report_if_gone(
+                    call, attempt, running
+                )
+                if found is liveness.ServerLiveness.GONE:
+                    self._routing.record_failure(attempt, now, gone=True)
                 return found
             case retry.Failure.TIMED_OUT:
                 # A host that lost power sends nothing at all, so the server
                 # may be gone.
-                self._crashes.watch(call, attempt, running)
+                self._crashes.check_in_background(call, attempt, running)
             case _:
-                self._crashes.ended(call, attempt, answered=False)
-        return liveness.Found.LIVES
+                self._crashes.report_alive(call, attempt, answered=False)
+        return liveness.ServerLiveness.ALIVE
 
     async def _wait_or_refuse(
         self,
         call: call_data.Call,
-        order: Order,
+        order: AttemptSpec,
         failed: _Failed,
         progress: tuple[int, bool],
     ) -> None:
@@ -247,7 +251,7 @@
         )
         decision = self._routing.may_retry(attempt, time.monotonic())
         match decision:
-            case retry.Again(delay_s):
+            case retry.RetryAfter(delay_s):
                 await asyncio.sleep(delay_s)
             case _:
                 raise _final_error(failed.failure, definitely_not_run)
@@ -259,7 +263,7 @@
 
 
 def _failure_of(
-    call: call_data.Call, incoming: http_client.Incoming
+    call: call_data.Call, incoming: http_client.IncomingResponse
 ) -> retry.Failure | None:
     """Return the failure that a response head stands for, or None.
 
@@ -273,7 +277,7 @@
     return None
 
 
-async def _discard_body(incoming: http_client.Incoming) -> None:
+async def _discard_body(incoming: http_client.IncomingResponse) -> None:
     try:
         await incoming.read()
     except http_data.BrokenError:
--- a/beryllug/entry/bills.py
+++ b/beryllug/entry/bills.py
@@ -15,7 +15,7 @@
     refusal,
     request_id,
 )
-from beryllug.entry import begun, call_data, outbox
+from beryllug.entry import intent_reply, call_data, outbox
 
 OUTCOME_TIMEOUT_S = 2.0
 RUNNING_RETRY_S = 1.0
@@ -48,7 +48,9 @@
         """Return the number of outcomes by state."""
         return {'outcomes': dict(self._counts)}
 
-    async def begin(self, call: call_data.Call, note: str) -> begun.Begun:
+    async def begin(
+        self, call: call_data.Call, note: str
+    ) -> intent_reply.IntentReply:
         """Request an intent, the permission to run a call once.
 
         Args:
@@ -68,13 +70,15 @@
         grant = await self._outbox.begin(row)
         match grant.kind:
             case journal_data.GrantKind.GRANTED:
-                return begun.MayRun()
+                return intent_reply.MayRun()
             case journal_data.GrantKind.FINISHED if grant.first:
-                return begun.Finished(grant.first)
+                return intent_reply.Finished(grant.first)
             case (
                 journal_data.GrantKind.RUNNING | journal_data.GrantKind.UNKNOWN
             ):
-                return begun.Unfinished(grant.request_id, _refusal(grant))
+                return intent_reply.Unfinished(
+                    grant.request_id, _refusal(grant)
+                )
             case _:
                 raise refusal.RefusedError(_refusal(grant))
 
--- a/beryllug/entry/cascade_flow.py
+++ b/beryllug/entry/cascade_flow.py
@@ -26,13 +26,13 @@
     chat_bill,
     chat_data,
     headers,
-    parts,
-    seats,
+    flow_dependencies,
+    turn_admission,
     turn_runner,
 )
-from beryllug.parsing import chat_answer
+from beryllug.parsing import chat_response
 
-POLICY = cascade_data.Learnt()
+POLICY = cascade_data.LearntPolicy()
 OK = 200
 MIN_RATING_S = 0.05
 
@@ -58,11 +58,11 @@
 class CascadeFlow:
     """Serves calls of a cascade up to their billing record."""
 
-    def __init__(self, deps: parts.Parts) -> None:
+    def __init__(self, deps: flow_dependencies.FlowDependencies) -> None:
         """Use the given services."""
         self._deps = deps
         self._state = deps.cascades
-        self._turn_admission = seats.TurnAdmission(deps)
+        self._turn_admission = turn_admission.TurnAdmission(deps)
         self._runner = turn_runner.TurnRunner(deps)
         self._bill = chat_bill.ChatBill(deps)
         self._rng = random.Random(0)
@@ -96,7 +96,7 @@
         number: int,
         exchange: http_server.Exchange,
     ) -> None:
-        admitted = self._turn_admission.take(
+        admitted = self._turn_admission.admit_turn(
             cascade_call.call,
             cascade_call.session,
             cascade_call.plan.stages[number],
@@ -108,7 +108,7 @@
                 cascade_call, number, admitted.turn
             )
         finally:
-            self._turn_admission.give_back(admitted)
+            self._turn_admission.release_ticket(admitted)
         now = time.monotonic()
         question = self._question(cascade_call, now)
         decision = cascade.after(
@@ -123,8 +123,8 @@
                 await self._serve_unchecked(
                     cascade_call, stage, (use,), exchange
                 )
-            case cascade_data.GiveOut():
-                cascade.given_out(
+            case cascade_data.ReturnAnswer():
+                cascade.record_returned(
                     self._state, question, checked.answer, escalated=False
                 )
                 await self._deliver(checked, exchange)
@@ -148,7 +148,7 @@
         exchange: http_server.Exchange,
     ) -> None:
         """Run a stage whose answer is sent as it arrives."""
-        admitted = self._turn_admission.take(
+        admitted = self._turn_admission.admit_turn(
             cascade_call.call,
             cascade_call.session,
             cascade_call.plan.stages[number],
@@ -158,10 +158,10 @@
             if earlier or await self._turn_admission.may_run(turn, exchange):
                 await self._runner.run(turn, exchange)
         finally:
-            self._turn_admission.give_back(admitted)
+            self._turn_admission.release_ticket(admitted)
         answer = cascade_data.Answer(number, None)
         question = self._question(cascade_call, time.monotonic())
-        cascade.given_out(
+        cascade.record_returned(
             self._state, question, answer, escalated=bool(earlier)
         )
 
@@ -182,12 +182,12 @@
         judge = self._state.judge
         longest_s = max(rating_health.longest_s(judge), MIN_RATING_S)
         started = time.monotonic()
-        request = rating.RatingAsk(
+        request = rating.RatingRequest(
             turn.call.request_id,
             turn.version.ref,
-            chat_answer.text_of(body),
+            chat_response.extract_text(body),
         )
-        rated = await self._deps.ratings.ask(request, longest_s)
+        rated = await self._deps.ratings.rate_now(request, longest_s)
         now = time.monotonic()
         if rated is None:
             rating_health.missed(judge, now - started, now)
@@ -197,14 +197,14 @@
 
     def _question(
         self, cascade_call: _CascadeCall, now: float
-    ) -> cascade_data.Question:
+    ) -> cascade_data.CascadeRequest:
         """Return the input of the cascade policy, with the time left."""
         facts = cascade_call.call.facts
         offers = (
             self._stage_offer(cascade_call, stage)
             for stage in cascade_call.plan.stages
         )
-        return cascade_data.Question(
+        return cascade_data.CascadeRequest(
             account_id=facts.account_id,
             kind=facts.request_class,
             cascade=cascade_call.declared,
--- a/beryllug/entry/chat.py
+++ b/beryllug/entry/chat.py
@@ -7,8 +7,8 @@
 from beryllug.entry import (
     call_data,
     cascade_flow,
-    parts,
-    seats,
+    flow_dependencies,
+    turn_admission,
     turn_runner,
 )
 
@@ -24,10 +24,10 @@
 class ChatFlow:
     """Serves chat calls from the plan to the billing record."""
 
-    def __init__(self, deps: parts.Parts) -> None:
+    def __init__(self, deps: flow_dependencies.FlowDependencies) -> None:
         """Use the given services."""
         self._deps = deps
-        self._turn_admission = seats.TurnAdmission(deps)
+        self._turn_admission = turn_admission.TurnAdmission(deps)
         self._runner = turn_runner.TurnRunner(deps)
         self._cascade = cascade_flow.CascadeFlow(deps)
 
@@ -45,12 +45,14 @@
         if plan.cascade is not None:
             await self._cascade.serve(call, session, plan, exchange)
             return
-        admitted = self._turn_admission.take(call, session, plan.stages[0])
+        admitted = self._turn_admission.admit_turn(
+            call, session, plan.stages[0]
+        )
         try:
             if await self._turn_admission.may_run(admitted.turn, exchange):
                 await self._runner.run(admitted.turn, exchange)
         finally:
-            self._turn_admission.give_back(admitted)
+            self._turn_admission.release_ticket(admitted)
 
     def _plan(
         self, call: call_data.Call, session: versions.Session
--- a/beryllug/entry/chat_order.py
+++ b/beryllug/entry/chat_attempt_spec.py
@@ -10,26 +10,28 @@
     view_data,
 )
 from beryllug.drivers import engine_data, http_client
-from beryllug.entry import attempts, chat_data, parts
+from beryllug.entry import attempts, chat_data, flow_dependencies
 
 
-def make(deps: parts.Parts, turn: chat_data.Turn) -> attempts.Order:
+def make(
+    deps: flow_dependencies.FlowDependencies, turn: chat_data.Turn
+) -> attempts.AttemptSpec:
     """Return the attempt specification of a turn."""
-    request = engine_data.ChatAsk(
+    request = engine_data.ChatRequest(
         request_id=turn.run_id,
         account_id=turn.call.account.account_id,
         version=turn.version.ref,
         body=turn.call.body,
         priority=request_data.priority(turn.call.facts.targets),
-        fresh=not turn.call.facts.repeatable,
+        new_connection=not turn.call.facts.repeatable,
     )
 
     async def send(  # noqa: WPS430
         server: view_data.BackendServer,
-    ) -> http_client.Incoming:
+    ) -> http_client.IncomingResponse:
         return await deps.engine.chat(server.address, request)
 
-    return attempts.Order(
+    return attempts.AttemptSpec(
         pick=balance_data.Pick(
             turn.version.pool,
             turn.version.ref,
@@ -37,12 +39,12 @@
         ),
         send=send,
         refusal_check=lambda: _refusal_code(deps, turn),
-        probe=turn.probe,
+        observer=turn.observer,
     )
 
 
 def _refusal_code(
-    deps: parts.Parts, turn: chat_data.Turn
+    deps: flow_dependencies.FlowDependencies, turn: chat_data.Turn
 ) -> refusal.Code | None:
     """Return why the turn must not be sent to its version now, or None.
 
--- a/beryllug/entry/chat_bill.py
+++ b/beryllug/entry/chat_bill.py
@@ -13,7 +13,7 @@
     chat_data,
     delivery,
     headers,
-    parts,
+    flow_dependencies,
     routing,
 )
 
@@ -25,7 +25,7 @@
 class ChatBill:
     """Records the outcome of chat answers."""
 
-    def __init__(self, deps: parts.Parts) -> None:
+    def __init__(self, deps: flow_dependencies.FlowDependencies) -> None:
         """Use the given services."""
         self._deps = deps
 
@@ -43,14 +43,14 @@
         self._record_times(turn, attempt, relay.first_at or time.monotonic())
         answer = None
         if not turn.call.facts.repeatable:
-            answer = await self._deps.answers.keep(
+            answer = await self._deps.answers.store(
                 turn.call.request_id,
                 OK,
                 headers.EVENTS_TYPE,
-                bytes(relay.kept),
+                bytes(relay.collected_body),
             )
         self._record_evidence(turn, relay.first_at, failed=False)
-        self._submit_rating(turn, bytes(relay.kept))
+        self._submit_rating(turn, bytes(relay.collected_body))
         await self._deps.bills.finish(
             turn.call,
             journal_data.OutcomeState.DONE,
@@ -81,7 +81,7 @@
         status = opened.incoming.status
         failed = attempts.is_error(status)
         if failed:
-            self._deps.routing.failed(opened.attempt, time.monotonic())
+            self._deps.routing.record_failure(opened.attempt, time.monotonic())
         else:
             self._record_times(turn, opened.attempt, opened.head_at)
             self._submit_rating(turn, body)
@@ -94,7 +94,7 @@
             content_type = opened.incoming.headers.get(
                 headers.CONTENT_TYPE, headers.JSON_TYPE
             )
-            answer = await self._deps.answers.keep(
+            answer = await self._deps.answers.store(
                 turn.call.request_id, status, content_type, body
             )
         use = stage_use_of_body(turn, opened.attempt, body)
@@ -112,7 +112,7 @@
         facts = turn.call.facts
         due = request_data.first_token_by(facts)
         late = first_at is None or first_at > due
-        turn.probe.end(evidence_book.Answer(failed=failed, late=late))
+        turn.observer.end(evidence_book.Answer(failed=failed, late=late))
 
     def _submit_rating(self, turn: chat_data.Turn, answer: bytes) -> None:
         subject = evidence_book.Subject(
@@ -132,7 +132,7 @@
         first_s = first_at - attempt.started
         known = self._deps.admission.estimate(name, facts.request_class)
         ratio = first_s / max(known.first_token_s, MIN_EXPECTED_S)
-        self._deps.routing.answered(attempt, ratio, now)
+        self._deps.routing.record_answer(attempt, ratio, now)
         times = (first_s, now - first_at)
         self._deps.admission.observe(name, facts, times, attempt.load_share)
 
--- a/beryllug/entry/chat_data.py
+++ b/beryllug/entry/chat_data.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from beryllug.core import config_data, journal_data, versions
-from beryllug.entry import call_data, probe
+from beryllug.entry import call_data, attempt_observer
 
 
 class Turn(NamedTuple):
@@ -14,7 +14,7 @@
         session: Its session, with the version that it was pinned to before.
         version: Version that the call runs on.
         moved: Whether the session had to leave its pinned version.
-        probe: Notified of the result of each attempt.
+        observer: Notified of the result of each attempt.
         earlier: Usage of earlier stages of a cascade.
         run_suffix: Suffix of the run id, so that two stages of a call on
             the same engine are distinct runs.
@@ -24,7 +24,7 @@
     session: versions.Session
     version: config_data.Version
     moved: bool
-    probe: probe.Probe
+    observer: attempt_observer.AttemptObserver
     earlier: tuple[journal_data.StageUse, ...] = ()
     run_suffix: str = ''
 
--- a/beryllug/entry/control_calls.py
+++ b/beryllug/entry/control_calls.py
@@ -54,7 +54,7 @@
         raise failure
 
     async def updates(
-        self, request: rpc_data.ViewAsk
+        self, request: rpc_data.ViewRequest
     ) -> AsyncIterator[rpc_data.ViewUpdate]:
         """Yield view updates of the current control process until it fails.
 
--- a/beryllug/entry/control_link.py
+++ b/beryllug/entry/control_link.py
@@ -24,7 +24,7 @@
 RECONNECT_DELAY_S = 0.2
 CONFIRM_TIMEOUT_S = 1.0
 
-Listener = Callable[[view_merge.Known], None]
+Listener = Callable[[view_merge.EntryState], None]
 
 
 class ControlLink:
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        request: rpc_data.ViewAsk,
+        request: rpc_data.ViewRequest,
         cfg: settings_data.Entry,
         calls: control_calls.ControlCalls,
     ) -> None:
@@ -49,7 +49,7 @@
             cfg: Settings.
             calls: Calls to control processes.
         """
-        self.known = view_merge.Known()
+        self.known = view_merge.EntryState()
         self.index = view_index.build(self.known.view)
         self._cfg = cfg
         self._watch_request = request
@@ -85,7 +85,7 @@
             'budgets': [share._asdict() for share in self.known.budgets],
         }
 
-    def listen(self, listener: Listener) -> None:
+    def subscribe(self, listener: Listener) -> None:
         """Register a function to call after each update."""
         self._listeners.append(listener)
 
@@ -123,12 +123,14 @@
         for listener in self._listeners:
             listener(self.known)
         if update.suspects is not None:
-            seen = suspects_data.Seen(self._watch_request.entry, update.number)
+            seen = suspects_data.SuspectsApplied(
+                self._watch_request.entry, update.number
+            )
             task = asyncio.create_task(self._confirm(seen))
             self._confirm_tasks.add(task)
             task.add_done_callback(self._confirm_tasks.discard)
 
-    async def _confirm(self, seen: suspects_data.Seen) -> None:
+    async def _confirm(self, seen: suspects_data.SuspectsApplied) -> None:
         try:
             await self._calls.call(methods.VIEW_SEEN, seen, CONFIRM_TIMEOUT_S)
         except rpc.RpcError as exc:
--- a/beryllug/entry/crashes.py
+++ b/beryllug/entry/crashes.py
@@ -18,12 +18,12 @@
 from beryllug.drivers import http_client, methods, rpc
 from beryllug.entry import (
     call_data,
-    catching_up,
+    suspects_sync,
     control_calls,
     control_link,
     liveness,
     routing,
-    suspicions,
+    known_suspects,
 )
 
 # Seconds by which a report is known on all hosts, of which a control process
@@ -35,7 +35,7 @@
 RETRY_AFTER_S = 1.0
 
 
-class Ticks(catching_up.Ticks, Protocol):
+class Ticks(suspects_sync.Ticks, Protocol):
     """The part of the process clock that this service uses."""
 
     def ran_before(self, noticed: float) -> float:
@@ -60,8 +60,8 @@
         ticks: Ticks,
     ) -> None:
         """Use the given control calls, probe client and process clock."""
-        self.known = suspicions.KnownSuspects(link)
-        self.suspect_sync = catching_up.SuspectSync(calls, self.known, ticks)
+        self.known = known_suspects.KnownSuspects(link)
+        self.suspect_sync = suspects_sync.SuspectSync(calls, self.known, ticks)
         self._entry = entry
         self._calls = calls
         self._client = client
@@ -105,7 +105,7 @@
         Raises:
             RefusedError: It is refused, or no control process answered.
         """
-        request = suspects_data.TrialAsk(
+        request = suspects_data.TrialRequest(
             call.fingerprint,
             server_id,
             trial_id,
@@ -116,22 +116,22 @@
                 methods.TRY_SUSPECT, request, REPORT_TIMEOUT_S
             )
         except rpc.RpcError as exc:
-            raise suspicions.refused(RETRY_AFTER_S) from exc
+            raise known_suspects.refused(RETRY_AFTER_S) from exc
         match reply.verdict:
             case suspects_data.Verdict.REFUSE:
-                raise suspicions.refused(reply.retry_after_s)
+                raise known_suspects.refused(reply.retry_after_s)
             case suspects_data.Verdict.RUN:
                 self.known.forget(call.fingerprint)
             case suspects_data.Verdict.TRY:
                 self._counts['trials'] += 1
         return reply.verdict
 
-    async def suspect(
+    async def report_if_gone(
         self,
         call: call_data.Call,
         attempt: routing.Attempt,
         fingerprints: Sequence[str],
-    ) -> liveness.Found:
+    ) -> liveness.ServerLiveness:
         """Report a crash if the server that closed an attempt is gone.
 
         A server that was checked too late may have crashed and restarted. It
@@ -140,7 +140,7 @@
         """
         return await self._inspect(call, attempt, fingerprints, cut=True)
 
-    def ended(
+    def report_alive(
         self, call: call_data.Call, attempt: routing.Attempt, *, answered: bool
     ) -> None:
         """Report that an attempt ended and its server is alive."""
@@ -152,7 +152,9 @@
             )
             self._start_task(self._report_trial_end(end))
 
-    def answers(self, call: call_data.Call, attempt: routing.Attempt) -> None:
+    def report_answer_started(
+        self, call: call_data.Call, attempt: routing.Attempt
+    ) -> None:
         """Report that the answer of an attempt has begun.
 
         This frees the server for another trial: an answer may take minutes,
@@ -167,7 +169,7 @@
         end = suspects_data.TrialEnd(call.fingerprint, trial_id, answered=False)
         self._start_task(self._report_trial_end(end))
 
-    def watch(
+    def check_in_background(
         self,
         call: call_data.Call,
         attempt: routing.Attempt,
@@ -203,35 +205,37 @@
         fingerprints: Sequence[str],
         *,
         cut: bool,
-    ) -> liveness.Found:
+    ) -> liveness.ServerLiveness:
         found = await self._check_server(attempt, cut=cut)
-        if found is liveness.Found.LIVES:
-            self.ended(call, attempt, answered=False)
+        if found is liveness.ServerLiveness.ALIVE:
+            self.report_alive(call, attempt, answered=False)
         else:
             await self._report(call, attempt, fingerprints)
         return found
 
     async def _check_server(
         self, attempt: routing.Attempt, *, cut: bool
-    ) -> liveness.Found:
+    ) -> liveness.ServerLiveness:
         now = time.monotonic()
         last_alive_at = max(attempt.started, self._ticks.ran_before(now))
-        check = await liveness.look(self._client, attempt.server.address)
+        check = await liveness.check_server(
+            self._client, attempt.server.address
+        )
         if check.gone:
-            return liveness.Found.GONE
+            return liveness.ServerLiveness.GONE
         # The process may have been stalled before the check or during it.
         unobserved_s = check.at - last_alive_at
         stood_until = self._ticks.stood_until(time.monotonic())
         is_late = unobserved_s > MIN_RESTART_S or stood_until > check.at
         if not cut or not is_late:
-            return liveness.Found.LIVES
+            return liveness.ServerLiveness.ALIVE
         self._counts['unknown'] += 1
         logging.warning(
             'event=server_seen_late server=%s unseen_s=%.3f',
             attempt.server.server_id,
             unobserved_s,
         )
-        return liveness.Found.UNKNOWN
+        return liveness.ServerLiveness.UNKNOWN
 
     async def _report(
         self,
@@ -249,7 +253,7 @@
             tried=call.fingerprint if attempt.trial_id else '',
             trial_id=attempt.trial_id,
         )
-        self.known.reported(report)
+        self.known.record_report(report)
         try:
             await self._calls.call(methods.CRASH, report, REPORT_TIMEOUT_S)
         except rpc.RpcError as exc:
--- a/beryllug/entry/crashes_test.py
+++ b/beryllug/entry/crashes_test.py
@@ -18,7 +18,7 @@
 SERVER = view_data.BackendServer(
     's0', '127.0.0.1:9', 'zone-1', 'booking', view_data.ServerState.LIVE
 )
-Found = liveness.Found
+ServerLiveness = liveness.ServerLiveness
 
 
 class _FakeControl:
@@ -66,7 +66,7 @@
     """
 
     title: str
-    found: Found
+    found: ServerLiveness
     ago_s: float = 0.1
     sent_ago_s: float = 5.0
     refuses: bool = False
@@ -75,18 +75,20 @@
 
 
 CASES = (
-    Case('seen at once, it answers', Found.LIVES),
-    Case('seen at once, it refuses', Found.GONE, refuses=True),
-    Case('seen late, it answers', Found.UNKNOWN, ago_s=0.8),
-    Case('seen late, it refuses', Found.GONE, ago_s=0.8, refuses=True),
+    Case('seen at once, it answers', ServerLiveness.ALIVE),
+    Case('seen at once, it refuses', ServerLiveness.GONE, refuses=True),
+    Case('seen late, it answers', ServerLiveness.UNKNOWN, ago_s=0.8),
+    Case('seen late, it refuses', ServerLiveness.GONE, ago_s=0.8, refuses=True),
     Case(
         'stalled during the check',
-        Found.UNKNOWN,
+        ServerLiveness.UNKNOWN,
         stalls=True,
         answer_delay_s=0.4,
     ),
-    Case('the server answers late', Found.LIVES, answer_delay_s=0.4),
-    Case('sent after the stall', Found.LIVES, ago_s=0.8, sent_ago_s=0.1),
+    Case('the server answers late', ServerLiveness.ALIVE, answer_delay_s=0.4),
+    Case(
+        'sent after the stall', ServerLiveness.ALIVE, ago_s=0.8, sent_ago_s=0.1
+    ),
 )
 
 
@@ -100,11 +102,11 @@
                 calls = _FakeControl()
                 reports = _reports(calls, case)
                 call, attempt = _attempt(case)
-                found = await reports.suspect(call, attempt, ('a:bad',))
+                found = await reports.report_if_gone(call, attempt, ('a:bad',))
                 self.assertEqual(found, case.found)
                 self.assertEqual(
                     _reported_servers(calls),
-                    [] if found is Found.LIVES else ['s0'],
+                    [] if found is ServerLiveness.ALIVE else ['s0'],
                 )
 
     async def test_streams(self) -> None:
@@ -115,17 +117,19 @@
                     calls = _FakeControl()
                     reports = _reports(calls, case)
                     call, attempt = _attempt(case)
-                    reports.watch(call, attempt, ('a:bad',), cut=cut)
+                    reports.check_in_background(
+                        call, attempt, ('a:bad',), cut=cut
+                    )
                     await reports.stop(0)
                     known = case.refuses or cut
-                    lost = known and case.found is not Found.LIVES
+                    lost = known and case.found is not ServerLiveness.ALIVE
                     self.assertEqual(
                         _reported_servers(calls), ['s0'] if lost else []
                     )
 
 
 def _reports(calls: _FakeControl, case: Case) -> crashes.Crashes:
-    request = rpc_data.ViewAsk('e', 'zone-1')
+    request = rpc_data.ViewRequest('e', 'zone-1')
     link = control_link.ControlLink(
         request, cast('Any', None), cast('Any', calls)
     )
--- a/beryllug/entry/delivery.py
+++ b/beryllug/entry/delivery.py
@@ -24,8 +24,8 @@
     Attributes:
         tail: Last bytes, which show the usage and whether it is complete.
         events: Number of events received.
-        held: End of the answer, not yet sent.
-        kept: The whole body, if it is collected.
+        unsent_end: End of the answer, not yet sent.
+        collected_body: The whole body, if it is collected.
         caller_gone: Whether the client has disconnected.
         first_at: Monotonic second of the first byte, None before it.
     """
@@ -44,8 +44,8 @@
         """
         self.tail = engine_stream.StreamTail()
         self.events = 0
-        self.held = b''
-        self.kept = bytearray()
+        self.unsent_end = b''
+        self.collected_body = bytearray()
         self.caller_gone = False
         self.first_at: float | None = None
         self._call = call
@@ -57,7 +57,7 @@
         """Return whether the rest of the answer is of no use to anyone."""
         return self.caller_gone and self._call.facts.repeatable
 
-    async def forward(self, incoming: http_client.Incoming) -> None:
+    async def forward(self, incoming: http_client.IncomingResponse) -> None:
         """Forward the stream of an engine to its end or until abandoned.
 
         Raises:
@@ -73,7 +73,7 @@
     async def finish(self) -> None:
         """Send the end of the answer, which was held back."""
         if not self.caller_gone:
-            await self._exchange.finish(self.held)
+            await self._exchange.finish(self.unsent_end)
 
     async def fail(self, event: bytes) -> None:
         """End the answer with an error event and abort the connection.
@@ -91,10 +91,10 @@
         self.events += chunk.count(EVENT_PREFIX)
         self.tail.feed(chunk)
         if self._keep:
-            self.kept += chunk
-        pending = self.held + chunk if self.held else chunk
+            self.collected_body += chunk
+        pending = self.unsent_end + chunk if self.unsent_end else chunk
         position = _end_marker_start(pending)
-        self.held = pending[position:]
+        self.unsent_end = pending[position:]
         return pending[:position]
 
     async def _send(self, ready: bytes) -> None:
@@ -107,7 +107,7 @@
 
 
 async def read_whole(
-    call: call_data.Call, incoming: http_client.Incoming
+    call: call_data.Call, incoming: http_client.IncomingResponse
 ) -> bytes:
     """Read a whole answer before the deadline.
 
--- a/beryllug/entry/delivery_test.py
+++ b/beryllug/entry/delivery_test.py
@@ -65,7 +65,7 @@
         """Chunks of one byte are forwarded."""
         relay, exchange = _relay(repeatable=True)
         await relay.forward(_incoming([bytes([byte]) for byte in TEXT]))
-        self.assertTrue(relay.tail.is_whole())
+        self.assertTrue(relay.tail.reached_end())
         await relay.finish()
         self.assertEqual(exchange.sent, TEXT)
 
@@ -94,7 +94,7 @@
                 await relay.forward(_incoming(PIECES))
                 self.assertTrue(relay.caller_gone)
                 self.assertEqual(relay.is_abandoned, repeatable)
-                self.assertEqual(bytes(relay.kept), kept)
+                self.assertEqual(bytes(relay.collected_body), kept)
 
     async def test_broken_is_cut(self) -> None:
         """A partial answer does not look complete to its client."""
--- a/beryllug/entry/exposure.py
+++ b/beryllug/entry/exposure.py
@@ -14,13 +14,13 @@
 from absl import logging
 
 from beryllug.core import (
-    brake,
+    circuit_breaker,
     config_data,
     evidence_book,
     view_merge,
 )
 from beryllug.drivers import methods, rating, rpc
-from beryllug.parsing import chat_answer
+from beryllug.parsing import chat_response
 from beryllug.entry import control_calls, control_link, ratings
 
 REPORT_INTERVAL_S = 0.25
@@ -51,14 +51,16 @@
         """
         self._calls = calls
         self._ratings = rated
-        self._evidence = evidence_book.Book(boot)
-        self._breakers: dict[config_data.VersionRef, brake.Brake] = {}
+        self._evidence = evidence_book.EvidenceBuffer(boot)
+        self._breakers: dict[
+            config_data.VersionRef, circuit_breaker.CircuitBreaker
+        ] = {}
         self._rollouts_by_version: RolloutsByVersion = {}
         self._document = link.known.view.document
         self._task: asyncio.Task[None] | None = None
         self._reported_at = float('-inf')
         self._rng = random.Random(boot)
-        link.listen(self._on_view)
+        link.subscribe(self._on_view)
 
     async def start(self) -> None:
         """Start reporting."""
@@ -78,7 +80,7 @@
                 'total': state.total,
                 'given': state.given,
                 'open': state.open,
-                'held': brake.is_held(state, now),
+                'held': circuit_breaker.is_blocked(state, now),
             }
             for ref, state in self._breakers.items()
         }
@@ -92,7 +94,7 @@
         """Return the remaining number of answers of each candidate."""
         now = time.monotonic()
         return {
-            ref: brake.remaining(state, now)
+            ref: circuit_breaker.remaining(state, now)
             for ref, state in self._breakers.items()
         }
 
@@ -102,7 +104,7 @@
             evidence_book.start(self._evidence, subject)
         state = self._breakers.get(subject.version)
         if state is not None:
-            brake.give(state)
+            circuit_breaker.record_dispatch(state)
 
     def end(
         self, subject: evidence_book.Subject, answer: evidence_book.Answer
@@ -114,7 +116,7 @@
         state = self._breakers.get(subject.version)
         if state is None:
             return
-        if brake.end(state, outcome, time.monotonic()):
+        if circuit_breaker.record_outcome(state, outcome, time.monotonic()):
             logging.warning(
                 'event=brake version=%s outcome=%s',
                 _version_name(subject.version),
@@ -151,8 +153,8 @@
             return
         is_candidate = subject.version.version == rollout.candidate
         wanted = is_candidate or self._rng.random() < INCUMBENT_RATED_SHARE
-        request = rating.RatingAsk(
-            request_id, subject.version, chat_answer.text_of(answer)
+        request = rating.RatingRequest(
+            request_id, subject.version, chat_response.extract_text(answer)
         )
 
         def record(rated: float | None) -> None:  # noqa: WPS430
@@ -166,10 +168,12 @@
         if not wanted or not self._ratings.submit(request, record):
             record(None)
 
-    def _on_view(self, known: view_merge.Known) -> None:
+    def _on_view(self, known: view_merge.EntryState) -> None:
         for share in known.budgets:
-            state = self._breakers.setdefault(share.version, brake.Brake())
-            brake.deal(state, share.total)
+            state = self._breakers.setdefault(
+                share.version, circuit_breaker.CircuitBreaker()
+            )
+            circuit_breaker.raise_total(state, share.total)
         if known.view.document is not self._document:
             self._document = known.view.document
             self._rollouts_by_version = _rollouts_by_version(self._document)
@@ -186,7 +190,7 @@
         blocked_versions = tuple(
             ref
             for ref, state in self._breakers.items()
-            if brake.is_held(state, now)
+            if circuit_breaker.is_blocked(state, now)
         )
         report = evidence_book.report(self._evidence, blocked_versions)
         try:
@@ -226,10 +230,14 @@
     }
 
 
-def _outcome(answer: evidence_book.Answer) -> brake.Outcome:
+def _outcome(answer: evidence_book.Answer) -> circuit_breaker.Outcome:
     if answer.crashed:
-        return brake.Outcome.CRASHED
-    return brake.Outcome.FAILED if answer.failed else brake.Outcome.GOOD
+        return circuit_breaker.Outcome.CRASHED
+    return (
+        circuit_breaker.Outcome.FAILED
+        if answer.failed
+        else circuit_breaker.Outcome.GOOD
+    )
 
 
 def _version_name(ref: config_data.VersionRef) -> str:
--- a/beryllug/entry/fetches.py
+++ b/beryllug/entry/fetches.py
@@ -14,7 +14,7 @@
     view_index,
 )
 from beryllug.drivers import http_data, http_server
-from beryllug.entry import intake, parts, recovery, replays
+from beryllug.entry import intake, flow_dependencies, recovery, replays
 
 PREFIX = '/v1/requests/'
 RETRY_AFTER_S = 1.0
@@ -24,7 +24,7 @@
 class FetchFlow:
     """Serves ``GET /v1/requests/ID``."""
 
-    def __init__(self, deps: parts.Parts) -> None:
+    def __init__(self, deps: flow_dependencies.FlowDependencies) -> None:
         """Use the given services."""
         self._deps = deps
         self._recovery = recovery.Recovery(deps)
@@ -73,7 +73,7 @@
         self, account_id: str, wanted_id: str, kind: journal_data.RowKind
     ) -> journal_data.Row | None:
         family = request_id.family_of(wanted_id)
-        request = rpc_data.LookupAsk(account_id, family, kind)
+        request = rpc_data.LookupRequest(account_id, family, kind)
         reply = await self._deps.outbox.lookup(request)
         if not reply.available:
             raise _unavailable()
