--- a/beryllug/entry/parts.py
+++ b/beryllug/entry/flow_dependencies.py
@@ -19,7 +19,7 @@
 )
 
 
-class Parts(NamedTuple):
+class FlowDependencies(NamedTuple):
     """Services of an entry process used by the request flows."""
 
     link: control_link.ControlLink
--- a/beryllug/entry/begun.py
+++ b/beryllug/entry/intent_reply.py
@@ -34,4 +34,4 @@
     refused: refusal.Refusal
 
 
-Begun = MayRun | Finished | Unfinished
+IntentReply = MayRun | Finished | Unfinished
--- a/beryllug/entry/suspicions.py
+++ b/beryllug/entry/known_suspects.py
@@ -24,7 +24,7 @@
         self._view_suspects: tuple[rpc_data.Suspect, ...] = ()
         self._known: dict[str, rpc_data.Suspect] = {}
         self._local = suspects_data.Table()
-        link.listen(self._on_view)
+        link.subscribe(self._on_view)
 
     def dump(self) -> dict[str, int]:
         """Return the numbers of known suspects by source."""
@@ -38,11 +38,13 @@
             if known.trial_server
         )
 
-    def reported(self, report: rpc_data.CrashReport) -> None:
+    def record_report(self, report: rpc_data.CrashReport) -> None:
         """Record a crash report of this process."""
-        suspects.reported(self._local, report, report.at)
+        suspects.record_report(self._local, report, report.at)
 
-    def learnt(self, notes: tuple[suspects_data.Note, ...], now: float) -> None:
+    def merge_notes(
+        self, notes: tuple[suspects_data.SuspectNote, ...], now: float
+    ) -> None:
         """Merge the suspects that a control process knows.
 
         Args:
@@ -75,7 +77,7 @@
             raise refused(suspects.kept_until(note) - now)
         return suspects.is_suspect(note, now)
 
-    def _on_view(self, known: view_merge.Known) -> None:
+    def _on_view(self, known: view_merge.EntryState) -> None:
         if known.suspects is not self._view_suspects:
             self._view_suspects = known.suspects
             self._known = {
--- a/beryllug/entry/liveness.py
+++ b/beryllug/entry/liveness.py
@@ -12,19 +12,19 @@
 PROBE_INTERVAL_S = 0.02
 # A model engine reports its load; a plain service answers 404 or anything else.
 # Any response shows that the server is alive.
-PROBE_REQUEST = http_data.Outgoing('GET', '/v1/load', {}, fresh=True)
+PROBE_REQUEST = http_data.Outgoing('GET', '/v1/load', {}, new_connection=True)
 
 
-class Found(enum.Enum):
+class ServerLiveness(enum.Enum):
     """State of a server whose connection broke."""
 
-    LIVES = 'lives'
+    ALIVE = 'lives'
     GONE = 'gone'
     # It answers, but may have crashed and restarted.
     UNKNOWN = 'unknown'
 
 
-class Look(NamedTuple):
+class CheckResult(NamedTuple):
     """Result of a check of a server.
 
     Attributes:
@@ -36,7 +36,9 @@
     at: float
 
 
-async def look(client: http_client.HttpClient, address: str) -> Look:
+async def check_server(
+    client: http_client.HttpClient, address: str
+) -> CheckResult:
     """Check whether a server refuses connections.
 
     A server that accepts a connection but sends nothing is frozen, not gone. A
@@ -48,7 +50,7 @@
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 await client.call(address, PROBE_REQUEST)
         except http_data.NotSentError:
-            return Look(gone=True, at=at)
+            return CheckResult(gone=True, at=at)
         except http_data.BrokenError:
             # The server may be shutting down, with its port still open.
             await asyncio.sleep(PROBE_INTERVAL_S)
@@ -56,4 +58,4 @@
             break
         else:
             break
-    return Look(gone=False, at=at)
+    return CheckResult(gone=False, at=at)
--- a/beryllug/entry/outbox.py
+++ b/beryllug/entry/outbox.py
@@ -74,7 +74,9 @@
             self._pending.pop(row.request_id, None)
         return durable
 
-    async def lookup(self, request: rpc_data.LookupAsk) -> rpc_data.LookupReply:
+    async def lookup(
+        self, request: rpc_data.LookupRequest
+    ) -> rpc_data.LookupReply:
         """Look up the latest row of a kind under a key."""
         try:
             return await self._calls.call(
--- a/beryllug/entry/plain.py
+++ b/beryllug/entry/plain.py
@@ -11,12 +11,12 @@
 from beryllug.drivers import http_client, http_data, http_server, plain_service
 from beryllug.entry import (
     attempts,
-    begun,
+    intent_reply,
     call_data,
     delivery,
     headers,
-    parts,
-    probe,
+    flow_dependencies,
+    attempt_observer,
     replays,
     routing,
 )
@@ -27,7 +27,7 @@
 class PlainFlow:
     """Serves calls of plain services from admission to billing."""
 
-    def __init__(self, deps: parts.Parts) -> None:
+    def __init__(self, deps: flow_dependencies.FlowDependencies) -> None:
         """Use the given services."""
         self._deps = deps
 
@@ -54,7 +54,7 @@
         deps = self._deps
         if not call.facts.repeatable:
             first = await deps.bills.begin(call, call.facts.asked)
-            if not isinstance(first, begun.MayRun):
+            if not isinstance(first, intent_reply.MayRun):
                 await self._answer_from_first(first, exchange)
                 return
         try:
@@ -69,13 +69,13 @@
 
     async def _answer_from_first(
         self,
-        first: begun.Finished | begun.Unfinished,
+        first: intent_reply.Finished | intent_reply.Unfinished,
         exchange: http_server.Exchange,
     ) -> None:
         match first:
-            case begun.Finished(row=row):
+            case intent_reply.Finished(row=row):
                 await replays.replay_first(self._deps.answers, row, exchange)
-            case begun.Unfinished(refused=refused):
+            case intent_reply.Unfinished(refused=refused):
                 raise refusal.RefusedError(refused)
 
     async def _deliver(
@@ -89,7 +89,7 @@
         try:
             body = await delivery.read_whole(call, incoming)
         except (http_data.BrokenError, TimeoutError):
-            self._deps.routing.failed(opened.attempt, time.monotonic())
+            self._deps.routing.record_failure(opened.attempt, time.monotonic())
             broken = refusal.Refusal(
                 refusal.Code.BACKEND_FAILED,
                 'the service broke off its answer',
@@ -116,10 +116,10 @@
         state = journal_data.OutcomeState.DONE
         if failed:
             state = journal_data.OutcomeState.FAILED
-            self._deps.routing.failed(opened.attempt, time.monotonic())
+            self._deps.routing.record_failure(opened.attempt, time.monotonic())
         answer = None
         if not call.facts.repeatable:
-            answer = await self._deps.answers.keep(
+            answer = await self._deps.answers.store(
                 call.request_id, incoming.status, _content_type(incoming), body
             )
         use = journal_data.StageUse(
@@ -141,7 +141,7 @@
             call.facts.asked, call.facts.request_class
         )
         ratio = first_s / max(known.first_token_s, MIN_EXPECTED_S)
-        self._deps.routing.answered(attempt, ratio, now)
+        self._deps.routing.record_answer(attempt, ratio, now)
         self._deps.admission.observe(
             call.facts.asked,
             call.facts,
@@ -149,19 +149,19 @@
             attempt.load_share,
         )
 
-    def _order(self, call: call_data.Call, pool: str) -> attempts.Order:
+    def _order(self, call: call_data.Call, pool: str) -> attempts.AttemptSpec:
         request = _service_request(call)
 
         async def send(  # noqa: WPS430
             server: view_data.BackendServer,
-        ) -> http_client.Incoming:
+        ) -> http_client.IncomingResponse:
             return await self._deps.plain.call(server.address, request)
 
-        return attempts.Order(
+        return attempts.AttemptSpec(
             pick=balance_data.Pick(pool),
             send=send,
             refusal_check=lambda: self._refusal_code(call),
-            probe=probe.NullObserver(),
+            observer=attempt_observer.NullObserver(),
         )
 
     def _refusal_code(self, call: call_data.Call) -> refusal.Code | None:
@@ -178,8 +178,8 @@
         return None if allowed else refusal.Code.NOT_ALLOWED
 
 
-def _service_request(call: call_data.Call) -> plain_service.PlainAsk:
-    return plain_service.PlainAsk(
+def _service_request(call: call_data.Call) -> plain_service.PlainRequest:
+    return plain_service.PlainRequest(
         request_id=call.request_id,
         account_id=call.account.account_id,
         method=call.method,
@@ -187,9 +187,9 @@
         body=call.body,
         content_type=call.content_type,
         idempotency_key=call.idempotency_key,
-        fresh=not call.facts.repeatable,
+        new_connection=not call.facts.repeatable,
     )
 
 
-def _content_type(incoming: http_client.Incoming) -> str:
+def _content_type(incoming: http_client.IncomingResponse) -> str:
     return incoming.headers.get(headers.CONTENT_TYPE, headers.JSON_TYPE)
--- a/beryllug/entry/ratings.py
+++ b/beryllug/entry/ratings.py
@@ -15,7 +15,7 @@
 class Ratings:
     """Service 'ratings' of an entry process."""
 
-    def __init__(self, rater: rating.Rater | None) -> None:
+    def __init__(self, rater: rating.RatingService | None) -> None:
         """Use the given rating service, if there is one."""
         self._rater = rater
         self._pending: set[asyncio.Task[None]] = set()
@@ -33,8 +33,8 @@
         """Return the number of open ratings and counts by result."""
         return {'open': len(self._pending), **self._counts}
 
-    async def ask(
-        self, request: rating.RatingAsk, timeout_s: float
+    async def rate_now(
+        self, request: rating.RatingRequest, timeout_s: float
     ) -> float | None:
         """Rate an answer now; return None without a rating in time."""
         if self._rater is None:
@@ -46,7 +46,7 @@
             return None
 
     def submit(
-        self, request: rating.RatingAsk, on_rated: RatingCallback
+        self, request: rating.RatingRequest, on_rated: RatingCallback
     ) -> bool:
         """Rate an answer in the background.
 
@@ -67,8 +67,8 @@
         return True
 
     async def _rate(
-        self, request: rating.RatingAsk, on_rated: RatingCallback
+        self, request: rating.RatingRequest, on_rated: RatingCallback
     ) -> None:
-        rated = await self.ask(request, RATING_TIMEOUT_S)
+        rated = await self.rate_now(request, RATING_TIMEOUT_S)
         self._counts['rated'] += rated is not None
         on_rated(rated)
--- a/beryllug/entry/recovery.py
+++ b/beryllug/entry/recovery.py
@@ -12,7 +12,7 @@
 
 from beryllug.core import config_data, journal_data, request_id, rpc_data
 from beryllug.drivers import engine_stream, http_client, http_data
-from beryllug.entry import chat_bill, chat_data, headers, parts
+from beryllug.entry import chat_bill, chat_data, headers, flow_dependencies
 
 OK = 200
 
@@ -20,7 +20,7 @@
 class Recovery:
     """Finds answers on the engines by request id."""
 
-    def __init__(self, deps: parts.Parts) -> None:
+    def __init__(self, deps: flow_dependencies.FlowDependencies) -> None:
         """Use the given services."""
         self._deps = deps
 
@@ -54,7 +54,7 @@
     async def _find_intent(
         self, account_id: str, wanted_id: str
     ) -> journal_data.Row | None:
-        request = rpc_data.LookupAsk(
+        request = rpc_data.LookupRequest(
             account_id,
             request_id.family_of(wanted_id),
             journal_data.RowKind.INTENT,
@@ -96,7 +96,7 @@
         found: tuple[str, bytes],
     ) -> journal_data.Row:
         media_type, body = found
-        answer = await self._deps.answers.keep(
+        answer = await self._deps.answers.store(
             intent.request_id, OK, media_type, body
         )
         use = chat_bill.stage_use_of_stored(version, server_id, body)
@@ -104,13 +104,13 @@
         return await self._deps.bills.finish_for_lost_entry(intent, use, answer)
 
 
-def _is_whole(incoming: http_client.Incoming, body: bytes) -> bool:
+def _is_whole(incoming: http_client.IncomingResponse, body: bytes) -> bool:
     if _media_type(incoming) != headers.EVENTS_TYPE:
         return bool(body)
     tail = engine_stream.StreamTail()
     tail.feed(body)
-    return tail.is_whole()
+    return tail.reached_end()
 
 
-def _media_type(incoming: http_client.Incoming) -> str:
+def _media_type(incoming: http_client.IncomingResponse) -> str:
     return incoming.headers.get(headers.CONTENT_TYPE, headers.JSON_TYPE)
--- a/beryllug/entry/routing.py
+++ b/beryllug/entry/routing.py
@@ -61,7 +61,7 @@
         self._declared = (view_data.EMPTY_VIEW.document, no_servers)
         self._running: dict[str, dict[str, str]] = {}
         self._rng = random.Random(entry)
-        link.listen(self._on_view)
+        link.subscribe(self._on_view)
 
     async def start(self) -> None:
         """Do nothing: the link's updates drive this service."""
@@ -79,7 +79,7 @@
                 'failures': seen.failures,
                 'ejections': seen.ejections,
             }
-            for server_id, seen in self._state.tracks.items()
+            for server_id, seen in self._state.server_stats.items()
         }
         return {'servers': tracks, 'retries': dict(retry.dump(self._retries))}
 
@@ -100,14 +100,14 @@
         """Return an attempt on a selected server, with its current load."""
         pool = self._fleet.get(pick.pool)
         slots = pool.pool.concurrency if pool else 1
-        seen = server_load.track(self._state, server.server_id)
+        seen = server_load.stats_of(self._state, server.server_id)
         load_share = server_load.load_of(seen, now) / slots
         return Attempt(server, pick.pool, pick.version, now, load_share)
 
     def begin(self, call: call_data.Call, attempt: Attempt) -> None:
         """Count a dispatch; called before the first await after `choose`."""
         server_id = attempt.server.server_id
-        server_load.dispatched(self._state, server_id, attempt.started)
+        server_load.record_dispatch(self._state, server_id, attempt.started)
         running = self._running.setdefault(server_id, {})
         running[call.request_id] = call.fingerprint
 
@@ -116,9 +116,9 @@
         server_id = attempt.server.server_id
         running = self._running.get(server_id, {})
         if running.pop(call.request_id, None) is not None:
-            server_load.finished(self._state, server_id, now)
+            server_load.record_end(self._state, server_id, now)
 
-    def failed(
+    def record_failure(
         self, attempt: Attempt, now: float, *, gone: bool = False
     ) -> None:
         """Record a failure caused by the server.
@@ -126,13 +126,13 @@
         A server that is gone is ejected at once rather than after more
         failures, each of which would use up an attempt of another request.
         """
-        seen = server_load.track(self._state, attempt.server.server_id)
+        seen = server_load.stats_of(self._state, attempt.server.server_id)
         if not gone:
-            ejection.failed(seen, now)
-        elif not ejection.is_out(seen, now):
-            ejection.eject(seen, now, ejection.MOST_FAILING_S)
+            ejection.record_failure(seen, now)
+        elif not ejection.is_ejected(seen, now):
+            ejection.eject(seen, now, ejection.MAX_FAILING_PAUSE_S)
 
-    def answered(self, attempt: Attempt, ratio: float, now: float) -> None:
+    def record_answer(self, attempt: Attempt, ratio: float, now: float) -> None:
         """Record an answer.
 
         Args:
@@ -140,17 +140,19 @@
             ratio: Observed time to first token, divided by the expected one.
             now: Current monotonic second.
         """
-        seen = server_load.track(self._state, attempt.server.server_id)
-        ejection.succeeded(seen, ratio)
+        seen = server_load.stats_of(self._state, attempt.server.server_id)
+        ejection.record_success(seen, ratio)
         pool = self._fleet.get(attempt.pool)
         members = pool.members if pool else ()
         tracks = [
-            server_load.track(self._state, member.server.server_id)
+            server_load.stats_of(self._state, member.server.server_id)
             for member in members
         ]
         ejection.eject_slow(tracks, now)
 
-    def room(self, pool_name: str, entries: int, now: float) -> limits.Room:
+    def room(
+        self, pool_name: str, entries: int, now: float
+    ) -> limits.PoolCapacity:
         """Return the current capacity and load of a pool.
 
         Args:
@@ -161,39 +163,41 @@
         pool = self._fleet.get(pool_name)
         members = pool.members if pool else ()
         tracks = [
-            server_load.track(self._state, member.server.server_id)
+            server_load.stats_of(self._state, member.server.server_id)
             for member in members
         ]
-        healthy = [seen for seen in tracks if not ejection.is_out(seen, now)]
+        healthy = [
+            seen for seen in tracks if not ejection.is_ejected(seen, now)
+        ]
         slots = pool.pool.concurrency * len(healthy) if pool else 0
         load = sum(server_load.load_of(seen, now) for seen in healthy)
-        return limits.Room(pool_name, slots, load, entries)
+        return limits.PoolCapacity(pool_name, slots, load, entries)
 
     def fingerprints_on(self, server_id: str) -> tuple[str, ...]:
         """Return the fingerprints of this process's requests on a server."""
         return tuple(self._running.get(server_id, {}).values())
 
-    def busy(self) -> frozenset[str]:
+    def busy_servers(self) -> frozenset[str]:
         """Return the servers that run requests of this process."""
         return frozenset(
             server_id for server_id, runs in self._running.items() if runs
         )
 
-    def first_try(self, pool: str) -> None:
+    def count_first_attempt(self, pool: str) -> None:
         """Count a first attempt, which adds to the pool's retry budget."""
-        retry.first_try(self._retries, pool)
+        retry.record_first_attempt(self._retries, pool)
 
     def may_retry(
         self, attempt: retry.Attempt, now: float
-    ) -> retry.Again | retry.Denial:
+    ) -> retry.RetryAfter | retry.Denial:
         """Decide whether to retry a failed attempt."""
         jitter = self._rng.random()
         return retry.may_retry(self._retries, attempt, now, jitter)
 
-    def _on_view(self, known: view_merge.Known) -> None:
+    def _on_view(self, known: view_merge.EntryState) -> None:
         view = known.view
         offset = time.monotonic() - time.time()
-        server_load.report(self._state, view.loads, offset)
+        server_load.apply_reports(self._state, view.loads, offset)
         declared = (view.document, view.servers)
         if declared != self._declared:
             self._declared = declared
--- a/beryllug/entry/sessions.py
+++ b/beryllug/entry/sessions.py
@@ -101,7 +101,7 @@
         if known is not None:
             return known
         reply = await self._outbox.lookup(
-            rpc_data.LookupAsk(
+            rpc_data.LookupRequest(
                 call.account.account_id, family, journal_data.RowKind.SESSION
             )
         )
--- a/beryllug/entry/catching_up.py
+++ b/beryllug/entry/suspects_sync.py
@@ -13,7 +13,7 @@
 
 from beryllug.core import suspects_data
 from beryllug.drivers import methods, rpc
-from beryllug.entry import control_calls, suspicions
+from beryllug.entry import control_calls, known_suspects
 
 SYNC_TIMEOUT_S = 0.3
 
@@ -31,7 +31,7 @@
     def __init__(
         self,
         calls: control_calls.ControlCalls,
-        known: suspicions.KnownSuspects,
+        known: known_suspects.KnownSuspects,
         ticks: Ticks,
     ) -> None:
         """Use the given control calls, known suspects and clock."""
@@ -66,4 +66,4 @@
         except (rpc.RpcError, TimeoutError) as exc:
             logging.warning('event=suspects_not_learnt error=%r', exc)
             return
-        self._known.learnt(reply.notes, time.time())
+        self._known.merge_notes(reply.notes, time.time())
--- a/beryllug/entry/catching_up_test.py
+++ b/beryllug/entry/suspects_sync_test.py
@@ -8,10 +8,10 @@
 from beryllug.core import rpc_data, suspects_data
 from beryllug.drivers import rpc
 from beryllug.entry import (
-    catching_up,
+    suspects_sync,
     control_link,
     delivery_test,
-    suspicions,
+    known_suspects,
 )
 
 REQUESTS = 20
@@ -39,7 +39,7 @@
         if not self._answers:
             raise rpc.RpcError('UNAVAILABLE', '')
         loss = suspects_data.Loss('s0', '', time.time())
-        note = suspects_data.Note(_call().fingerprint, (loss,))
+        note = suspects_data.SuspectNote(_call().fingerprint, (loss,))
         return suspects_data.Notes((note,))
 
 
@@ -52,7 +52,7 @@
             with self.subTest(answers=answers):
                 process = _FakeControl(answers=answers)
                 known = _suspicions(process)
-                sync = catching_up.SuspectSync(
+                sync = suspects_sync.SuspectSync(
                     cast('Any', process), known, process
                 )
                 await self._send(sync)
@@ -67,22 +67,22 @@
         """Guards against one full timeout per silent control process."""
         process = _FakeControl(answers=True, silent=True)
         known = _suspicions(process)
-        sync = catching_up.SuspectSync(cast('Any', process), known, process)
+        sync = suspects_sync.SuspectSync(cast('Any', process), known, process)
         process.resumed_at = time.monotonic()
         await self._send(sync)
         waited_s = time.monotonic() - process.resumed_at
-        self.assertLess(waited_s, 2 * catching_up.SYNC_TIMEOUT_S)
+        self.assertLess(waited_s, 2 * suspects_sync.SYNC_TIMEOUT_S)
 
-    async def _send(self, sync: catching_up.SuspectSync) -> None:
+    async def _send(self, sync: suspects_sync.SuspectSync) -> None:
         waiting = (sync.catch_up() for _ in range(REQUESTS))
         await asyncio.gather(*waiting)
 
 
-def _suspicions(process: _FakeControl) -> suspicions.KnownSuspects:
-    request = rpc_data.ViewAsk('e', 'zone-1')
+def _suspicions(process: _FakeControl) -> known_suspects.KnownSuspects:
+    request = rpc_data.ViewRequest('e', 'zone-1')
     calls = cast('Any', process)
     link = control_link.ControlLink(request, cast('Any', None), calls)
-    return suspicions.KnownSuspects(link)
+    return known_suspects.KnownSuspects(link)
 
 
 def _call() -> Any:
--- a/beryllug/entry/trials.py
+++ b/beryllug/entry/trials.py
@@ -20,7 +20,7 @@
 Servers = frozenset[str]
 
 
-class Place(NamedTuple):
+class SelectedServer(NamedTuple):
     """The server of an attempt, if any, and the id of its trial, if any."""
 
     server: view_data.BackendServer | None
@@ -37,9 +37,9 @@
         self._routing = routes
         self._crashes = crash_reports
 
-    async def place(
+    async def select_server(
         self, call: call_data.Call, pick: balance_data.Pick
-    ) -> Place:
+    ) -> SelectedServer:
         """Return the server for an attempt.
 
         It waits only for a suspect, or after the process was stalled.
@@ -60,16 +60,16 @@
 
     async def _place_suspect(
         self, call: call_data.Call, pick: balance_data.Pick
-    ) -> Place:
+    ) -> SelectedServer:
         delay_s = INITIAL_DELAY_S
         while True:
             trial_id = crashes.new_trial_id()
             server = self._choose_for_trial(pick)
             if server is None:
-                return Place(None)
+                return SelectedServer(None)
             match await self._request_trial(call, server.server_id, trial_id):
                 case suspects_data.Verdict.TRY:
-                    return Place(server, trial_id)
+                    return SelectedServer(server, trial_id)
                 case suspects_data.Verdict.RUN:
                     return self._choose_ordinary(pick)
             await asyncio.sleep(delay_s)
@@ -86,15 +86,15 @@
             self._crashes.abandon_trial(call, trial_id)
             raise
 
-    def _choose_ordinary(self, pick: balance_data.Pick) -> Place:
+    def _choose_ordinary(self, pick: balance_data.Pick) -> SelectedServer:
         tried = self._crashes.known.trial_servers()
-        return Place(self._choose_avoiding(pick, (tried, frozenset())))
+        return SelectedServer(self._choose_avoiding(pick, (tried, frozenset())))
 
     def _choose_for_trial(
         self, pick: balance_data.Pick
     ) -> view_data.BackendServer | None:
         tried = self._crashes.known.trial_servers()
-        busy = tried | self._routing.busy()
+        busy = tried | self._routing.busy_servers()
         return self._choose_avoiding(pick, (busy, tried, frozenset()))
 
     def _choose_avoiding(
--- a/beryllug/entry/trials_test.py
+++ b/beryllug/entry/trials_test.py
@@ -57,7 +57,7 @@
     async def asyncSetUp(self) -> None:
         """Create the services of an entry, without sockets."""
         self.calls = _FakeControl(Verdict.TRY)
-        request = rpc_data.ViewAsk('e', ZONE)
+        request = rpc_data.ViewRequest('e', ZONE)
         calls = cast('Any', self.calls)
         self.link = control_link.ControlLink(request, cast('Any', None), calls)
         self.routing = routing.Routing('e', ZONE, self.link)
@@ -123,7 +123,7 @@
     async def _placed_on(self, body_hash: str) -> str:
         """Return the id of the selected server, empty if refused."""
         try:
-            place = await self.trials.place(_call(body_hash), PICK)
+            place = await self.trials.select_server(_call(body_hash), PICK)
         except refusal.RefusedError:
             return ''
         return place.server.server_id if place.server else ''
--- a/beryllug/entry/seats.py
+++ b/beryllug/entry/turn_admission.py
@@ -5,11 +5,11 @@
 from beryllug.core import evidence_book, limits, refusal, versions
 from beryllug.drivers import http_server
 from beryllug.entry import (
-    begun,
+    intent_reply,
     call_data,
     chat_data,
-    parts,
-    probe,
+    flow_dependencies,
+    attempt_observer,
     recovery,
     replays,
 )
@@ -25,12 +25,12 @@
 class TurnAdmission:
     """Admits calls to the versions of a stage."""
 
-    def __init__(self, deps: parts.Parts) -> None:
+    def __init__(self, deps: flow_dependencies.FlowDependencies) -> None:
         """Use the given services."""
         self._deps = deps
         self._recovery = recovery.Recovery(deps)
 
-    def take(
+    def admit_turn(
         self,
         call: call_data.Call,
         session: versions.Session,
@@ -54,7 +54,9 @@
             subject = evidence_book.Subject(
                 version.ref, call.account.account_id
             )
-            observer = probe.VersionObserver(self._deps.exposure, subject)
+            observer = attempt_observer.VersionObserver(
+                self._deps.exposure, subject
+            )
             turn = chat_data.Turn(
                 call, session, version, stage.pin_broken, observer
             )
@@ -63,7 +65,7 @@
             return AdmittedTurn(turn, ticket)
         raise refused
 
-    def give_back(self, admitted: AdmittedTurn) -> None:
+    def release_ticket(self, admitted: AdmittedTurn) -> None:
         """Release the admission ticket of a turn."""
         self._deps.admission.release(admitted.ticket)
 
@@ -82,11 +84,11 @@
             return True
         note = chat_data.name_of(turn.version.ref)
         match await self._deps.bills.begin(turn.call, note):
-            case begun.MayRun():
+            case intent_reply.MayRun():
                 return True
-            case begun.Finished(row=row):
+            case intent_reply.Finished(row=row):
                 await replays.replay_first(self._deps.answers, row, exchange)
-            case begun.Unfinished(request_id=first_id, refused=refused):
+            case intent_reply.Unfinished(request_id=first_id, refused=refused):
                 await self._recover(turn.call, first_id, refused, exchange)
         return False
 
--- a/beryllug/entry/turn_runner.py
+++ b/beryllug/entry/turn_runner.py
@@ -19,10 +19,10 @@
     attempts,
     chat_bill,
     chat_data,
-    chat_order,
+    chat_attempt_spec,
     delivery,
     headers,
-    parts,
+    flow_dependencies,
 )
 
 OK = 200
@@ -36,7 +36,7 @@
 class TurnRunner:
     """Runs turns from the first attempt to the billing record."""
 
-    def __init__(self, deps: parts.Parts) -> None:
+    def __init__(self, deps: flow_dependencies.FlowDependencies) -> None:
         """Use the given services."""
         self._deps = deps
         self._bill = chat_bill.ChatBill(deps)
@@ -86,7 +86,7 @@
         return fields
 
     async def _open(self, turn: chat_data.Turn) -> attempts.Opened:
-        order = chat_order.make(self._deps, turn)
+        order = chat_attempt_spec.make(self._deps, turn)
         try:
             return await self._deps.attempts.open(turn.call, order)
         except refusal.RefusedError as exc:
@@ -94,7 +94,7 @@
             raise
 
     def _close(self, turn: chat_data.Turn, opened: attempts.Opened) -> None:
-        turn.probe.drop()
+        turn.observer.drop()
         self._deps.attempts.close(turn.call, opened)
 
     async def _deliver(
@@ -143,7 +143,7 @@
                 turn, opened.attempt, relay, journal_data.OutcomeState.CANCELLED
             )
         else:
-            self._deps.routing.failed(opened.attempt, time.monotonic())
+            self._deps.routing.record_failure(opened.attempt, time.monotonic())
             await self._bill.finish_partial_stream(
                 turn, opened.attempt, relay, journal_data.OutcomeState.FAILED
             )
@@ -160,7 +160,7 @@
         Returns:
             Whether the stream is complete.
         """
-        incoming: http_client.Incoming | None = opened.incoming
+        incoming: http_client.IncomingResponse | None = opened.incoming
         for _ in range(MAX_RESUMES):
             if incoming is None:
                 return False
@@ -171,12 +171,12 @@
             except TimeoutError:
                 return False
             else:
-                return relay.tail.is_whole()
+                return relay.tail.reached_end()
         return False
 
     async def _resume(
         self, turn: chat_data.Turn, opened: attempts.Opened, offset: int
-    ) -> http_client.Incoming | None:
+    ) -> http_client.IncomingResponse | None:
         """Resume an answer at an exact byte, on the engine that runs it."""
         try:
             return await self._deps.engine.resume(
@@ -205,7 +205,7 @@
         try:
             return await delivery.read_whole(turn.call, opened.incoming)
         except (http_data.BrokenError, TimeoutError):
-            self._deps.routing.failed(opened.attempt, time.monotonic())
+            self._deps.routing.record_failure(opened.attempt, time.monotonic())
         broken = refusal.Refusal(
             refusal.Code.BACKEND_FAILED,
             'the engine broke off its answer',
--- a/beryllug/kernel/metrics.py
+++ b/beryllug/kernel/metrics.py
@@ -40,7 +40,7 @@
 
 def _add_histogram(
     families: dict[str, metrics_core.HistogramMetricFamily],
-    times: metrics_data.Times,
+    times: metrics_data.LabeledHistogram,
 ) -> None:
     family = families.get(times.name)
     if family is None:
--- a/beryllug/kernel/metrics_data.py
+++ b/beryllug/kernel/metrics_data.py
@@ -64,7 +64,7 @@
         self.total_s += seconds
 
 
-class Times(NamedTuple):
+class LabeledHistogram(NamedTuple):
     """A histogram with its name, description and labels."""
 
     name: str
@@ -85,5 +85,5 @@
 class Timed(Protocol):
     """A service that provides histograms."""
 
-    def times(self) -> Iterable[Times]:
+    def times(self) -> Iterable[LabeledHistogram]:
         """Return the histograms."""
--- a/beryllug/kernel/ops_test.py
+++ b/beryllug/kernel/ops_test.py
@@ -72,11 +72,11 @@
 class _WithHistogram(_WithSamples):
     """A service with a histogram."""
 
-    def times(self) -> Iterable[metrics_data.Times]:
+    def times(self) -> Iterable[metrics_data.LabeledHistogram]:
         histogram = metrics_data.Histogram()
         for seconds in (0.003, 0.04, 99):
             histogram.observe(seconds)
-        yield metrics_data.Times(
+        yield metrics_data.LabeledHistogram(
             'answer_seconds', 'Times.', histogram, {'kind': 'safe'}
         )
 
--- a/beryllug/parsing/chat_answer.py
+++ b/beryllug/parsing/chat_response.py
@@ -27,7 +27,7 @@
 _decode = msgspec.json.Decoder(_ChatResponse).decode
 
 
-def text_of(body: bytes) -> str:
+def extract_text(body: bytes) -> str:
     """Return the text of a complete response, streamed or not.
 
     Events that can't be decoded count as empty: rating the remaining text is
--- a/beryllug/parsing/chat_answer_test.py
+++ b/beryllug/parsing/chat_response_test.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from beryllug.parsing import chat_answer
+from beryllug.parsing import chat_response
 
 STREAM = (
     b'data: {"choices":[{"delta":{"role":"assistant"}}]}\n\n'
@@ -28,7 +28,7 @@
         """Every format yields its text; an invalid body yields none."""
         for title, body, expected in CASES:
             with self.subTest(title):
-                self.assertEqual(chat_answer.text_of(body), expected)
+                self.assertEqual(chat_response.extract_text(body), expected)
 
 
 if __name__ == '__main__':
--- a/beryllug/parsing/log_page.py
+++ b/beryllug/parsing/log_parser.py
@@ -5,15 +5,15 @@
 import msgspec
 
 from beryllug.core import losses
-from beryllug.core.placement import sizes
+from beryllug.core.placement import escalation
 
 # Why a low-confidence response of a smaller model was not escalated.
 LOW_CONFIDENCE_REASONS = frozenset(
     (
-        sizes.Why.LATE.value,
-        sizes.Why.DELAY.value,
-        sizes.Why.NO_ATTEMPT.value,
-        sizes.Why.NO_REPEAT.value,
+        escalation.SizeReason.LATE.value,
+        escalation.SizeReason.DELAY.value,
+        escalation.SizeReason.NO_ATTEMPT.value,
+        escalation.SizeReason.NO_REPEAT.value,
     )
 )
 
--- a/beryllug/parsing/log_page_test.py
+++ b/beryllug/parsing/log_parser_test.py
@@ -3,8 +3,8 @@
 import unittest
 
 from beryllug.core import losses
-from beryllug.core.placement import sizes
-from beryllug.parsing import log_page
+from beryllug.core.placement import escalation
+from beryllug.parsing import log_parser
 
 TEXT = (
     """
@@ -20,7 +20,7 @@
  1.9 edge-1 {"t":3.6,"event":"answered","status":200,"route":"tag",
  1.9 edge-1 {"t":3.6,"event":"answered","status":200,"route":"tag","why":"%s"}
 """
-    % sizes.Why.NO_REPEAT.value
+    % escalation.SizeReason.NO_REPEAT.value
 )
 REASONS = (
     ('chat', 's1@7', 'failed 500'),
@@ -28,7 +28,11 @@
     ('chat', losses.NO_SERVER, losses.SERVED),
     ('tag', losses.NO_SERVER, losses.LATE),
     ('chat', losses.NO_SERVER, 'cut_off: x'),
-    ('tag', losses.NO_SERVER, f'unsure: {sizes.Why.NO_REPEAT.value}'),
+    (
+        'tag',
+        losses.NO_SERVER,
+        f'unsure: {escalation.SizeReason.NO_REPEAT.value}',
+    ),
 )
 GROUPS = (
     (('route',), [('chat', 2, 3), ('tag', 2, 2), ('', 1, 1)]),
@@ -40,8 +44,8 @@
     """Log lines of one process, some of which can't be decoded."""
 
     def setUp(self) -> None:
-        lines = log_page.read(TEXT.splitlines())
-        self.ended = losses.ended(lines)
+        lines = log_parser.read(TEXT.splitlines())
+        self.ended = losses.ended_requests(lines)
 
     def test_reasons(self) -> None:
         """Each request has one result, with its last server and a reason."""
--- a/beryllug/parsing/settings.py
+++ b/beryllug/parsing/settings.py
@@ -152,7 +152,7 @@
         if key not in raw_values:
             findings += _missing_key(section, key, record, source)
             continue
-        rule = settings_rules.rule_of(section, key)
+        rule = settings_rules.find_rule(section, key)
         parsed, reason = settings_rules.parse(rule, raw_values[key])
         if reason:
             findings.append(finding.Finding(source, f'{section}.{key}', reason))
--- a/beryllug/parsing/settings_page.py
+++ b/beryllug/parsing/settings_page.py
@@ -55,7 +55,7 @@
     yield '| key | must be | default | meaning |'
     yield '|---|---|---|---|'
     for key in record._fields:
-        rule = settings_rules.rule_of(name, key)
+        rule = settings_rules.find_rule(name, key)
         allowed = settings_rules.describe(rule)
         default = _default(record, key)
         yield f'| `{key}` | {allowed} | {default} | {descriptions[key]} |'
--- a/beryllug/parsing/settings_rules.py
+++ b/beryllug/parsing/settings_rules.py
@@ -165,7 +165,7 @@
 )
 
 
-def rule_of(section: str, key: str) -> Rule:
+def find_rule(section: str, key: str) -> Rule:
     """Return the rule of a key."""
     return RULES[f'{section}.{key}']
 
--- a/beryllug/platform/documents.py
+++ b/beryllug/platform/documents.py
@@ -154,7 +154,7 @@
 )
 
 
-def unread(spec: Any) -> frozenset[str]:
+def unknown_fields(spec: Any) -> frozenset[str]:
     """Return the names of unknown fields."""
     return json_decode.field_names(spec) - _KNOWN_FIELDS
 
--- a/beryllug/platform/requests.py
+++ b/beryllug/platform/requests.py
@@ -4,20 +4,20 @@
 from http import HTTPStatus
 from typing import NamedTuple
 
-from beryllug.core.placement import servers_data, statements
+from beryllug.core.placement import servers_data, server_headers
 from beryllug.drivers import http_data
 from beryllug.platform import names
 
 MS = 1000
 
 
-class Asked(NamedTuple):
+class RequestHeaders(NamedTuple):
     """A caller's request headers, parsed.
 
     Attributes:
         attempt_id: Id of this attempt of the caller; unique per attempt.
         key: Bearer key, or empty.
-        patience_s: Seconds that the caller will wait; None if not stated.
+        caller_wait_s: Seconds that the caller will wait; None if not stated.
         model: Model that it names, or empty.
         is_any_model: Whether the router chooses the model.
         shared: Comma-separated ids of the prompt segments that other requests
@@ -33,7 +33,7 @@
 
     attempt_id: str
     key: str
-    patience_s: float | None
+    caller_wait_s: float | None
     model: str
     is_any_model: bool
     shared: str
@@ -45,7 +45,7 @@
     most_tokens_out: int = 0
 
 
-class Sending(NamedTuple):
+class AttemptHeaders(NamedTuple):
     """Headers that are set anew for each attempt at a backend server.
 
     Attributes:
@@ -85,11 +85,11 @@
     is_encoded: bool
     attempt_id: str
     confidence: int | None
-    stated: statements.Texts = statements.Texts()
+    stated: server_headers.HeaderValues = server_headers.HeaderValues()
     unread: frozenset[str] = frozenset()
 
 
-def read(req: http_data.Request) -> Asked:
+def read(req: http_data.Request) -> RequestHeaders:
     """Parse a caller's headers; malformed values count as absent."""
     headers = req.headers
     model = headers.get(names.MODEL, '')
@@ -97,10 +97,10 @@
     tokens_in, tokens_out = _token_counts(headers.get(names.TOKENS, ''))
     # The last segment belongs to this request or its session only.
     shared_tokens = sum(tokens for _, tokens in parts[:-1])
-    return Asked(
+    return RequestHeaders(
         attempt_id=headers.get(names.ATTEMPT, ''),
         key=_bearer_key(headers.get(names.AUTHORIZATION, '')),
-        patience_s=_to_seconds(headers.get(names.DEADLINE, '')),
+        caller_wait_s=_to_seconds(headers.get(names.DEADLINE, '')),
         model=model,
         is_any_model=model == names.ANY_MODEL,
         shared=','.join(part for part, _ in parts[:-1]),
@@ -114,7 +114,7 @@
 
 
 def outgoing(
-    req: http_data.Request, sending: Sending, *, fresh: bool
+    req: http_data.Request, sending: AttemptHeaders, *, fresh: bool
 ) -> http_data.Outgoing:
     """Return a caller's request in the form sent to a backend server."""
     connection_headers = _split_list(req.headers.get(names.CONNECTION, ''))
@@ -148,7 +148,7 @@
         is_encoded=names.CONTENT_ENCODING in headers,
         attempt_id=headers.get(names.ATTEMPT, ''),
         confidence=int(confidence) if confidence.isdigit() else None,
-        stated=statements.Texts(
+        stated=server_headers.HeaderValues(
             *(headers.get(name, '') for name in names.STATED)
         ),
         unread=frozenset(headers) - names.ANSWER_HEADERS,
--- a/beryllug/platform/requests_test.py
+++ b/beryllug/platform/requests_test.py
@@ -36,7 +36,7 @@
         """Parses headers; the last prompt segment is the request's own."""
         asked = requests.read(REQUEST)
         self.assertEqual((asked.attempt_id, asked.key), ('a1', 'key'))
-        self.assertEqual(asked.patience_s, 1.5)
+        self.assertEqual(asked.caller_wait_s, 1.5)
         self.assertEqual(asked.shared, '5c1e,91bd')
         self.assertEqual((asked.shared_tokens, asked.own_tokens), (1210, 250))
         self.assertEqual(asked.tokens_out, 80)
@@ -53,12 +53,12 @@
         for headers in table:
             with self.subTest(headers):
                 asked = requests.read(REQUEST._replace(headers=headers))
-                self.assertIsNone(asked.patience_s)
+                self.assertIsNone(asked.caller_wait_s)
                 self.assertEqual(asked.key, '')
 
     def test_outgoing(self) -> None:
         """Ours are set, hop-by-hop headers removed, the others forwarded."""
-        sending = requests.Sending(
+        sending = requests.AttemptHeaders(
             SERVER, 0.75, 'spa', model='small', urgency=3, last_event='7'
         )
         sent = requests.outgoing(REQUEST, sending, fresh=True)
--- a/beryllug/platform/store.py
+++ b/beryllug/platform/store.py
@@ -105,7 +105,7 @@
             path = f'{path}?after={url_parse.quote(after, safe="")}'
         body = await self._call('list', 'GET', path, timeout_s=LIST_TIMEOUT_S)
         page = json_decode.decode(body, _Page)
-        decoded, errors = json_decode.each(page.items, _Object)
+        decoded, errors = json_decode.decode_entries(page.items, _Object)
         era = self.eras.era
         listed = tuple(_to_stored(each, era) for each in decoded)
         self._report_unread(kind, listed)
@@ -138,7 +138,7 @@
         self._require_current_era(after)
         era = self.eras.era
         events = json_decode.decode(body, _Events)
-        decoded, errors = json_decode.each(events.events, _Event)
+        decoded, errors = json_decode.decode_entries(events.events, _Event)
         changes = tuple(
             store_data.Change(_to_stored(event.object, era), event.tombstone)
             for event in decoded
@@ -210,19 +210,19 @@
             raise object_data.UnavailableError(str(exc)) from exc
         except http_data.BrokenError as exc:
             # Other pooled connections may be just as unresponsive.
-            self._client.forget(self._address)
+            self._client.close_idle(self._address)
             raise object_data.UncertainError(str(exc)) from exc
-        self.eras.answered(incoming.headers.get(names.ERA, ''))
+        self.eras.check_response(incoming.headers.get(names.ERA, ''))
         self.on_unread('store', incoming.headers.keys() - names.ANSWER_HEADERS)
         if incoming.status not in SUCCESS:
             raise _error_of(incoming.status, incoming.headers)
         return content
 
     def _report_unread(
-        self, kind: str, found: Iterable[store_data.Stored]
+        self, kind: str, found: Iterable[store_data.StoredObject]
     ) -> None:
         for stored in found:
-            self.on_unread(kind, documents.unread(stored.spec))
+            self.on_unread(kind, documents.unknown_fields(stored.spec))
 
     def _require_current_era(self, stamp: int) -> None:
         if stamps.era(stamp) < self.eras.era:
@@ -254,9 +254,9 @@
     return f'{path}/{url_parse.quote(name, safe="")}' if name else path
 
 
-def _to_stored(found: _Object, era: int) -> store_data.Stored:
+def _to_stored(found: _Object, era: int) -> store_data.StoredObject:
     metadata = found.metadata
-    return store_data.Stored(
+    return store_data.StoredObject(
         metadata.name,
         stamps.stamp(era, metadata.revision),
         found.spec,
--- a/beryllug/proofs/answers_test.py
+++ b/beryllug/proofs/answers_test.py
@@ -69,7 +69,7 @@
         cancelled = sum(aborted for _, aborted in counts)
         self.assertEqual(answered + cancelled, CALLERS * REQUESTS_PER_CALLER)
         self.assertGreater(cancelled, CALLERS)
-        bills = records.bills(self.fleet)
+        bills = records.outcome_rows(self.fleet)
         self.assertEqual({len(rows) for rows in bills.values()}, {1})
         done = journal_data.OutcomeState.DONE
         states = [found[0].state for found in bills.values()]
@@ -108,7 +108,9 @@
         await harness.wait_for(is_cancelled, harness.READY_S)
         await scenario.settle(self.fleet)
         rows = [
-            row for found in records.bills(self.fleet).values() for row in found
+            row
+            for found in records.outcome_rows(self.fleet).values()
+            for row in found
         ]
         self.assertEqual(
             [row.state for row in rows], [journal_data.OutcomeState.CANCELLED]
@@ -154,7 +156,9 @@
             except asyncio.CancelledError:
                 continue
             self.assertEqual(reply.status, harness.OK, reply)
-            self.assertTrue(invariants.is_own(reply, prompt), reply)
+            self.assertTrue(
+                invariants.is_complete_response(reply, prompt), reply
+            )
             complete += 1
         await client.close()
         return complete, REQUESTS_PER_CALLER - complete
--- a/beryllug/proofs/client_test.py
+++ b/beryllug/proofs/client_test.py
@@ -80,8 +80,10 @@
     async def test_rotated_keys(self) -> None:
         """SIGHUP loads new operator keys and revokes the old ones."""
         name = fleet_settings.control_name(0)
-        address = self.fleet.operators_of(name)
-        self.fleet.processes.rewrite(name, fleet_settings.OPERATOR_KEY, NEW_KEY)
+        address = self.fleet.operator_address(name)
+        self.fleet.processes.replace_setting(
+            name, fleet_settings.OPERATOR_KEY, NEW_KEY
+        )
         self.fleet.processes.signal(name, signal.SIGHUP)
 
         async def is_refused() -> bool:  # noqa: WPS430
--- a/beryllug/proofs/config_test.py
+++ b/beryllug/proofs/config_test.py
@@ -74,21 +74,21 @@
         self, document: config_data.Document
     ) -> None:
         """A control process is frozen while a document is applied."""
-        self.fleet.processes.freeze(FIRST_CONTROL)
+        self.fleet.processes.pause(FIRST_CONTROL)
         await self.fleet.apply(document)
         await self._wait_current(name for name in self.names if name[-1] != '0')
-        self.fleet.processes.thaw(FIRST_CONTROL)
+        self.fleet.processes.resume(FIRST_CONTROL)
 
     async def _apply_with_entry_frozen(
         self, document: config_data.Document
     ) -> None:
         """An entry process is frozen while a document is applied."""
-        self.fleet.processes.freeze(FIRST_ENTRY)
+        self.fleet.processes.pause(FIRST_ENTRY)
         await self.fleet.apply(document)
         await self._wait_current(
             name for name in self.names if name != FIRST_ENTRY
         )
-        self.fleet.processes.thaw(FIRST_ENTRY)
+        self.fleet.processes.resume(FIRST_ENTRY)
 
     async def _apply_with_reply_lost(
         self, document: config_data.Document
--- a/beryllug/proofs/engine_watch.py
+++ b/beryllug/proofs/engine_watch.py
@@ -44,9 +44,9 @@
         self.violations: list[str] = []
         self.orders: list[ObservedOrder] = []
         self._workers: dict[str, engine_worker.Worker] = {
-            name: stand_in.party.worker
+            name: stand_in.service_behaviour.worker
             for name, stand_in in fleet.servers.items()
-            if isinstance(stand_in.party, engine.EngineParty)
+            if isinstance(stand_in.service_behaviour, engine.EngineBehaviour)
         }
         self._orders_read: Counter[str] = Counter()
         self._poll_count = 0
--- a/beryllug/proofs/faults.py
+++ b/beryllug/proofs/faults.py
@@ -28,11 +28,11 @@
     """Kill an entry process, which breaks the connections of its callers."""
     host = _choose_host(deployment, rng)
     name = fleet_settings.entry_name(host)
-    deployment.traffic.avoid(host)
+    deployment.traffic.mark_host_down(host)
     await deployment.fleet.processes.kill(name)
-    await deployment.traffic.reach(10)
+    await deployment.traffic.wait_for_requests(10)
     await deployment.fleet.restart(name)
-    deployment.traffic.use(host)
+    deployment.traffic.mark_host_up(host)
 
 
 async def kill_control(
@@ -41,7 +41,7 @@
     """Kill an owner of journal shards that holds unflushed rows."""
     name = fleet_settings.control_name(_choose_host(deployment, rng))
     await deployment.fleet.processes.kill(name)
-    await deployment.traffic.reach(REQUESTS_DURING_FAULT)
+    await deployment.traffic.wait_for_requests(REQUESTS_DURING_FAULT)
     await deployment.fleet.restart(name)
 
 
@@ -50,9 +50,9 @@
 ) -> None:
     """Pause an owner past its lease, so that it resumes after expiry."""
     name = fleet_settings.control_name(_choose_host(deployment, rng))
-    deployment.fleet.processes.freeze(name)
+    deployment.fleet.processes.pause(name)
     await asyncio.sleep(PAST_LEASE_S)
-    deployment.fleet.processes.thaw(name)
+    deployment.fleet.processes.resume(name)
 
 
 async def freeze_entry(
@@ -61,11 +61,11 @@
     """Pause an entry process, so that it resumes with stale state."""
     host = _choose_host(deployment, rng)
     name = fleet_settings.entry_name(host)
-    deployment.traffic.avoid(host)
-    deployment.fleet.processes.freeze(name)
+    deployment.traffic.mark_host_down(host)
+    deployment.fleet.processes.pause(name)
     await asyncio.sleep(SHORT_FAULT_S)
-    deployment.fleet.processes.thaw(name)
-    deployment.traffic.use(host)
+    deployment.fleet.processes.resume(name)
+    deployment.traffic.mark_host_up(host)
 
 
 async def stop_control(
@@ -84,7 +84,7 @@
     """Drop the platform's replies to writes that have taken effect."""
     for _ in range(10):
         deployment.fleet.platform.put_faults(drop_answer=True, times=2)
-        await deployment.traffic.reach(5)
+        await deployment.traffic.wait_for_requests(5)
     deployment.fleet.platform.put_faults()
 
 
@@ -137,7 +137,7 @@
         deployment.fleet.servers[server].put_faults(
             reset_at_byte=at_byte, times=1
         )
-        await deployment.traffic.reach(8)
+        await deployment.traffic.wait_for_requests(8)
     deployment.fleet.servers[server].put_faults()
 
 
--- a/beryllug/proofs/faults_test.py
+++ b/beryllug/proofs/faults_test.py
@@ -25,7 +25,7 @@
     deployment.fleet.platform.put_faults(refuse=True)
     for index in range(deployment.fleet.plan.hosts):
         name = fleet_settings.control_name(index)
-        await deployment.traffic.reach(20)
+        await deployment.traffic.wait_for_requests(20)
         await deployment.fleet.processes.kill(name)
         await deployment.fleet.restart(name)
     deployment.fleet.platform.put_faults()
--- a/beryllug/proofs/mutations.py
+++ b/beryllug/proofs/mutations.py
@@ -63,7 +63,7 @@
     ),
     Mutation(
         'withdrawn: a resumed process uses its stale configuration',
-        'entry/chat_order.py',
+        'entry/chat_attempt_spec.py',
         (('if not deps.link.may_accept(time.monotonic()):', 'if False:'),),
         'proofs.versions_test',
     ),
@@ -200,7 +200,7 @@
     Mutation(
         'crash: a trial goes to a server with other requests',
         'entry/trials.py',
-        (('busy = tried | self._routing.busy()', 'busy = tried'),),
+        (('busy = tried | self._routing.busy_servers()', 'busy = tried'),),
         'entry.trials_test',
     ),
     Mutation(
--- a/beryllug/proofs/not_run_test.py
+++ b/beryllug/proofs/not_run_test.py
@@ -83,10 +83,12 @@
                 await self._put_faults({})
                 self.assertEqual(reply.status, 200, reply)
                 self.assertTrue(reply.body.endswith(b'data: [DONE]\n\n'))
-                self.assertTrue(invariants.is_own(reply, title), reply.body)
+                self.assertTrue(
+                    invariants.is_complete_response(reply, title), reply.body
+                )
                 request_id = reply.headers['x-beryllug-request-id']
                 await scenario.settle(self.fleet)
-                bills = records.bills(self.fleet)
+                bills = records.outcome_rows(self.fleet)
                 self.assertEqual(len(bills[request_id]), 1)
 
     async def _put_faults(self, faults: dict[str, Any]) -> None:
--- a/beryllug/proofs/orders_test.py
+++ b/beryllug/proofs/orders_test.py
@@ -121,7 +121,7 @@
         await self.fleet.apply(_document('v1', *WITHDRAWN))
         frozen = await self._holders_with_loads_sent(*WITHDRAWN)
         for name in frozen:
-            self.fleet.processes.freeze(name)
+            self.fleet.processes.pause(name)
         await self.fleet.apply(
             _document('v1', *WITHDRAWN, 'v9', withdrawn=WITHDRAWN)
         )
@@ -129,7 +129,7 @@
         newest_tokens = self.watch.highest_tokens()
         thawed_at = time.time()
         for resumed in frozen:
-            self.fleet.processes.thaw(resumed)
+            self.fleet.processes.resume(resumed)
             await self.fleet.wait_ready(resumed)
         await asyncio.sleep(3 * LEASE_S)
         self.assertEqual(self.watch.stale_orders(newest_tokens, thawed_at), [])
@@ -223,7 +223,7 @@
             self.fleet.client, ENGINE_TIMEOUT_S
         )
         ref = config_data.VersionRef(MODELS[sample.SMALL], 'v1')
-        chat_request = engine_data.ChatAsk('long', 'kutch', ref, BODY)
+        chat_request = engine_data.ChatRequest('long', 'kutch', ref, BODY)
         response = await engine_client.chat(address, chat_request)
         await response.read()
 
--- a/beryllug/proofs/pages_test.py
+++ b/beryllug/proofs/pages_test.py
@@ -101,7 +101,7 @@
             f"doesn't know for {outage.QUARANTINE_S:.0f} s",
             f'refused for {suspects.REFUSED_S:.0f} s',
             f'over {answers.INLINE_BYTES} bytes',
-            f'{answers.MAX_OWED_BYTES // MIB} MiB',
+            f'{answers.MAX_PENDING_BYTES // MIB} MiB',
             f'differ by {fleet_key.MAX_SKEW_S:.0f} s',
             f'signs {token_keys.SPREAD_S:.0f} s after',
         ),
--- a/beryllug/proofs/platform/evacuation_test.py
+++ b/beryllug/proofs/platform/evacuation_test.py
@@ -90,7 +90,7 @@
                 self.assertIn(names.RETRY_AFTER, reply.headers)
         self.assertEqual(self._runs_in_zone() + len(self.runs('far-d')), 0)
 
-    async def test_taken_back(self) -> None:
+    async def test_reopened(self) -> None:
         """The reopened zone takes requests, its servers as cold ones.
 
         They may have become cold meanwhile, and report it only with the next
@@ -112,11 +112,11 @@
 
     def _evacuate(self, zone: str) -> None:
         """Order the evacuation of a zone."""
-        self.site.store_party.put(store.EVACUATIONS, zone, {})
+        self.site.store_behaviour.put(store.EVACUATIONS, zone, {})
 
     def _reopen(self, zone: str) -> None:
         """Revoke an evacuation."""
-        self.site.store_party.drop(store.EVACUATIONS, zone)
+        self.site.store_behaviour.remove(store.EVACUATIONS, zone)
 
     def _is_known(self, known: directory.Directory) -> bool:
         """Return whether the test's table and servers are known."""
--- a/beryllug/proofs/platform/judge_model_test.py
+++ b/beryllug/proofs/platform/judge_model_test.py
@@ -63,7 +63,7 @@
         listed: Any = None
         servers = pool.Pool(listed, 'zone', RETRY_BOUND)
         self.trials = trials.Trials(servers, BOUNDS, lines)
-        self.trials.take_order(ORDER, Phase.TRIAL, world.now())
+        self.trials.apply_order(ORDER, Phase.TRIAL, world.now())
         api: Any = world.store
         peers: Any = _Peers(name, world)
         self._judge = judge.Judge(self.trials, peers, peers, api, lines)
@@ -87,8 +87,8 @@
             self.name,
             self.name,
             self.name,
-            rollouts=rollout_state.news((self.rollout,), now),
-            tallies=rollout_state.tallies((self.rollout,)),
+            rollouts=rollout_state.phase_reports((self.rollout,), now),
+            tallies=rollout_state.tally_reports((self.rollout,)),
         )
 
 
@@ -104,12 +104,14 @@
         alive = sorted(self._world.processes)
         return rank < len(alive) and alive[rank] == self._name
 
-    def tell_phase(self, rollout: rollout_state.Rollout, now: float) -> None:
+    def broadcast_phase(
+        self, rollout: rollout_state.Rollout, now: float
+    ) -> None:
         """Send the phase to all processes that are not frozen."""
-        news = rollout_state.news((rollout,), now)
+        news = rollout_state.phase_reports((rollout,), now)
         for other in self._world.processes.values():
             if not other.is_frozen:
-                other.trials.take_phases(news, self._name, now)
+                other.trials.apply_phases(news, self._name, now)
 
 
 class _World:
@@ -169,7 +171,7 @@
         for one in reachable:
             for other in reachable:
                 if one is not other:
-                    other.trials.take_news(one.digest(now), now)
+                    other.trials.apply_digest(one.digest(now), now)
             if self.store.ends and not self.store.is_down:
                 self._show_status(one, now)
 
@@ -188,7 +190,7 @@
         order, phase = documents.order(
             ORDER.service, ORDER.revision + 1, spec, stored
         )
-        process.trials.take_order(order, phase, now)
+        process.trials.apply_order(order, phase, now)
 
     async def _start_process(self, name: str) -> None:
         self.processes[name] = _Process(name, self)
--- a/beryllug/proofs/platform/knowledge_test.py
+++ b/beryllug/proofs/platform/knowledge_test.py
@@ -5,12 +5,12 @@
 import unittest
 from typing import Any
 
-from beryllug.core.peering import peering_data, standing
+from beryllug.core.peering import peering_data, watcher_election
 from beryllug.drivers import store_era
 from beryllug.kernel import log_lines
 from beryllug.router import (
     directory,
-    knowledge,
+    store_exchange,
     order_list,
     server_list,
     zone_list,
@@ -64,26 +64,26 @@
         one = _directory()
         one.take_table_spec(_large_table(), 'store')
         other = _directory()
-        given = knowledge.Knowledge(one)
+        given = store_exchange.StoreExchange(one)
         own = DIGEST._replace(versions=given.versions())
-        asked = knowledge.Knowledge(other).versions()
-        digest = given.complete(own, asked, 0)
+        asked = store_exchange.StoreExchange(other).versions()
+        digest = given.add_missing(own, asked, 0)
         self.assertLess(len(digest.table), MAX_TABLE_BYTES)
-        knowledge.Knowledge(other).take(digest, 0)
+        store_exchange.StoreExchange(other).apply(digest, 0)
         self.assertEqual(other.table, one.table)
 
     def test_newer(self) -> None:
         """A newer table is encoded again; up-to-date peers get none."""
         one = _directory()
-        given = knowledge.Knowledge(one)
+        given = store_exchange.StoreExchange(one)
         for version in (1, 2):
             one.take_table_spec(platform_site.table(version), 'store')
             own = DIGEST._replace(versions=given.versions())
-            digest = given.complete(own, peering_data.Versions(), 0)
+            digest = given.add_missing(own, peering_data.Versions(), 0)
             other = _directory()
-            knowledge.Knowledge(other).take(digest, 0)
+            store_exchange.StoreExchange(other).apply(digest, 0)
             self.assertEqual(other.table, one.table)
-        digest = given.complete(own, given.versions(), 0)
+        digest = given.add_missing(own, given.versions(), 0)
         self.assertEqual(digest.table, b'')
 
     def test_who_follows(self) -> None:
@@ -92,14 +92,18 @@
         No process reports to one that has just started. Without this
         information, all starting processes would watch the store themselves.
         """
-        given = knowledge.Knowledge(_directory())
-        standing.heard(given.standing, 'two', 9.5)
-        standing.heard(given.standing, 'six', 2.0)
-        digest = given.complete(DIGEST, given.versions(), 10)
-        asking = knowledge.Knowledge(_directory())
-        asking.take(digest, 30)
-        self.assertEqual(standing.watching(asking.standing, 30), {'two'})
-        self.assertEqual(standing.watching(asking.standing, 30.8), set())
+        given = store_exchange.StoreExchange(_directory())
+        watcher_election.record_watcher(given.standing, 'two', 9.5)
+        watcher_election.record_watcher(given.standing, 'six', 2.0)
+        digest = given.add_missing(DIGEST, given.versions(), 10)
+        asking = store_exchange.StoreExchange(_directory())
+        asking.apply(digest, 30)
+        self.assertEqual(
+            watcher_election.watching(asking.standing, 30), {'two'}
+        )
+        self.assertEqual(
+            watcher_election.watching(asking.standing, 30.8), set()
+        )
 
 
 if __name__ == '__main__':
--- a/beryllug/proofs/platform/listing_test.py
+++ b/beryllug/proofs/platform/listing_test.py
@@ -32,7 +32,7 @@
         self.asked += 1
         gone = self.changes.get(self.asked)
         if gone:
-            self._party.drop(kind, gone)
+            self._party.remove(kind, gone)
         if self.asked in self.refused:
             raise object_data.RateLimitedError(0.1)
         return await self._api.list_page(kind, after)
@@ -45,7 +45,7 @@
         stand_in = platform_store.stand_in(
             platform_store.PlatformStoreCfg(page=2)
         )
-        party = stand_in.party
+        party = stand_in.service_behaviour
         assert isinstance(party, platform_store.PlatformStore)
         client = http_client.HttpClient()
         self.store = store.Store(client, await stand_in.start(), 1)
@@ -58,7 +58,7 @@
     async def test_refused(self) -> None:
         """A refused page is requested again, and no page twice."""
         self.api.refused = {2, 3, 5}
-        with mock.patch.object(store_listing, 'PAUSES_S', (0.001,) * 4):
+        with mock.patch.object(store_listing, 'RETRY_PAUSES_S', (0.001,) * 4):
             found = await store_listing.list_all(self._untyped_api(), SERVERS)
         names = ''.join(each.name for each in found.found)
         self.assertEqual(names, 'abcdefghij')
@@ -81,7 +81,7 @@
         found = await store_listing.list_all(self._untyped_api(), SERVERS)
         self.assertIn('b', [each.name for each in found.found])
         after = await self.store.watch(SERVERS, found.revision, 0.1)
-        gone = [each.stored.name for each in after.changes if each.is_gone]
+        gone = [each.stored.name for each in after.changes if each.is_deleted]
         self.assertEqual(gone, ['b'])
 
     def _untyped_api(self) -> Any:
--- a/beryllug/proofs/platform/outage_test.py
+++ b/beryllug/proofs/platform/outage_test.py
@@ -3,7 +3,7 @@
 import asyncio
 from unittest import main, mock
 
-from beryllug.core.placement import returning
+from beryllug.core.placement import retry_delay
 from beryllug.platform import names, store
 from beryllug.proofs.platform import site_test
 from beryllug.router import directory
@@ -40,7 +40,7 @@
         await self.site.store_stand_in.settle()
         await self._until_logged('store_lost')
         for instance in ('d1', 'd2'):
-            self.site.store_party.drop(store.SERVERS, instance)
+            self.site.store_behaviour.remove(store.SERVERS, instance)
         self.site.store_stand_in.put_faults()
         await self._until_logged('server_dropped')
         self.assertEqual((await self.ask(site_test.LOOKUP)).status, 200)
@@ -52,7 +52,7 @@
         self.assertEqual(reply.status, 503)
         self.assertIn(names.RETRY_AFTER, reply.headers)
 
-    async def test_held(self) -> None:
+    async def test_waits_for_table(self) -> None:
         """A request that arrives just before the route table waits for it.
 
         All routers were killed in an outage of the store, which is about to
@@ -60,7 +60,7 @@
         deadline.
         """
         alone = await self._start_alone()
-        with mock.patch.object(returning, 'held_s', _long_wait):
+        with mock.patch.object(retry_delay, 'table_wait_s', _long_wait):
             asking = asyncio.create_task(self.site.ask(alone, site_test.LOOKUP))
             await asyncio.sleep(platform_site.POLL_S)
             self.site.store_stand_in.put_faults()
@@ -98,7 +98,7 @@
         """Changes made while the store compacts its history are found."""
         await self._cut_watches()
         self.site.put_table(platform_site.table(3))
-        self.site.store_party.compact()
+        self.site.store_behaviour.compact()
         async with asyncio.timeout(platform_site.TIMEOUT_S):
             while not any(
                 line['version'] == 3 for line in self.site.logged('table_taken')
@@ -122,7 +122,7 @@
         return await self.site.add_router()
 
     async def _cut_watches(self) -> None:
-        self.site.store_party.compact()
+        self.site.store_behaviour.compact()
         await asyncio.sleep(platform_site.POLL_S)
 
     async def _until_logged(self, event: str) -> None:
--- a/beryllug/proofs/platform/process_test.py
+++ b/beryllug/proofs/platform/process_test.py
@@ -71,20 +71,20 @@
         A key is revoked while the process is frozen. Its first answers after
         that may follow the old table, but none does two seconds later.
         """
-        self.running.freeze(self.first.name)
+        self.running.pause(self.first.name)
         self.site.put_table(platform_site.table(2, tenants=[]))
         await asyncio.sleep(1)
-        self.running.thaw(self.first.name)
+        self.running.resume(self.first.name)
         await asyncio.sleep(2)
         reply = await self.site.ask(self.first, LOOKUP)
         self.assertEqual(reply.status, HTTPStatus.UNAUTHORIZED)
 
     async def test_reload(self) -> None:
         """Invalid settings stop nothing; a valid file is reloaded."""
-        self.running.rewrite(self.first.name, 'zone = a', 'zone = /')
+        self.running.replace_setting(self.first.name, 'zone = a', 'zone = /')
         self.running.signal(self.first.name, signal.SIGHUP)
         await self._until_logged('settings_refused')
-        self.running.rewrite(self.first.name, 'zone = /', 'zone = a')
+        self.running.replace_setting(self.first.name, 'zone = /', 'zone = a')
         self.running.signal(self.first.name, signal.SIGHUP)
         await self._until_logged('"reload"')
         self.assertEqual((await self.site.ask(self.first, LOOKUP)).status, 200)
--- a/beryllug/proofs/platform/restart_test.py
+++ b/beryllug/proofs/platform/restart_test.py
@@ -63,7 +63,7 @@
         )
         for number, spec in enumerate(invalid_specs):
             for kind in (store.SERVERS, store.ROLLOUTS):
-                self.site.store_party.put(kind, f'foreign-{number}', spec)
+                self.site.store_behaviour.put(kind, f'foreign-{number}', spec)
         router = await self.site.add_router()
         await self.site.until_ready(router)
         for _ in range(4):
@@ -71,7 +71,7 @@
             self.assertEqual(reply.status, 200)
         refused = [
             line['name']
-            for line in self.site.lines
+            for line in self.site.log_records
             if line['event'] == 'server_refused'
         ]
         self.assertEqual(len(set(refused)), len(invalid_specs))
@@ -86,7 +86,7 @@
         """Return all instances that the router has ever listed."""
         return {
             line['instance']
-            for line in self.site.lines
+            for line in self.site.log_records
             if line['event'] == 'server_listed'
         }
 
--- a/beryllug/proofs/platform/returns_test.py
+++ b/beryllug/proofs/platform/returns_test.py
@@ -38,16 +38,16 @@
             (platform_site.DESK, 'far-d'),
         ):
             await self.site.add_runner(service, instance, zone=OTHER_ZONE)
-        self.party = self.site.store_party
+        self.party = self.site.store_behaviour
         await self._until(lambda known: len(self._listed(known)) == 6)
 
     async def test_revisions_reused(self) -> None:
         """Watches miss no change when the store reuses revisions."""
-        copy = self.party.copy()
+        copy = self.party.take_snapshot()
         for _ in range(4):
             self._relist('d1')
         await self._until(self._is_current)
-        self.party.return_from(copy)
+        self.party.restore(copy)
         await self.site.add_runner(platform_site.DESK, 'd3')
         while self.party.revision < copy.revision + 4:
             self._relist('d1')
@@ -55,11 +55,11 @@
 
     async def test_in_force(self) -> None:
         """Changes acknowledged before the restore stay in force."""
-        copy = self.party.copy()
+        copy = self.party.take_snapshot()
         self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         self.site.put_table(platform_site.table(5, tenants=[]))
         self.site.list_runner(platform_site.DESK, 'd1', 'draining')
-        self.party.drop(store.SERVERS, 'p1')
+        self.party.remove(store.SERVERS, 'p1')
         await self._until(self._is_current)
         await self._restore_store(copy)
         for router in self.site.routers:
@@ -75,26 +75,26 @@
 
     async def test_written_again(self) -> None:
         """Changes written again after the restore are applied."""
-        copy = self.party.copy()
+        copy = self.party.take_snapshot()
         self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         self.site.list_runner(platform_site.DESK, 'd1', 'draining')
         await self._until(self._is_current)
         await self._restore_store(copy)
         self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         self.site.list_runner(platform_site.DESK, 'd1', 'draining')
-        await self._until(lambda known: OTHER_ZONE in known.zones.stated)
-        self.party.drop(store.EVACUATIONS, OTHER_ZONE)
+        await self._until(lambda known: OTHER_ZONE in known.zones.in_store)
+        self.party.remove(store.EVACUATIONS, OTHER_ZONE)
         self.site.list_runner(platform_site.DESK, 'd1')
         await self._until(lambda known: not known.zones.evacuated)
         await self._until(lambda known: 'd1' in self._usable(known))
 
     async def test_live_servers_missing(self) -> None:
         """Live servers that the copy lacks are still used."""
-        self.party.drop(store.SERVERS, 'd2')
-        self.party.drop(store.SERVERS, 'far-d')
+        self.party.remove(store.SERVERS, 'd2')
+        self.party.remove(store.SERVERS, 'far-d')
         await self._until(lambda known: len(self._listed(known)) == 4)
-        self.party.drop(store.SERVERS, 'd1')
-        copy = self.party.copy()
+        self.party.remove(store.SERVERS, 'd1')
+        copy = self.party.take_snapshot()
         self.site.list_runner(platform_site.DESK, 'd2')
         await self._until(lambda known: 'd2' in self._listed(known))
         await self._restore_store(copy)
@@ -110,7 +110,7 @@
         Otherwise the bad version would be tried again.
         """
         self.party.put(store.ROLLOUTS, platform_site.POOL, dict(ORDER))
-        copy = self.party.copy()
+        copy = self.party.take_snapshot()
         revision = self.party.put(
             store.ROLLOUTS, platform_site.POOL, dict(ORDER), dict(VERDICT)
         )
@@ -134,7 +134,7 @@
             store.ROLLOUTS, platform_site.POOL, dict(ORDER), dict(VERDICT)
         )
         await self._until(self._is_current)
-        copy = self.party.copy()
+        copy = self.party.take_snapshot()
         later = dict(ORDER) | {'target': 'v3'}
         self.party.put(
             store.ROLLOUTS,
@@ -157,10 +157,10 @@
         """A router started after the restore gets the newer state."""
         self.party.put(store.ROLLOUTS, platform_site.POOL, dict(ORDER))
         await self._until(self._is_current)
-        copy = self.party.copy()
+        copy = self.party.take_snapshot()
         self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         self.site.list_runner(platform_site.DESK, 'd1', 'draining')
-        self.party.drop(store.SERVERS, 'p1')
+        self.party.remove(store.SERVERS, 'p1')
         later = dict(ORDER) | {'target': 'v3'}
         self.party.put(store.ROLLOUTS, platform_site.POOL, later)
         await self._until(self._is_current)
@@ -176,13 +176,13 @@
 
     async def test_twice(self) -> None:
         """All routers agree after two restores in quick succession."""
-        copy = self.party.copy()
+        copy = self.party.take_snapshot()
         self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         await self._until(self._is_current)
-        self.party.return_from(copy)
+        self.party.restore(copy)
         late = await self.site.add_router()
         self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
-        self.party.return_from(copy)
+        self.party.restore(copy)
         self.party.put(store.EVACUATIONS, OTHER_ZONE, {})
         await self.site.until_ready(late)
         await self._until(self._is_current)
@@ -190,7 +190,7 @@
 
     async def test_requests(self) -> None:
         """A restore fails no request and does not overload the store."""
-        copy = self.party.copy()
+        copy = self.party.take_snapshot()
         for _ in range(4):
             self._relist('d1')
         await self._until(self._is_current)
@@ -217,11 +217,11 @@
                     statuses.add(reply.status)
         return statuses
 
-    async def _restore_store(self, copy: platform_store.Copy) -> None:
+    async def _restore_store(self, copy: platform_store.Snapshot) -> None:
         """Stop the store, restore a copy, and wait for all routers."""
         self.site.store_stand_in.put_faults(refuse=True)
         await asyncio.sleep(OUTAGE_S)
-        self.party.return_from(copy)
+        self.party.restore(copy)
         self.site.store_stand_in.put_faults()
         await self._until(
             lambda known: stamps.era(known.servers.revision) == self.party.era
--- a/beryllug/proofs/platform/rollout_test.py
+++ b/beryllug/proofs/platform/rollout_test.py
@@ -34,7 +34,7 @@
         """
         await self._order(error_rate=0.0)
         await self._load_until(('complete', 'rolled_back'))
-        status = self.site.store_party.status(
+        status = self.site.store_behaviour.status(
             store.ROLLOUTS, platform_site.POOL
         )
         self.assertEqual(status, {'state': 'complete', 'target': 'v2'})
@@ -51,7 +51,7 @@
         """
         await self._order(error_rate=0.5)
         replies = await self._load_until(('complete', 'rolled_back'))
-        status = self.site.store_party.status(
+        status = self.site.store_behaviour.status(
             store.ROLLOUTS, platform_site.POOL
         )
         self.assertEqual(status['state'], 'rolled_back')
@@ -103,7 +103,7 @@
                 version='v2',
                 error_rate=error_rate,
             )
-        self.site.store_party.put(
+        self.site.store_behaviour.put(
             store.ROLLOUTS,
             platform_site.POOL,
             {
@@ -128,7 +128,7 @@
                         for router in self.site.routers
                     )
                 )
-                status: Any = self.site.store_party.status(
+                status: Any = self.site.store_behaviour.status(
                     store.ROLLOUTS, platform_site.POOL
                 )
                 if status and status['state'] in ends:
@@ -136,7 +136,7 @@
                     return replies
 
     async def _ask_session(self, session: str) -> str:
-        attempt = f'{session}-{len(self.site.lines)}'
+        attempt = f'{session}-{len(self.site.log_records)}'
         await self.ask(
             site_test.DRAFT,
             method='POST',
--- a/beryllug/proofs/platform/server_backoff_test.py
+++ b/beryllug/proofs/platform/server_backoff_test.py
@@ -5,7 +5,7 @@
 
 from beryllug.platform import names
 from beryllug.proofs.platform import site_test
-from beryllug.standins import server_rules
+from beryllug.standins import router_checks
 
 BACKOFF_S = 2.0
 # Seconds within which routers have sent requests to preferred servers.
@@ -72,15 +72,20 @@
     ) -> None:
         for instance in instances:
             runner = self.site.runners[instance]
-            runner.states = runner.states._replace(retry_after_s=retry_after_s)
+            runner.reported_status = runner.reported_status._replace(
+                retry_after_s=retry_after_s
+            )
 
     def _check_backoff(self, instance: str) -> None:
         for router, came in self.arrivals(instance).items():
-            self.assertEqual(server_rules.during_backoff(came), [], router)
+            self.assertEqual(
+                router_checks.find_during_backoff(came), [], router
+            )
 
     def _arrived(self, load: site_test.Load) -> int:
         return sum(
-            len(self.site.runners[each].arrivals) for each in load.servers
+            len(self.site.runners[each].received_requests)
+            for each in load.servers
         )
 
 
--- a/beryllug/proofs/platform/server_leaving_test.py
+++ b/beryllug/proofs/platform/server_leaving_test.py
@@ -7,7 +7,7 @@
 from beryllug.core import stamps
 from beryllug.platform import names
 from beryllug.proofs.platform import site_test
-from beryllug.standins import platform_site, server_rules
+from beryllug.standins import platform_site, router_checks
 
 DRAIN_S = 1.0
 MS = 1000
@@ -43,7 +43,7 @@
                 replies = await self.send_load(load, LOAD_S)
                 self.assertEqual({each.status for each in replies}, {OK})
                 for router, came in self.arrivals(instance).items():
-                    late = server_rules.after_leaving(came, DRAIN_S)
+                    late = router_checks.find_after_leaving(came, DRAIN_S)
                     self.assertEqual(late, [], router)
 
     async def test_others_told(self) -> None:
@@ -54,9 +54,11 @@
         await self._announce_leaving(instance, platform_site.DESK)
         await self._tell_one(instance, load)
         await asyncio.sleep(PROPAGATION_S)
-        before = len(self.site.runners[instance].arrivals)
+        before = len(self.site.runners[instance].received_requests)
         await self.send_load(load, WARM_UP_S)
-        self.assertEqual(len(self.site.runners[instance].arrivals), before)
+        self.assertEqual(
+            len(self.site.runners[instance].received_requests), before
+        )
 
     async def test_store_returns(self) -> None:
         """A leaving server gets no requests after a restore of the store.
@@ -65,18 +67,20 @@
         """
         load = site_test.LOADS[0]
         await self.send_load(load, WARM_UP_S)
-        copy = self.site.store_party.copy()
+        copy = self.site.store_behaviour.take_snapshot()
         instance = self.busiest(*load.servers)
         await self._announce_leaving(instance, platform_site.DESK)
         await self.send_load(load, WARM_UP_S)
         self.site.list_runner(platform_site.DESK, instance, 'draining')
         await asyncio.sleep(PROPAGATION_S)
-        self.site.store_party.return_from(copy)
-        await asyncio.sleep(stamps.HELD_S + PROPAGATION_S)
-        before = len(self.site.runners[instance].arrivals)
+        self.site.store_behaviour.restore(copy)
+        await asyncio.sleep(stamps.RESTORE_HOLD_S + PROPAGATION_S)
+        before = len(self.site.runners[instance].received_requests)
         replies = await self.send_load(load, WARM_UP_S)
         self.assertEqual({each.status for each in replies}, {OK})
-        self.assertEqual(len(self.site.runners[instance].arrivals), before)
+        self.assertEqual(
+            len(self.site.runners[instance].received_requests), before
+        )
 
     async def test_all_leave(self) -> None:
         """If all servers leave, callers get 503 with Retry-After."""
@@ -84,7 +88,9 @@
             with self.subTest(load.path):
                 for instance in load.servers:
                     runner = self.site.runners[instance]
-                    runner.states = runner.states._replace(is_leaving=True)
+                    runner.reported_status = runner.reported_status._replace(
+                        is_leaving=True
+                    )
                 await self.send_load(load, WARM_UP_S)
                 replies = await self.send_load(load, WARM_UP_S)
                 for reply in replies:
@@ -95,20 +101,26 @@
         """Send requests to one router until the server tells it."""
         runner = self.site.runners[instance]
         async with asyncio.timeout(platform_site.TIMEOUT_S):
-            while not any(each.answered.is_leaving for each in runner.arrivals):
+            while not any(
+                each.answered.is_leaving for each in runner.received_requests
+            ):
                 await self.site.ask(self.router, load.path, load.method)
 
     def _remaining(self, load: site_test.Load) -> list[str]:
         """Return the servers that are not leaving."""
         runners = self.site.runners
         return [
-            each for each in load.servers if not runners[each].states.is_leaving
+            each
+            for each in load.servers
+            if not runners[each].reported_status.is_leaving
         ]
 
     async def _announce_leaving(self, instance: str, service: str) -> None:
         """Let a server announce that it leaves, and add another one."""
         runner = self.site.runners[instance]
-        runner.states = runner.states._replace(is_leaving=True)
+        runner.reported_status = runner.reported_status._replace(
+            is_leaving=True
+        )
         await self.site.add_runner(service, f'{instance}-next')
 
 
--- a/beryllug/proofs/platform/server_limit_test.py
+++ b/beryllug/proofs/platform/server_limit_test.py
@@ -79,11 +79,11 @@
         await self.send_load(load, LOAD_S)
         await self._set_limit(load.servers, None)
         await self.send_load(load, LOAD_S)
-        before = len(self.site.runners['d1'].arrivals)
+        before = len(self.site.runners['d1'].received_requests)
         replies = await self.send_load(load, LOAD_S)
         for each in replies:
             self.assertEqual(each.status, OK)
-        arrived = len(self.site.runners['d1'].arrivals) - before
+        arrived = len(self.site.runners['d1'].received_requests) - before
         self.assertGreater(arrived, len(replies) / 4)
 
     async def _set_limit(
@@ -91,10 +91,12 @@
     ) -> None:
         for instance in instances:
             runner = self.site.runners[instance]
-            runner.states = runner.states._replace(limit_per_s=per_s)
+            runner.reported_status = runner.reported_status._replace(
+                limit_per_s=per_s
+            )
 
     def _check_bound(self, instance: str, per_s: float) -> None:
-        arrivals = self.site.runners[instance].arrivals
+        arrivals = self.site.runners[instance].received_requests
         stated_at = [
             each.at for each in arrivals if each.answered.limit_per_s == per_s
         ]
--- a/beryllug/proofs/platform/silent_store_test.py
+++ b/beryllug/proofs/platform/silent_store_test.py
@@ -90,7 +90,7 @@
 
     def _calls(self) -> float:
         """Return the number of store calls, weighted by their cost."""
-        calls = self.site.store_party.calls
+        calls = self.site.store_behaviour.calls
         stale = calls.get('stale', 0)
         return sum(calls.values()) - stale * (1 - STALE_CALL_WEIGHT)
 
--- a/beryllug/proofs/platform/site_test.py
+++ b/beryllug/proofs/platform/site_test.py
@@ -91,19 +91,22 @@
 
     def arrivals(
         self, instance: str
-    ) -> dict[str, list[platform_runner.Arrival]]:
+    ) -> dict[str, list[platform_runner.ReceivedRequest]]:
         """Return the requests that reached a server, by router."""
-        found: dict[str, list[platform_runner.Arrival]] = {
+        found: dict[str, list[platform_runner.ReceivedRequest]] = {
             router.name: [] for router in self.site.routers
         }
-        for arrival in self.site.runners[instance].arrivals:
-            found[self.site.asked_of[arrival.attempt_id]].append(arrival)
+        for arrival in self.site.runners[instance].received_requests:
+            found[self.site.router_by_attempt[arrival.attempt_id]].append(
+                arrival
+            )
         return found
 
     def busiest(self, *instances: str) -> str:
         """Return the server that received the most requests."""
         return max(
-            instances, key=lambda name: len(self.site.runners[name].arrivals)
+            instances,
+            key=lambda name: len(self.site.runners[name].received_requests),
         )
 
     def runs(self, *instances: str) -> list[str]:
@@ -310,7 +313,7 @@
         for the old one, and a healthy server answers.
         """
         address = self.site.stand_ins['p1'].address
-        self.site.store_party.put(
+        self.site.store_behaviour.put(
             store.SERVERS,
             'd0',
             {
@@ -382,7 +385,7 @@
             crashing.put_faults(drop_answer=True)
             reply = await self._hold(self.site.routers[number % 2], b'bad')
             self.assertEqual(reply.status, 502)
-            self.site.store_party.drop(store.SERVERS, instance)
+            self.site.store_behaviour.remove(store.SERVERS, instance)
             await self._until_dropped(instance)
             crashing.put_faults(refuse=True)
         await self._replace_servers('sound')
@@ -431,13 +434,13 @@
         """
         for instance in ('p1', 'p2'):
             runner = self.site.runners[instance]
-            runner.cut_after = 3
+            runner.abort_at_event = 3
             runner.cfg = runner.cfg._replace(event_s=SLOW_EVENT_INTERVAL_S)
         task = asyncio.create_task(self.ask(DRAFT, method='POST'))
         while not self.runs('p1', 'p2'):
             await asyncio.sleep(platform_site.POLL_S)
         second = 'p2' if self.runs('p1') else 'p1'
-        self.site.runners[second].cut_after = None
+        self.site.runners[second].abort_at_event = None
         reply = await task
         self.assertEqual(reply.status, 200)
         for number in range(1, 6):
@@ -447,7 +450,7 @@
     async def test_not_resumable(self) -> None:
         """A stream that is not resumable is cut, not ended normally."""
         for instance in ('p1', 'p2'):
-            self.site.runners[instance].cut_after = 3
+            self.site.runners[instance].abort_at_event = 3
         with self.assertRaises(Exception):
             await self.ask(REPORT, method='POST')
         self.assertEqual(len(self.runs('p1', 'p2')), 1)
@@ -459,7 +462,7 @@
         run.
         """
         for instance in ('p1', 'p2'):
-            self.site.runners[instance].stall_after = 2
+            self.site.runners[instance].stall_at_event = 2
         task = asyncio.create_task(self.ask(DRAFT, method='POST'))
         while not self.runs('p1', 'p2'):
             await asyncio.sleep(platform_site.POLL_S)
@@ -478,7 +481,7 @@
         self.site.put_table(document)
         await self._until_table(2)
         for instance in ('p1', 'p2'):
-            self.site.runners[instance].stall_after = 2
+            self.site.runners[instance].stall_at_event = 2
         with self.assertRaises(Exception):
             await self.ask(REPORT, method='POST')
         reasons = [line['reason'] for line in self.site.logged('cut_off')]
--- a/beryllug/proofs/platform/swarm_test.py
+++ b/beryllug/proofs/platform/swarm_test.py
@@ -19,7 +19,7 @@
 
     async def asyncSetUp(self) -> None:
         stand_in = platform_store.stand_in(platform_store.PlatformStoreCfg())
-        party = stand_in.party
+        party = stand_in.service_behaviour
         assert isinstance(party, platform_store.PlatformStore)
         self.party = party
         client = http_client.HttpClient()
@@ -41,7 +41,7 @@
         calls in the second in which a zone recovers as in a minute without
         changes.
         """
-        with mock.patch.object(store_watch, 'GATHER_S', GATHER_S):
+        with mock.patch.object(store_watch, 'BATCH_S', GATHER_S):
             self.watch.start()
             self.addAsyncCleanup(self.watch.stop)
             await self._until(0)
--- a/beryllug/proofs/platform/watch_model_test.py
+++ b/beryllug/proofs/platform/watch_model_test.py
@@ -81,7 +81,7 @@
             changes = tuple(
                 store_data.Change(
                     _stored(event.name, event.revision, event.state),
-                    is_gone=event.state is None,
+                    is_deleted=event.state is None,
                 )
                 for event in self._history
                 if event.revision > after
@@ -253,7 +253,9 @@
         world.ever_usable |= usable
 
 
-def _stored(name: str, revision: int, state: str | None) -> store_data.Stored:
+def _stored(
+    name: str, revision: int, state: str | None
+) -> store_data.StoredObject:
     spec = {
         'service': 'pool',
         'address': f'10.0.0.1:{name[1:]}',
@@ -262,4 +264,4 @@
         'slots': 6,
         'state': state or 'ready',
     }
-    return store_data.Stored(name, revision, spec, None, is_leaving=False)
+    return store_data.StoredObject(name, revision, spec, None, is_leaving=False)
--- a/beryllug/proofs/reports_test.py
+++ b/beryllug/proofs/reports_test.py
@@ -68,7 +68,7 @@
         self.assertNotEqual(failed.status, harness.OK)
         resent = await self._send(1)
         self.assertEqual(resent.status, harness.OK, resent)
-        self.assertTrue(invariants.is_own(resent, PROMPT))
+        self.assertTrue(invariants.is_complete_response(resent, PROMPT))
         repeated = await self._send(1)
         self.assertEqual(repeated.body, resent.body)
         request_id = resent.headers[invariants.REQUEST_ID]
@@ -89,7 +89,7 @@
         original = await first
         for reply in (original, resent):
             self.assertEqual(reply.status, harness.OK, reply)
-            self.assertTrue(invariants.is_own(reply, PROMPT))
+            self.assertTrue(invariants.is_complete_response(reply, PROMPT))
         await self._check_ran_once(original.headers[invariants.REQUEST_ID])
 
     async def test_caller_gone(self) -> None:
@@ -100,7 +100,7 @@
         await asyncio.gather(sending, return_exceptions=True)
         resent = await self._send(1)
         self.assertEqual(resent.status, harness.OK, resent)
-        self.assertTrue(invariants.is_own(resent, PROMPT))
+        self.assertTrue(invariants.is_complete_response(resent, PROMPT))
         await self._check_ran_once(resent.headers[invariants.REQUEST_ID])
 
     async def test_hold_of_lost_host(self) -> None:
@@ -157,7 +157,7 @@
         names = self.fleet.processes.names()
         self.assertIn(fleet_settings.entry_name(1), names)
         await scenario.settle(self.fleet)
-        bills = records.bills(self.fleet)
+        bills = records.outcome_rows(self.fleet)
         self.assertEqual(list(bills), [request_id])
         states = [row.state for row in bills[request_id]]
         self.assertEqual(states, [journal_data.OutcomeState.DONE])
--- a/beryllug/proofs/scenario.py
+++ b/beryllug/proofs/scenario.py
@@ -70,9 +70,9 @@
     await deployment.fleet.start()
     deployment.traffic.start()
     try:
-        await deployment.traffic.reach(WARM_UP_REQUESTS)
+        await deployment.traffic.wait_for_requests(WARM_UP_REQUESTS)
         await case.fault(deployment)
-        await deployment.traffic.reach(WARM_UP_REQUESTS)
+        await deployment.traffic.wait_for_requests(WARM_UP_REQUESTS)
     finally:
         sent = await deployment.traffic.stop()
     await settle(deployment.fleet)
--- a/beryllug/proofs/sessions_test.py
+++ b/beryllug/proofs/sessions_test.py
@@ -107,7 +107,7 @@
 
     async def _apply(self, document: config_data.Document) -> None:
         await self.fleet.apply(document)
-        await self.fleet.in_force(fleet_settings.entry_name(1))
+        await self.fleet.wait_for_revision(fleet_settings.entry_name(1))
 
 
 if __name__ == '__main__':
--- a/beryllug/proofs/stops_test.py
+++ b/beryllug/proofs/stops_test.py
@@ -65,7 +65,7 @@
             fleet_settings.entry_name(index),
         ):
             await deployment.fleet.restart(name)
-        await deployment.traffic.reach(10)
+        await deployment.traffic.wait_for_requests(10)
     balancer.cancel()
 
 
@@ -74,7 +74,7 @@
     deployment.fleet.list_hosts(leaving=LEAVING)
     await asyncio.sleep(PROPAGATION_S)
     deployment.timestamps['left'] = time.time()
-    await deployment.traffic.reach(60)
+    await deployment.traffic.wait_for_requests(60)
 
 
 async def _leave_and_lose_host_list(deployment: scenario.Deployment) -> None:
@@ -83,7 +83,7 @@
     await asyncio.sleep(PROPAGATION_S)
     deployment.fleet.host_list.put_faults(refuse=True)
     deployment.timestamps['left'] = time.time()
-    await deployment.traffic.reach(60)
+    await deployment.traffic.wait_for_requests(60)
     deployment.fleet.host_list.put_faults()
 
 
--- a/beryllug/proofs/suspects_test.py
+++ b/beryllug/proofs/suspects_test.py
@@ -9,7 +9,7 @@
 from beryllug.proofs import scenario
 from beryllug.standins import (
     caller,
-    engine_answers,
+    engine_responses,
     engine_runs,
     engine_worker,
     fleet_settings,
@@ -195,7 +195,7 @@
         """Check unrelated requests and count those on a crashed engine."""
         for prompt, reply in received.unrelated:
             self.assertEqual(reply.status, harness.OK, reply)
-            self.assertTrue(invariants.is_own(reply, prompt))
+            self.assertTrue(invariants.is_complete_response(reply, prompt))
         ids = {_id_of(one) for one in received.unrelated}
         return len(ids & received.crashed)
 
@@ -253,7 +253,7 @@
 
 async def _are_unrelated_running(fleet: harness.Fleet) -> bool:
     prompts = {
-        engine_answers.digest(f'{UNRELATED_PROMPT} {number}')
+        engine_responses.digest(f'{UNRELATED_PROMPT} {number}')
         for number in range(UNRELATED_COUNT)
     }
     running = {
@@ -340,9 +340,9 @@
     for crash, name in sorted(freezes.items()):
         while _crash_count(fleet) < crash:
             await asyncio.sleep(POLL_S)
-        fleet.processes.freeze(name)
+        fleet.processes.pause(name)
         await asyncio.sleep(FREEZE_S)
-        fleet.processes.thaw(name)
+        fleet.processes.resume(name)
 
 
 def _crash_count(fleet: harness.Fleet) -> int:
--- a/beryllug/proofs/versions_test.py
+++ b/beryllug/proofs/versions_test.py
@@ -50,19 +50,19 @@
     sends it the new one within a heartbeat.
     """
     name = fleet_settings.entry_name(0)
-    deployment.fleet.processes.freeze(name)
-    deployment.traffic.avoid(0)
+    deployment.fleet.processes.pause(name)
+    deployment.traffic.mark_host_down(0)
     await deployment.fleet.apply(sample.withdraw(DOCUMENT, WITHDRAWN))
-    await deployment.traffic.reach(20)
-    deployment.fleet.processes.thaw(name)
-    deployment.traffic.use(0)
+    await deployment.traffic.wait_for_requests(20)
+    deployment.fleet.processes.resume(name)
+    deployment.traffic.mark_host_up(0)
     await _wait_in_force(deployment)
 
 
 async def _withdraw_at_end_of_outage(deployment: scenario.Deployment) -> None:
     """Withdraw when the platform recovers, before control has read from it."""
     deployment.fleet.platform.put_faults(refuse=True)
-    await deployment.traffic.reach(20)
+    await deployment.traffic.wait_for_requests(20)
     deployment.fleet.platform.put_faults()
     await deployment.fleet.platform.settle()
     await deployment.fleet.apply(sample.withdraw(DOCUMENT, WITHDRAWN))
@@ -79,22 +79,22 @@
     name = fleet_settings.entry_name(0)
     deployment.fleet.platform.put_faults(delay_s=0.5)
     await asyncio.sleep(1)
-    deployment.fleet.processes.freeze(name)
-    deployment.traffic.avoid(0)
+    deployment.fleet.processes.pause(name)
+    deployment.traffic.mark_host_down(0)
     await deployment.fleet.apply(sample.withdraw(DOCUMENT, WITHDRAWN))
     deployment.fleet.platform.put_faults()
     await asyncio.sleep(BLIND_S + 1)
     deployment.timestamps['in_force'] = time.time()
-    deployment.fleet.processes.thaw(name)
+    deployment.fleet.processes.resume(name)
     await asyncio.sleep(1)
-    deployment.traffic.use(0)
+    deployment.traffic.mark_host_up(0)
 
 
 async def _wait_in_force(deployment: scenario.Deployment) -> None:
     """Wait until every entry process has the latest revision."""
     fleet = deployment.fleet
     for index in range(fleet.plan.hosts):
-        await fleet.in_force(fleet_settings.entry_name(index))
+        await fleet.wait_for_revision(fleet_settings.entry_name(index))
     # Requests dispatched before the last process got the revision reach the
     # servers within this delay.
     deployment.timestamps['in_force'] = time.time() + DISPATCH_DELAY_S
--- a/beryllug/proofs/whole_path_test.py
+++ b/beryllug/proofs/whole_path_test.py
@@ -55,7 +55,7 @@
             await self._report(),
         ]
         await self._refusals()
-        bills = records.bills(self.fleet)
+        bills = records.outcome_rows(self.fleet)
         self.assertEqual(set(bills), set(request_ids))
         for request_id, rows in bills.items():
             with self.subTest(request_id):
--- a/beryllug/router/attempt_log.py
+++ b/beryllug/router/attempt_log.py
@@ -62,10 +62,10 @@
             metrics_data.Kind.COUNTER,
         )
 
-    def times(self) -> Iterable[metrics_data.Times]:
+    def times(self) -> Iterable[metrics_data.LabeledHistogram]:
         """Return request durations by the kind of their route."""
         for kind, histogram in self._times.items():
-            yield metrics_data.Times(
+            yield metrics_data.LabeledHistogram(
                 'request_seconds',
                 'Time from a request to its end.',
                 histogram,
@@ -86,7 +86,7 @@
             id=call.asked.attempt_id,
             server=server.instance,
             software=server.version,
-            servers=stamps.shown(self._known.servers.revision),
+            servers=stamps.format_stamp(self._known.servers.revision),
             left_ms=round((call.deadline - time.monotonic()) * MS),
             came=_format_outcome(outcome),
             took_ms=round(took_s * MS, 1),
--- a/beryllug/router/attempts.py
+++ b/beryllug/router/attempts.py
@@ -8,7 +8,7 @@
 import time
 from dataclasses import dataclass, field
 
-from beryllug.core.placement import backlog, returning, servers_data
+from beryllug.core.placement import backlog, retry_delay, servers_data
 from beryllug.core.routes import match
 from beryllug.router import call as call_data, dispatch, pool, trials
 
@@ -46,7 +46,9 @@
     unreachable: int = 0
     may_have_run: bool = False
     reason: str = ''
-    unavailability: returning.Lack = returning.Lack(returning.Cause.NO_SERVER)
+    unavailability: retry_delay.PlacementFailure = retry_delay.PlacementFailure(
+        retry_delay.Cause.NO_SERVER
+    )
     is_late: bool = False
     terminated: int = 0
     was_discarded: bool = False
@@ -56,13 +58,13 @@
     call: call_data.Call,
     progress: Progress,
     prompt: backlog.Prompt | None = None,
-) -> servers_data.Wish:
+) -> servers_data.Requirements:
     """Return the criteria for choosing the server of the next attempt."""
     version_choice = progress.version_choice
     versions = (
         version_choice.others if progress.excluded else version_choice.versions
     )
-    return servers_data.Wish(
+    return servers_data.Requirements(
         call.service,
         prompt,
         versions,
@@ -81,7 +83,7 @@
         criteria(call, progress), time.monotonic()
     )
     if not progress.reason:
-        progress.reason = returning.REASONS[progress.unavailability.cause]
+        progress.reason = retry_delay.REASONS[progress.unavailability.cause]
 
 
 def record_failure(
@@ -156,7 +158,9 @@
         return call_data.RefusedError(
             call_data.UNAVAILABLE,
             progress.reason,
-            returning.after_s(progress.unavailability, call.deadline - now),
+            retry_delay.retry_in_s(
+                progress.unavailability, call.deadline - now
+            ),
         )
     status = call_data.BAD_GATEWAY
     if progress.is_late:
--- a/beryllug/router/attempts_test.py
+++ b/beryllug/router/attempts_test.py
@@ -48,7 +48,9 @@
 
 
 def _call(route: routes_data.Route) -> call_data.Call:
-    asked = requests.Asked('try', '', 20, '*', True, '', 0, 100, 50, '', '')
+    asked = requests.RequestHeaders(
+        'try', '', 20, '*', True, '', 0, 100, 50, '', ''
+    )
     req = http_data.Request('POST', '/draft/a', {}, b'', '')
     return call_data.Call(req, asked, route, None, 'pool', 0, 20)
 
--- a/beryllug/router/call.py
+++ b/beryllug/router/call.py
@@ -29,7 +29,7 @@
     """
 
     req: http_data.Request
-    asked: requests.Asked
+    asked: requests.RequestHeaders
     route: routes_data.Route
     account: routes_data.Account | None
     service: str
--- a/beryllug/router/front.py
+++ b/beryllug/router/caller_server.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from beryllug.core import rendezvous, settings_data
-from beryllug.core.placement import returning
+from beryllug.core.placement import retry_delay
 from beryllug.core.routes import match, routes_data
 from beryllug.drivers import http_data, http_server
 from beryllug.platform import requests
@@ -36,8 +36,8 @@
 # Assumed timeout of a caller that states none.
 DEFAULT_CALLER_TIMEOUT_S = 60.0
 DRAIN_POLL_S = 0.05
-STOPPING = returning.Lack(returning.Cause.STOPPING)
-NO_TABLE = returning.Lack(returning.Cause.NO_TABLE)
+STOPPING = retry_delay.PlacementFailure(retry_delay.Cause.STOPPING)
+NO_TABLE = retry_delay.PlacementFailure(retry_delay.Cause.NO_TABLE)
 # Seconds for which a write to a caller may be blocked.
 WRITE_TIMEOUT_S = 10.0
 
@@ -50,7 +50,7 @@
     crashes: crash_watch.CrashWatch
 
 
-class Front:
+class CallerServer:
     """Accepts callers' requests and passes them to the matching flow."""
 
     def __init__(
@@ -76,7 +76,7 @@
         self._flows = flows
         self._log = request_log
         self._server = http_server.HttpServer(
-            self._serve, _limits(None), end_with_client=True
+            self._serve, _limits(None), cancel_on_disconnect=True
         )
         self._readiness = http_server.HttpServer(self._answer_readiness)
         self._stopping_at: float | None = None
@@ -112,7 +112,7 @@
         return self._stopping_at is None and self._known.is_ready()
 
     def _take_table(self, table: routes_data.RouteTable) -> None:
-        self._server.mode.limits = _limits(table)
+        self._server.shared_state.limits = _limits(table)
 
     async def _answer_readiness(
         self, req: http_data.Request, exchange: http_server.Exchange
@@ -128,10 +128,10 @@
     ) -> None:
         now = time.monotonic()
         asked = requests.read(req)
-        caller_timeout_s = asked.patience_s
+        caller_timeout_s = asked.caller_wait_s
         if caller_timeout_s is None:
             caller_timeout_s = DEFAULT_CALLER_TIMEOUT_S
-        await self._known.wait_ready(returning.held_s(caller_timeout_s))
+        await self._known.wait_ready(retry_delay.table_wait_s(caller_timeout_s))
         try:
             call = self._route(req, asked, caller_timeout_s, now)
         except call_data.RefusedError as exc:
@@ -160,7 +160,7 @@
     def _route(
         self,
         req: http_data.Request,
-        asked: requests.Asked,
+        asked: requests.RequestHeaders,
         caller_timeout_s: float,
         now: float,
     ) -> call_data.Call:
@@ -181,7 +181,7 @@
             route=route,
             account=account,
             service=match.choose_service(
-                route, rendezvous.share(asked.attempt_id)
+                route, rendezvous.unit_hash(asked.attempt_id)
             ),
             arrived_at=now,
             deadline=now + min(caller_timeout_s, route.timeout_s),
@@ -195,16 +195,17 @@
             raise call_data.RefusedError(
                 call_data.UNAVAILABLE,
                 'this process is stopping',
-                returning.after_s(STOPPING, caller_timeout_s),
+                retry_delay.retry_in_s(STOPPING, caller_timeout_s),
             )
         table = self._known.table
         if table is None or not self._known.servers.is_known:
             raise call_data.RefusedError(
                 call_data.UNAVAILABLE,
                 'no route table is known yet',
-                returning.after_s(
+                retry_delay.retry_in_s(
                     NO_TABLE,
-                    caller_timeout_s - returning.held_s(caller_timeout_s),
+                    caller_timeout_s
+                    - retry_delay.table_wait_s(caller_timeout_s),
                 ),
             )
         return table
--- a/beryllug/router/claims.py
+++ b/beryllug/router/claims.py
@@ -17,7 +17,7 @@
 # Timeout for the answer to a claim: ten round trips between zones, or one turn
 # of the event loop in a busy process.
 ANSWER_TIMEOUT_S = 0.05
-Send = Callable[[Iterable[str], peering_data.Note], None]
+Send = Callable[[Iterable[str], peering_data.PeerNote], None]
 
 
 class Claims:
@@ -57,7 +57,7 @@
         permits.refuse(self._limits.permits, instance, wait_s, time.monotonic())
         return False
 
-    def take(self, note: peering_data.Note, now: float) -> None:
+    def handle_note(self, note: peering_data.PeerNote, now: float) -> None:
         """Process the limits, claims and permits of a received note."""
         self._limits.merge_observations(note.limits, note.name, now)
         if note.claim is not None:
@@ -73,7 +73,7 @@
         now = time.monotonic()
         self._last_number += 1
         number = self._last_number
-        claim = peering_data.Claim(
+        claim = peering_data.PermitRequest(
             number, self._limits.observation(instance, now)
         )
         pending: asyncio.Future[peering_data.Permit] = asyncio.Future()
@@ -83,13 +83,16 @@
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 return (await pending).wait_s
         except TimeoutError:
-            self._peers.ask(coordinator)
+            self._peers.contact(coordinator)
             return permits.AGAIN_S
         finally:
             self._pending.pop(number, None)
 
     def _answer_claim(
-        self, note: peering_data.Note, claim: peering_data.Claim, now: float
+        self,
+        note: peering_data.PeerNote,
+        claim: peering_data.PermitRequest,
+        now: float,
     ) -> None:
         instance = claim.limit.instance
         self._limits.merge_observation(claim.limit, note.name, now)
@@ -110,9 +113,9 @@
             self._limits.permits, instance, per_s, self._size, now
         )
 
-    def _note(self) -> peering_data.Note:
+    def _note(self) -> peering_data.PeerNote:
         """Return a note that carries this process's addresses."""
-        return peering_data.Note(
+        return peering_data.PeerNote(
             self._peers.members.name,
             self._cfg.peer_listen,
             notes=self._cfg.notes_listen,
--- a/beryllug/router/claims_test.py
+++ b/beryllug/router/claims_test.py
@@ -16,7 +16,7 @@
 from beryllug.core import settings_data
 from beryllug.core.peering import members, peering_data
 from beryllug.core.placement import fleet_size, servers_data
-from beryllug.core.placement import statements as statements_data
+from beryllug.core.placement import server_headers as statements_data
 from beryllug.kernel import log_lines
 from beryllug.platform import requests
 from beryllug.router import (
@@ -67,10 +67,10 @@
         lines = _NullWriter()
         self.limits = server_limits.ServerLimits(name, lines)
         listed = server_list.ServerList(1, lines)
-        servers = eligible.Eligible(
+        servers = eligible.EligibleServers(
             listed,
             zone_list.ZoneList(lines),
-            eligible.Place(name, 'a', {}),
+            eligible.ProcessLocation(name, 'a', {}),
             self.limits,
         )
         self.statements = statements.Statements(name, listed, servers, lines)
@@ -95,7 +95,7 @@
         self.limits.claim = self.claims.claim
         self.limits.on_changed = lambda: fleet.broadcast(self)
 
-    def ask(self, name: str) -> None:
+    def contact(self, name: str) -> None:
         """Ignore that a process does not answer."""
 
 
@@ -152,24 +152,24 @@
                 process.name
             )
             if is_near and other in self.processes:
-                seen = members.Known(other, other, at, 'a')
-                members.heard(process.members, other, seen)
+                seen = members.KnownPeer(other, other, at, 'a')
+                members.record_peer(process.members, other, seen)
 
     def forget(self, gone: Iterable[str], name: str) -> None:
         """Notify a process that others are gone."""
         for each in gone:
-            members.found_gone(
+            members.mark_gone(
                 self.processes[name].members, each, time.monotonic()
             )
 
     def count(self, process: _Process, now: float) -> None:
         """Update the fleet size of a process, as it does in each round."""
         present = len(process.members.known) + 1
-        ever = members.count_ever(process.members)
+        ever = members.count_known_and_gone(process.members)
         fleet_size.count(process.size, present, ever, now)
 
     def send(
-        self, sender: str, addresses: Iterable[str], note: peering_data.Note
+        self, sender: str, addresses: Iterable[str], note: peering_data.PeerNote
     ) -> None:
         loop = asyncio.get_running_loop()
         for address in addresses:
@@ -190,8 +190,8 @@
 
     def broadcast(self, process: _Process) -> None:
         """Notify all processes of a limit that began or ended."""
-        news = process.limits.changed(time.monotonic())
-        note = peering_data.Note(process.name, process.name, limits=news)
+        news = process.limits.pop_changed(time.monotonic())
+        note = peering_data.PeerNote(process.name, process.name, limits=news)
         others = [name for name in self.names if name != process.name]
         self.send(process.name, others, note)
 
@@ -226,16 +226,16 @@
         self.received.append(_Arrival(sent_at, process.name, self.per_s))
         limit = '' if self.per_s is None else str(self.per_s)
         await asyncio.sleep(ANSWER_DELAY_S)
-        texts = statements_data.Texts(limit)
+        texts = statements_data.HeaderValues(limit)
         head = requests.Head(200, True, False, False, '', None, texts)
-        process.statements.heard(
+        process.statements.apply_answer(
             dispatch.AnswerHead(SERVER, head, sent_at, time.monotonic())
         )
 
-    def _deliver(self, name: str, note: peering_data.Note) -> None:
+    def _deliver(self, name: str, note: peering_data.PeerNote) -> None:
         process = self.processes.get(name)
         if process is not None:
-            process.claims.take(note, time.monotonic())
+            process.claims.handle_note(note, time.monotonic())
 
 
 def _max_in_window(fleet: _Fleet, excluded: Iterable[str] = ()) -> int:
--- a/beryllug/router/crash_watch.py
+++ b/beryllug/router/crash_watch.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from beryllug.core.placement import crashers, servers_data
+from beryllug.core.placement import poison_requests, servers_data
 from beryllug.kernel import log_lines
 from beryllug.router import call as call_data
 
@@ -21,7 +21,7 @@
 
     def __init__(self, lines: log_lines.LineWriter) -> None:
         """Start without known losses."""
-        self.state = crashers.Crashers()
+        self.state = poison_requests.Crashers()
         self._lines = lines
 
     async def start(self) -> None:
@@ -46,7 +46,7 @@
         if not self.state.losses:
             return
         now = time.monotonic()
-        left_s = crashers.refused_s(self.state, _fingerprint(call), now)
+        left_s = poison_requests.refused_s(self.state, _fingerprint(call), now)
         if left_s:
             raise call_data.RefusedError(
                 call_data.UNAVAILABLE,
@@ -58,17 +58,19 @@
         self, call: call_data.Call, server: servers_data.Server
     ) -> None:
         """Record that a request's connection to a server broke."""
-        loss = crashers.Loss(_fingerprint(call), server.instance)
-        crashers.broke(self.state, loss, time.monotonic())
+        loss = poison_requests.Loss(_fingerprint(call), server.instance)
+        poison_requests.broke(self.state, loss, time.monotonic())
 
     def answered(self, call: call_data.Call) -> None:
         """Record a successful answer to a request."""
         if self.state.losses:
-            crashers.answered(self.state, _fingerprint(call))
+            poison_requests.answered(self.state, _fingerprint(call))
 
-    def lost(self, instance: str, now: float) -> None:
+    def record_lost_server(self, instance: str, now: float) -> None:
         """Record that a server is gone without having announced it."""
-        for loss in crashers.lost(self.state, instance, now):
+        for loss in poison_requests.record_server_lost(
+            self.state, instance, now
+        ):
             known = self.state.losses[loss.fingerprint]
             self._lines.write(
                 'server_lost_under',
@@ -77,9 +79,11 @@
                 servers=len(known),
             )
 
-    def take(self, told: Iterable[crashers.Loss], now: float) -> None:
+    def merge_losses(
+        self, told: Iterable[poison_requests.Loss], now: float
+    ) -> None:
         """Merge losses that a peer has seen."""
-        crashers.take(self.state, told, now)
+        poison_requests.take(self.state, told, now)
 
 
 def _fingerprint(call: call_data.Call) -> str:
--- a/beryllug/router/directory.py
+++ b/beryllug/router/directory.py
@@ -20,7 +20,7 @@
 from beryllug.router import (
     order_list,
     server_list,
-    store_pulse,
+    store_liveness,
     store_watch,
     zone_list,
 )
@@ -78,7 +78,7 @@
             for kind, follower in followers.items()
         ]
         self.eras = api.eras
-        self.liveness = store_pulse.StoreLiveness(api, self._watches)
+        self.liveness = store_liveness.StoreLiveness(api, self._watches)
 
     def on_table(self, listener: TableListener) -> None:
         """Register a listener for each route table that comes into force."""
@@ -137,10 +137,10 @@
             'is_current': self.is_current(),
         }
 
-    def renew(self) -> None:
+    def relist(self) -> None:
         """List all kinds again, if this process follows the store."""
         for watch in self._watches:
-            watch.renew()
+            watch.relist()
 
     def take_table_spec(self, spec: Any, source: str) -> None:
         """Put a route table in force, if it is newer than the present one."""
@@ -168,7 +168,9 @@
                 self.take_table_spec(stored.spec, 'store')
 
     def _change_tables(self, changes: store_data.Changes, now: float) -> None:
-        present = [each.stored for each in changes.changes if not each.is_gone]
+        present = [
+            each.stored for each in changes.changes if not each.is_deleted
+        ]
         self._list_tables(store_data.Listing(tuple(present), 0), now)
 
 
--- a/beryllug/router/dispatch.py
+++ b/beryllug/router/dispatch.py
@@ -36,7 +36,7 @@
 class Answered:
     """The head of an answer was received; its body is not read yet."""
 
-    incoming: http_client.Incoming
+    incoming: http_client.IncomingResponse
     head: requests.Head
 
 
@@ -102,7 +102,7 @@
     async def send(
         self,
         call: call_data.Call,
-        sending: requests.Sending,
+        sending: requests.AttemptHeaders,
         wait_s: float,
     ) -> Outcome:
         """Send a request and wait for the head of its answer.
@@ -147,7 +147,9 @@
         return not await self._client.is_reachable(server.address)
 
 
-async def _discard(incoming: http_client.Incoming, outcome: Outcome) -> None:
+async def _discard(
+    incoming: http_client.IncomingResponse, outcome: Outcome
+) -> None:
     """Read the short body of a refusal, to keep the connection usable."""
     try:
         if isinstance(outcome, NotRun):
--- a/beryllug/router/eligible.py
+++ b/beryllug/router/eligible.py
@@ -13,8 +13,8 @@
 from beryllug.core.placement import (
     backoffs,
     choose,
-    cold,
-    returning,
+    cold_servers,
+    retry_delay,
     servers_data,
 )
 from beryllug.core.routes import routes_data
@@ -25,7 +25,7 @@
 Servers = list[servers_data.Server]
 
 
-class Place(NamedTuple):
+class ProcessLocation(NamedTuple):
     """The location of a process.
 
     Attributes:
@@ -39,7 +39,7 @@
     regions: Mapping[str, str]
 
 
-class Eligible:
+class EligibleServers:
     """Knows which listed servers accept requests of this process now.
 
     Attributes:
@@ -52,7 +52,7 @@
         self,
         known: server_list.ServerList,
         zones: zone_list.ZoneList,
-        place: Place,
+        place: ProcessLocation,
         limits: server_limits.ServerLimits,
     ) -> None:
         """Bind to the listed servers, evacuated zones and limits."""
@@ -61,7 +61,7 @@
         self._known = known
         self._zones = zones
         self._regions = place.regions
-        self._cold = cold.Cold(place.name)
+        self._cold = cold_servers.Cold(place.name)
         self.size = self._cold.size
         self._services: Mapping[str, routes_data.Service] = {}
         known.on_listed = self._on_listed
@@ -85,7 +85,7 @@
         )
 
     def candidates(
-        self, criteria: servers_data.Wish, now: float
+        self, criteria: servers_data.Requirements, now: float
     ) -> tuple[Servers, Servers]:
         """Return the listed servers for an attempt, and the doubted ones.
 
@@ -104,7 +104,7 @@
     def still_accepts(
         self,
         server: servers_data.Server,
-        criteria: servers_data.Wish,
+        criteria: servers_data.Requirements,
         now: float,
     ) -> bool:
         """Return whether a server is still listed and accepts requests."""
@@ -121,12 +121,12 @@
 
     def count_request(self, instance: str, now: float) -> None:
         """Count a request that is sent to a server."""
-        cold.sent(self._cold, instance, now)
+        cold_servers.sent(self._cold, instance, now)
         backoffs.sent(self.backoffs, instance, now)
 
     def unavailability(
-        self, criteria: servers_data.Wish, now: float
-    ) -> returning.Lack:
+        self, criteria: servers_data.Requirements, now: float
+    ) -> retry_delay.PlacementFailure:
         """Return why there is no server for an attempt."""
         listed, doubted = self._known.usable(now)
         of_service = [
@@ -150,21 +150,25 @@
         }
         due_s = list(backoff_s.values())
         if due_s and min(due_s) > 0:
-            return returning.Lack(returning.Cause.BACKING_OFF, min(due_s))
+            return retry_delay.PlacementFailure(
+                retry_delay.Cause.BACKING_OFF, min(due_s)
+            )
         if not of_service or not criteria.excluded.isdisjoint(available):
-            return returning.Lack(returning.Cause.NO_SERVER)
+            return retry_delay.PlacementFailure(retry_delay.Cause.NO_SERVER)
         if not in_region:
-            return returning.Lack(returning.Cause.NO_REGION)
+            return retry_delay.PlacementFailure(retry_delay.Cause.NO_REGION)
         if not available:
-            return returning.Lack(returning.Cause.EVACUATED)
+            return retry_delay.PlacementFailure(retry_delay.Cause.EVACUATED)
         due_s = [
             max(self.limits.refused_s(instance, now), backoff_s[instance])
             for instance in available
             if self.limits.per_s(instance) is not None
         ]
         if due_s:
-            return returning.Lack(returning.Cause.LIMITED, min(due_s))
-        return returning.Lack(returning.Cause.COLD)
+            return retry_delay.PlacementFailure(
+                retry_delay.Cause.LIMITED, min(due_s)
+            )
+        return retry_delay.PlacementFailure(retry_delay.Cause.COLD)
 
     def dump(self) -> dict[str, Any]:
         """Return the evacuated zones and the cold servers."""
@@ -194,7 +198,7 @@
         )
 
     def _accepting(
-        self, servers: Servers, criteria: servers_data.Wish, now: float
+        self, servers: Servers, criteria: servers_data.Requirements, now: float
     ) -> Servers:
         """Return the servers that accept a request of this process now.
 
@@ -218,7 +222,7 @@
         return [each for each in fitting if each.instance not in overloaded]
 
     def _probe_candidates(
-        self, servers: Servers, criteria: servers_data.Wish, now: float
+        self, servers: Servers, criteria: servers_data.Requirements, now: float
     ) -> Servers:
         """Return servers in backoff that may be sent one probe request.
 
@@ -239,7 +243,7 @@
     def _accepts(
         self,
         server: servers_data.Server,
-        criteria: servers_data.Wish,
+        criteria: servers_data.Requirements,
         now: float,
     ) -> bool:
         """Return whether a server accepts a request of this process now."""
@@ -247,7 +251,7 @@
             server.service == criteria.service
             and server.zone not in self._zones.evacuated
             and _is_region_allowed(self._regions, server, criteria)
-            and cold.may_send(
+            and cold_servers.may_send(
                 self._cold,
                 server.instance,
                 _service_of(self._services, server).cold_per_s,
@@ -256,7 +260,9 @@
         )
 
     def _on_listed(self, server: servers_data.Server, now: float) -> None:
-        cold.becomes_cold(self._cold, server.instance, server.cold_s, now)
+        cold_servers.becomes_cold(
+            self._cold, server.instance, server.cold_s, now
+        )
 
     def _on_reopened(self, zone: str, now: float) -> None:
         """Treat the servers of a zone as cold when its evacuation ends.
@@ -268,7 +274,7 @@
         for servers in self._known.usable(now):
             for server in servers:
                 if server.zone == zone:
-                    cold.becomes_cold(
+                    cold_servers.becomes_cold(
                         self._cold,
                         server.instance,
                         _service_of(self._services, server).cold_s,
@@ -283,7 +289,10 @@
 
 
 def _is_overloaded(
-    servers: Eligible, instance: str, criteria: servers_data.Wish, now: float
+    servers: EligibleServers,
+    instance: str,
+    criteria: servers_data.Requirements,
+    now: float,
 ) -> bool:
     """Return whether a server has stated that it accepts no more now."""
     if backoffs.left_s(servers.backoffs, instance, now) > 0:
@@ -297,7 +306,7 @@
 def _is_region_allowed(
     regions: Mapping[str, str],
     server: servers_data.Server,
-    criteria: servers_data.Wish,
+    criteria: servers_data.Requirements,
 ) -> bool:
     """Return whether a server is in a region that the request may run in.
 
--- a/beryllug/router/eligible_test.py
+++ b/beryllug/router/eligible_test.py
@@ -8,7 +8,7 @@
 from beryllug.core.placement import (
     backoffs,
     permits,
-    returning,
+    retry_delay,
     servers_data,
 )
 from beryllug.core.routes import match, routes_data
@@ -57,8 +57,8 @@
     return {'version': 1, 'limits': {}, **parts}
 
 
-def _criteria(*regions: str, excluded: Names = ()) -> servers_data.Wish:
-    return servers_data.Wish(
+def _criteria(*regions: str, excluded: Names = ()) -> servers_data.Requirements:
+    return servers_data.Requirements(
         DESK,
         None,
         None,
@@ -74,9 +74,9 @@
         lines = log_lines.LineWriter(1)
         self.zones = zone_list.ZoneList(lines)
         self.listed = server_list.ServerList(1, lines)
-        place = eligible.Place('p', 'a', REGIONS)
+        place = eligible.ProcessLocation('p', 'a', REGIONS)
         self.limits = server_limits.ServerLimits('p', lines)
-        self.eligible = eligible.Eligible(
+        self.eligible = eligible.EligibleServers(
             self.listed, self.zones, place, self.limits
         )
         services = [{'name': DESK, 'cold_per_s': 2}]
@@ -99,14 +99,14 @@
             with self.subTest(regions):
                 self.assertEqual(self._found(_criteria(*regions)), names)
         unavailability = self.eligible.unavailability(_criteria('north'), 0)
-        self.assertIs(unavailability.cause, returning.Cause.NO_REGION)
+        self.assertIs(unavailability.cause, retry_delay.Cause.NO_REGION)
 
     def test_lack(self) -> None:
         """The reason for having no server decides when the caller retries."""
-        table: tuple[tuple[str, Names, int, returning.Cause], ...] = (
-            ('abcd', (), 0, returning.Cause.EVACUATED),
-            ('abc', (), 1000, returning.Cause.COLD),
-            ('abc', ('d',), 0, returning.Cause.NO_SERVER),
+        table: tuple[tuple[str, Names, int, retry_delay.Cause], ...] = (
+            ('abcd', (), 0, retry_delay.Cause.EVACUATED),
+            ('abc', (), 1000, retry_delay.Cause.COLD),
+            ('abc', ('d',), 0, retry_delay.Cause.NO_SERVER),
         )
         for evacuated, excluded, cold_ms, cause in table:
             with self.subTest(evacuated=evacuated, excluded=excluded):
@@ -129,7 +129,7 @@
         self._list(dict.fromkeys('abcd', 0), {'c': 'v2'})
         self._limit('c', 1)
         criteria = _criteria()._replace(versions=frozenset(('v2',)))
-        table: tuple[tuple[servers_data.Wish, float, str], ...] = (
+        table: tuple[tuple[servers_data.Requirements, float, str], ...] = (
             (criteria, 0, 'abcd'),
             (criteria, 1, ''),
             (criteria._replace(without_limit=True), 0, ''),
@@ -149,7 +149,7 @@
             permits.refuse(self.limits.permits, instance, wait_s, 0)
         self.zones.take('cd', 5, 'peer', 0)
         unavailability = self.eligible.unavailability(_criteria(), 0)
-        self.assertIs(unavailability.cause, returning.Cause.LIMITED)
+        self.assertIs(unavailability.cause, retry_delay.Cause.LIMITED)
         self.assertEqual(unavailability.due_s, 0.4)
 
     def test_backing_off(self) -> None:
@@ -157,7 +157,7 @@
         self._list(dict.fromkeys('abcd', 0), {'c': 'v2'})
         backoffs.back_off(self.eligible.backoffs, 'c', 3, 0)
         of_v2 = _criteria()._replace(versions=frozenset(('v2',)))
-        table: tuple[tuple[servers_data.Wish, float, str], ...] = (
+        table: tuple[tuple[servers_data.Requirements, float, str], ...] = (
             (_criteria(), 0, 'abd'),
             (_criteria()._replace(without_limit=True), 2.9, 'abd'),
             (_criteria(), 3, 'abcd'),
@@ -181,9 +181,9 @@
         for instance, seconds in zip('abcd', (3, 2, 4, 5), strict=True):
             backoffs.back_off(self.eligible.backoffs, instance, seconds, 0)
         for now, excluded, cause, due_s in (
-            (0, (), returning.Cause.BACKING_OFF, 2),
-            (1.5, ('b',), returning.Cause.BACKING_OFF, 0.5),
-            (2, ('b',), returning.Cause.NO_SERVER, None),
+            (0, (), retry_delay.Cause.BACKING_OFF, 2),
+            (1.5, ('b',), retry_delay.Cause.BACKING_OFF, 0.5),
+            (2, ('b',), retry_delay.Cause.NO_SERVER, None),
         ):
             with self.subTest(now):
                 unavailability = self.eligible.unavailability(
@@ -205,14 +205,14 @@
             self.assertEqual(self.zones.evacuated, frozenset(evacuated))
 
     def _limit(self, instance: str, per_s: float) -> None:
-        news = peering_data.LimitNews(instance, per_s, 0)
+        news = peering_data.RateLimitReport(instance, per_s, 0)
         self.limits.merge_observations((news,), 'peer', 0)
 
     def _list(
         self, cold_ms: dict[str, int], versions: Mapping[str, str] = NO_VERSIONS
     ) -> None:
         found = tuple(
-            store_data.Stored(
+            store_data.StoredObject(
                 zone,
                 1,
                 _entry(zone, each) | {'version': versions.get(zone, 'v1')},
@@ -225,7 +225,9 @@
             store_data.Listing(found, self.listed.revision + 1), 0
         )
 
-    def _found(self, criteria: servers_data.Wish, now: float = 0) -> str:
+    def _found(
+        self, criteria: servers_data.Requirements, now: float = 0
+    ) -> str:
         found, _ = self.eligible.candidates(criteria, now)
         return ''.join(sorted(server.name for server in found))
 
--- a/beryllug/router/fleet_loads.py
+++ b/beryllug/router/fleet_loads.py
@@ -29,15 +29,15 @@
 # Messages per second above which a primary sends nothing between its rounds. In
 # a small fleet it sends a new load at once; with 40 processes and five zones,
 # the rounds alone are as much as it should send.
-MOST_A_S = 200
+MAX_MESSAGES_PER_S = 200
 
-Told = peering_data.Report | peering_data.ZoneSum | peering_data.Total
+LoadMessage = peering_data.Report | peering_data.ZoneSum | peering_data.Total
 
 
 class OutgoingMessage(NamedTuple):
     """A message and the addresses that it is sent to."""
 
-    payload: Told
+    payload: LoadMessage
     addresses: list[str]
 
 
@@ -51,7 +51,9 @@
         self, zone: str, known: members.Members, servers: pool.Pool
     ) -> None:
         """Bind to the known processes and to the loads of this one."""
-        self.state = aggregation.Aggregation(known.name, zone, servers.others)
+        self.state = aggregation.Aggregation(
+            known.name, zone, servers.peer_loads
+        )
         self._members = known
         self._pool = servers
         self._round = 0
@@ -81,7 +83,7 @@
         load half a second late and send their prompts to the busy server
         meanwhile.
         """
-        min_interval_s = self._published_messages / MOST_A_S
+        min_interval_s = self._published_messages / MAX_MESSAGES_PER_S
         if now - self._published_at < min_interval_s:
             return []
         if not aggregation.is_primary(self.state, self._members, now):
@@ -92,7 +94,9 @@
             return []
         return self._due_as_primary(now)
 
-    def take(self, name: str, payload: Told, now: float) -> None:
+    def handle_message(
+        self, name: str, payload: LoadMessage, now: float
+    ) -> None:
         """Handle a load message from a process."""
         match payload:
             case peering_data.Report():
@@ -100,7 +104,7 @@
             case peering_data.ZoneSum():
                 aggregation.take_sum(self.state, payload, now)
             case peering_data.Total():
-                if not aggregation.hears_more(self.state, name, payload, now):
+                if not aggregation.record_total(self.state, name, payload, now):
                     aggregation.take_total(self.state, payload, now)
 
     def lacks_totals(self, now: float) -> bool:
@@ -111,12 +115,12 @@
         known from peer to peer; until then it would know neither any loads nor
         which processes follow the store.
         """
-        return now - self.state.others.at > load_sums.TOLD_S
+        return now - self.state.others.at > load_sums.REPORT_VALID_S
 
     def _due_report(self, now: float) -> Iterable[OutgoingMessage]:
-        own = own_loads.of_process(self._pool.known, now)
+        own = own_loads.server_loads(self._pool.known, now)
         is_repeat_round = self._round % REPEAT_ROUNDS == 0
-        subjects = own_loads.on_subjects(self._pool.subjects(now))
+        subjects = own_loads.subject_loads(self._pool.peer_counts(now))
         has_content = bool(own or subjects) or self.lacks_totals(now)
         is_due = own != self._last_reported or (has_content and is_repeat_round)
         if not is_due:
@@ -130,7 +134,7 @@
             self.state, all_loads, MAX_SERVERS_PER_MESSAGE
         ):
             if self._members.name in receivers:
-                self.take(self._members.name, payload, now)
+                self.handle_message(self._members.name, payload, now)
             yield OutgoingMessage(payload, addresses)
 
     def _due_as_primary(self, now: float) -> list[OutgoingMessage]:
@@ -150,12 +154,14 @@
         """Return the sum of this zone, for the aggregators of other zones."""
         has_content = bool(own_zone) or self._zone_had_load
         is_repeat_round = self._round % ZONE_SUM_ROUNDS == 0
-        has_risen = aggregation.has_risen(own_zone, self.state.told)
+        has_risen = aggregation.has_risen(own_zone, self.state.last_sent_sum)
         if not has_content or not (is_repeat_round or has_risen):
             return
         self._zone_had_load = bool(own_zone)
-        self.state.told = own_zone
-        receivers = aggregation.of_others(self._members, self.state.zone)
+        self.state.last_sent_sum = own_zone
+        receivers = aggregation.aggregators_of_other_zones(
+            self._members, self.state.zone
+        )
         addresses = members.note_addresses(self._members, receivers)
         for part in load_sums.sliced(own_zone, MAX_SERVERS_PER_MESSAGE):
             payload = peering_data.ZoneSum(self.state.zone, reports, part)
@@ -175,10 +181,10 @@
         if not is_due:
             return
         self._published_total = total
-        report_numbers = aggregation.holds(self.state)
+        report_numbers = aggregation.included_report_numbers(self.state)
         parts = load_sums.sliced(total, MAX_SERVERS_PER_MESSAGE)
         for part in parts:
-            self.take(
+            self.handle_message(
                 self._members.name,
                 peering_data.Total(report_numbers, part, reports),
                 now,
@@ -203,5 +209,5 @@
     report_numbers: dict[int, int], names: Iterable[str]
 ) -> dict[int, int]:
     """Return the report numbers of the named processes."""
-    keys = [load_sums.key_of(name) for name in names]
+    keys = [load_sums.server_key(name) for name in names]
     return {key: report_numbers[key] for key in keys if key in report_numbers}
--- a/beryllug/router/fleet_loads_test.py
+++ b/beryllug/router/fleet_loads_test.py
@@ -40,7 +40,7 @@
     at: float
     sender: str
     address: str
-    payload: fleet_loads.Told
+    payload: fleet_loads.LoadMessage
 
 
 class _Fleet:
@@ -75,8 +75,8 @@
         """Start or restart a process."""
         known = members.Members(name)
         for other, zone in self.zones.items():
-            seen = members.Known(other, other, self.now, zone)
-            members.heard(known, other, seen)
+            seen = members.KnownPeer(other, other, self.now, zone)
+            members.record_peer(known, other, seen)
         listed: Any = None
         servers = pool.Pool(listed, self.zones[name], BOUND)
         self.loads[name] = fleet_loads.FleetLoads(
@@ -87,7 +87,7 @@
     def forget(self, gone: str) -> None:
         """Make all processes learn that one is gone."""
         for each in self.loads.values():
-            members.found_gone(each._members, gone, self.now)  # noqa: SLF001
+            members.mark_gone(each._members, gone, self.now)  # noqa: SLF001
 
     def kill(self, name: str) -> None:
         """End a process without telling the others."""
@@ -126,12 +126,12 @@
         ]
 
     def known_load(self, name: str, instance: str) -> load_sums.Load:
-        others = self.pool_of(name).others
-        return load_sums.of(others, instance, self.now)
+        others = self.pool_of(name).peer_loads
+        return load_sums.remote_load(others, instance, self.now)
 
     def _deliver_to(self, sent: _Sent) -> None:
         loads = self.loads[sent.address]
-        loads.take(sent.sender, sent.payload, self.now)
+        loads.handle_message(sent.sender, sent.payload, self.now)
         if not isinstance(sent.payload, peering_data.Total):
             self._transmit(sent.address, loads.due_immediately(self.now))
 
@@ -139,7 +139,7 @@
         self, name: str, messages: Iterable[fleet_loads.OutgoingMessage]
     ) -> None:
         for due in messages:
-            note = peering_data.Note(name, name)
+            note = peering_data.PeerNote(name, name)
             raw = wire.encode(sharing.with_loads(note, due.payload))
             self.largest = max(self.largest, len(raw) + SIGNATURE_BYTES)
             self.sent[name] += len(due.addresses)
@@ -181,7 +181,11 @@
         instance = f'i-{rng.randrange(runners)}'
         prompt = backlog.Prompt('large', '', 0, 1_000_000)
         backlog.begin(
-            servers.reading, instance, prompt, fleet.now, is_home=False
+            servers.prompt_backlog,
+            instance,
+            prompt,
+            fleet.now,
+            is_preferred=False,
         )
         for _ in range(3):
             streams.begin(servers.streams, f'i-{rng.randrange(runners)}')
@@ -236,8 +240,10 @@
             instance = f'i-{number}'
             sender = f'p{number % 8}'
             prompt = backlog.Prompt('large', '', 0, 100_000)
-            reading = fleet.pool_of(sender).reading
-            backlog.begin(reading, instance, prompt, fleet.now, is_home=False)
+            reading = fleet.pool_of(sender).prompt_backlog
+            backlog.begin(
+                reading, instance, prompt, fleet.now, is_preferred=False
+            )
             others = [name for name in fleet.loads if name != sender]
             while any(
                 not fleet.known_load(each, instance).work_cs for each in others
@@ -262,7 +268,7 @@
             fleet.sent.clear()
             fleet.run(4)
             mean[size] = sum(fleet.sent.values()) / size / 4
-            self.assertLessEqual(fleet.largest, datagrams.MOST_BYTES)
+            self.assertLessEqual(fleet.largest, datagrams.MAX_DATAGRAM_BYTES)
         self.assertLess(mean[300], 1.25 * mean[30])
         self.assertLess(mean[300], 20)
 
@@ -292,8 +298,8 @@
         fleet = _Fleet(10, 1)
         fleet.run(2)
         for each in fleet.loads.values():
-            members.found_gone(each._members, 'p3', fleet.now)  # noqa: SLF001
-        fleet.run(aggregation.KEPT_S)
+            members.mark_gone(each._members, 'p3', fleet.now)  # noqa: SLF001
+        fleet.run(aggregation.REPORT_EXPIRY_S)
         self.assertTrue(fleet.loads['p3'].lacks_totals(fleet.now))
         fleet.sent.clear()
         fleet.run(2)
@@ -310,7 +316,7 @@
         fleet.run(KNOWN_S)
         self.assertEqual(fleet.inconsistent('i-7'), [])
         self.assertEqual(fleet.inconsistent('i-399'), [])
-        self.assertLessEqual(fleet.largest, datagrams.MOST_BYTES)
+        self.assertLessEqual(fleet.largest, datagrams.MAX_DATAGRAM_BYTES)
 
     def test_suspicion_points(self) -> None:
         """A failure that one process saw is known to all within a second."""
@@ -384,7 +390,7 @@
         fleet.run(2)
         lost = fleet.primary('z1')
         fleet.drops_incoming.add(lost)
-        fleet.run(aggregation.KEPT_S + KNOWN_S)
+        fleet.run(aggregation.REPORT_EXPIRY_S + KNOWN_S)
         inconsistent: set[str] = set()
         for number in range(RUNNERS):
             inconsistent.update(fleet.inconsistent(f'i-{number}'))
@@ -418,7 +424,7 @@
         for name, zone in fleet.zones.items():
             if zone == 'z1':
                 fleet.kill(name)
-        fleet.run(aggregation.KEPT_S + KNOWN_S)
+        fleet.run(aggregation.REPORT_EXPIRY_S + KNOWN_S)
         for number in range(RUNNERS):
             self.assertEqual(fleet.inconsistent(f'i-{number}'), [])
 
@@ -430,7 +436,7 @@
         for name in fleet.zones:
             fleet.start(name)
         streams.begin(fleet.pool_of('p9').streams, 'i-0')
-        fleet.run(aggregation.KEPT_S + KNOWN_S)
+        fleet.run(aggregation.REPORT_EXPIRY_S + KNOWN_S)
         for number in range(RUNNERS):
             self.assertEqual(fleet.inconsistent(f'i-{number}'), [])
 
@@ -452,7 +458,7 @@
                 ]
                 for each in names[half::2]:
                     known = fleet.loads[each]._members  # noqa: SLF001
-                    members.found_gone(known, first, fleet.now)
+                    members.mark_gone(known, first, fleet.now)
                 fleet.run(4)
                 for number in range(RUNNERS):
                     inconsistent = fleet.inconsistent(f'i-{number}')
@@ -481,7 +487,7 @@
         _add_load(fleet)
         fleet.run(2)
         fleet.start('p7')
-        fleet.run(aggregation.KEPT_S + KNOWN_S)
+        fleet.run(aggregation.REPORT_EXPIRY_S + KNOWN_S)
         for number in range(RUNNERS):
             self.assertEqual(fleet.inconsistent(f'i-{number}'), [])
 
--- a/beryllug/router/held_knowledge_test.py
+++ b/beryllug/router/held_knowledge_test.py
@@ -15,7 +15,7 @@
 from beryllug.kernel import log_lines
 from beryllug.router import (
     directory,
-    knowledge,
+    store_exchange,
     order_list,
     server_list,
     store_returns_test,
@@ -28,7 +28,7 @@
 NOW = 100.0
 # Seconds between the restore and the start of the other process.
 START_DELAY_S = 6.0
-HOLD_ENDS = NOW + stamps.HELD_S
+HOLD_ENDS = NOW + stamps.RESTORE_HOLD_S
 DIGEST = peering_data.Digest('one', '127.0.0.1:1', '127.0.0.1:2')
 COPY = types.MappingProxyType(
     {'stays': 'ready', 'leaves': 'ready', 'goes': 'ready'}
@@ -108,18 +108,18 @@
     def test_nothing_held(self) -> None:
         """Digests have no held data without a restore or after the hold."""
         for known, now in ((_known(), NOW), (self.one, HOLD_ENDS + 0.1)):
-            digest = knowledge.Knowledge(known).complete(
+            digest = store_exchange.StoreExchange(known).add_missing(
                 DIGEST, peering_data.NOTHING_KNOWN, now
             )
             self.assertEqual(digest.held, peering_data.NOTHING_HELD)
 
     def _exchange(self, now: float) -> None:
-        given = knowledge.Knowledge(self.one)
-        taken = knowledge.Knowledge(self.other)
+        given = store_exchange.StoreExchange(self.one)
+        taken = store_exchange.StoreExchange(self.other)
         mine = DIGEST._replace(
             versions=given.versions(), evacuated=given.evacuated()
         )
-        taken.take(given.complete(mine, taken.versions(), now), now)
+        taken.apply(given.add_missing(mine, taken.versions(), now), now)
 
     def _assert_held(self, now: float) -> None:
         self.assertEqual(_usable(self.other, now), {'stays'})
@@ -127,7 +127,7 @@
         self.assertEqual(_target(self.other), 'v3')
 
     def _assert_copy(self, now: float) -> None:
-        self.other.zones.settle(now)
+        self.other.zones.release_expired(now)
         self.assertEqual(_usable(self.other, now), set(COPY))
         self.assertEqual(self.other.zones.evacuated, set())
 
@@ -160,17 +160,17 @@
 
 def _state_change(name: str, state: str, stamped: int) -> store_data.Change:
     found = store_returns_test.stored(name, state, stamped)
-    return store_data.Change(found, is_gone=False)
+    return store_data.Change(found, is_deleted=False)
 
 
 def _removal(name: str, stamped: int) -> store_data.Change:
     found = store_returns_test.stored(name, 'ready', stamped)
-    return store_data.Change(found, is_gone=True)
+    return store_data.Change(found, is_deleted=True)
 
 
 def _orders(target: str, stamped: int) -> store_data.Listing:
     spec = store_returns_test.order_of(target)
-    stored = store_data.Stored('pool', stamped, spec, None, False)
+    stored = store_data.StoredObject('pool', stamped, spec, None, False)
     return store_data.Listing((stored,), stamped)
 
 
--- a/beryllug/router/held_servers.py
+++ b/beryllug/router/held_servers.py
@@ -18,7 +18,9 @@
         entries: The entries by name.
     """
 
-    def __init__(self, book: listing.Book, lines: log_lines.LineWriter) -> None:
+    def __init__(
+        self, book: listing.ServerListing, lines: log_lines.LineWriter
+    ) -> None:
         """Bind to the list; no entries are held."""
         self.entries: dict[str, servers_data.Server] = {}
         self._held_until = 0.0
@@ -27,14 +29,14 @@
 
     def hold(self, servers: Iterable[servers_data.Server], now: float) -> None:
         """Hold the contradicting entries of the first list of a new era."""
-        self._held_until = now + stamps.HELD_S
+        self._held_until = now + stamps.RESTORE_HOLD_S
         self._set_entries(
             server
             for server in servers
             if listing.is_contradicted(self._book, server)
         )
 
-    def believed(
+    def without_held(
         self, servers: Iterable[servers_data.Server]
     ) -> list[servers_data.Server]:
         """Return the entries of a whole list that are not held.
@@ -52,7 +54,9 @@
             each for each in listed.values() if each.name not in self.entries
         ]
 
-    def take(self, instances: Iterable[str], left_s: float, now: float) -> None:
+    def hold_from_peer(
+        self, instances: Iterable[str], left_s: float, now: float
+    ) -> None:
         """Hold the entries that a peer holds, whose list is no older.
 
         Args:
@@ -74,12 +78,12 @@
             listing.withhold(self._book, server.name)
         self._set_entries([*self.entries.values(), *found])
 
-    def told(self, now: float) -> tuple[float, tuple[str, ...]]:
+    def remaining(self, now: float) -> tuple[float, tuple[str, ...]]:
         """Return the seconds left and the instances that are still held."""
         held = (server.instance for server in self.entries.values())
         return max(0, self._held_until - now), tuple(held)
 
-    def changed(self, name: str) -> None:
+    def discard(self, name: str) -> None:
         """Stop holding an entry that its server has written again."""
         self.entries.pop(name, None)
 
--- a/beryllug/router/refusals.py
+++ b/beryllug/router/invalid_entry_log.py
@@ -11,7 +11,7 @@
 MAX_REMEMBERED = 1000
 
 
-class Refusals:
+class InvalidEntryLog:
     """Logs each invalid entry once, until it is valid or has changed."""
 
     def __init__(self, event: str, lines: log_lines.LineWriter) -> None:
@@ -20,7 +20,7 @@
         self._lines = lines
         self._errors: dict[str, str] = {}
 
-    def refused(self, name: str, error: str) -> None:
+    def log_once(self, name: str, error: str) -> None:
         """Log that an entry cannot be used, unless this error was logged."""
         if self._errors.get(name) == error:
             return
@@ -29,6 +29,6 @@
             self._errors.pop(next(iter(self._errors)))
         self._lines.write(self._event, name=name, error=error)
 
-    def accepted(self, name: str) -> None:
+    def clear(self, name: str) -> None:
         """Record that an entry is valid or was removed."""
         self._errors.pop(name, None)
--- a/beryllug/router/judge.py
+++ b/beryllug/router/judge.py
@@ -66,7 +66,7 @@
         while True:
             # Without a rollout there is nothing to evaluate, and each iteration
             # wakes the process.
-            await self._trials.ordered.wait()
+            await self._trials.has_open_rollout.wait()
             await asyncio.sleep(PERIOD_S)
             for rollout in list(self._trials.rollouts()):
                 if not rollout.is_stored:
@@ -88,7 +88,7 @@
             self._log(rollout, phase, seen)
         if phase in trials.PEER_PHASES and phase is not rollout.phase:
             self._trials.set_phase(rollout, phase, 'judged', now)
-            self._notes.tell_phase(rollout, now)
+            self._notes.broadcast_phase(rollout, now)
         if plan.is_over(phase):
             await self._write_when_due(rollout, phase, now)
 
@@ -144,7 +144,7 @@
             target=rollout.order.target,
             phase=phase.value,
             age_s=round(time.monotonic() - rollout.started_at, 2),
-            judged=verdict.judged(seen),
+            judged=verdict.count_new_answers(seen),
             requests=seen.requests,
             failures=_counts_by_route(verdict.failures(seen)),
             slowness=_counts_by_route(verdict.slowness(seen)),
--- a/beryllug/router/larger.py
+++ b/beryllug/router/larger.py
@@ -1,13 +1,13 @@
 """The decision to ask the larger model after an answer of low confidence.
 
 This module derives the forecast for the larger model's answer from the state of
-the pool; the decision itself is `core.placement.sizes`.
+the pool; the decision itself is `core.placement.escalation`.
 """
 
 import time
 
 from beryllug.core import retry_window
-from beryllug.core.placement import backlog, lateness, sizes
+from beryllug.core.placement import backlog, lateness, escalation
 from beryllug.platform import requests
 from beryllug.router import attempts, dispatch, pool, stream_state
 from beryllug.router import call as call_data
@@ -30,23 +30,23 @@
         call: call_data.Call,
         stream: stream_state.Stream,
         head: requests.Head,
-    ) -> sizes.Why:
+    ) -> escalation.SizeReason:
         """Decide whether to ask the largest model, if capacity permits."""
         route = call.route
-        why = sizes.judge(
+        why = escalation.decide_escalation(
             route.models,
             stream.size,
             route.priority,
             head.confidence,
             self._forecast(call, stream),
         )
-        if why is not sizes.Why.LARGER:
+        if why is not escalation.SizeReason.LARGER:
             return why
         if stream.progress.counted_attempts + 1 >= route.max_attempts:
-            return sizes.Why.NO_ATTEMPT
-        use = retry_window.Use.LARGER
+            return escalation.SizeReason.NO_ATTEMPT
+        use = retry_window.RepeatReason.LARGER
         if not self._pool.repeats.may_repeat(call.service, use):
-            return sizes.Why.NO_REPEAT
+            return escalation.SizeReason.NO_REPEAT
         return why
 
     def late_s(self, call: call_data.Call, size: int) -> float:
@@ -83,7 +83,7 @@
 
     def _forecast(
         self, call: call_data.Call, stream: stream_state.Stream
-    ) -> sizes.Outlook:
+    ) -> escalation.ExpectedTiming:
         """Return the forecast for the largest model's answer."""
         largest = len(call.route.models) - 1
         criteria = attempts.criteria(
@@ -95,11 +95,11 @@
         begins_at = now + expected.first_s + late_s
         due = call.arrived_at + call.route.target_s
         write_s = backlog.write_s(
-            self._pool.reading,
+            self._pool.prompt_backlog,
             call.route.models[largest],
             _max_answer_tokens(call.asked),
         )
-        return sizes.Outlook(
+        return escalation.ExpectedTiming(
             expected.wait_s + late_s,
             expected.read_s,
             call.route.target_s,
@@ -108,7 +108,7 @@
         )
 
 
-def _max_answer_tokens(asked: requests.Asked) -> int:
+def _max_answer_tokens(asked: requests.RequestHeaders) -> int:
     """Return a number of tokens that an answer rarely exceeds."""
     longest = round(LENGTH_MARGIN * asked.tokens_out)
     if not asked.most_tokens_out:
--- a/beryllug/router/leaving_servers.py
+++ b/beryllug/router/leaving_servers.py
@@ -9,12 +9,14 @@
 class LeavingServers:
     """Excludes listed servers that announce that they are leaving."""
 
-    def __init__(self, book: listing.Book, lines: log_lines.LineWriter) -> None:
+    def __init__(
+        self, book: listing.ServerListing, lines: log_lines.LineWriter
+    ) -> None:
         """Bind to the listed servers and to the log."""
         self._book = book
         self._lines = lines
 
-    def heard(self, instance: str, source: str, now: float) -> bool:
+    def record_leaving(self, instance: str, source: str, now: float) -> bool:
         """Record that a server is leaving; returns whether that is new.
 
         Args:
@@ -22,7 +24,7 @@
             source: Who reported it.
             now: Current time in seconds.
         """
-        is_new = listing.states_leaving(self._book, instance, now)
+        is_new = listing.record_leaving(self._book, instance, now)
         if is_new:
             self._lines.write(
                 'server_leaving', instance=instance, source=source
--- a/beryllug/router/order_list.py
+++ b/beryllug/router/order_list.py
@@ -11,10 +11,10 @@
 from beryllug.drivers import store_data
 from beryllug.kernel import log_lines
 from beryllug.platform import documents
-from beryllug.router import refusals
+from beryllug.router import invalid_entry_log
 
 # Earlier target versions that are remembered per order.
-MOST_REPLACED = 20
+MAX_REPLACED = 20
 Listener = Callable[[canary_data.Order, canary_data.Phase, float], None]
 
 
@@ -36,7 +36,9 @@
     def __init__(self, lines: log_lines.LineWriter) -> None:
         """Start without orders."""
         self.orders: dict[str, StoredOrder] = {}
-        self._refusals = refusals.Refusals('order_refused', lines)
+        self._refusals = invalid_entry_log.InvalidEntryLog(
+            'order_refused', lines
+        )
         self._listeners: list[Listener] = []
         self._replaced: dict[str, dict[str, None]] = {}
         # Names of orders that came with a full list, which may be that of a
@@ -51,7 +53,7 @@
         """Return the revision of the newest change."""
         return max((each.revision for each in self.orders.values()), default=0)
 
-    def take(
+    def update(
         self,
         name: str,
         stored: StoredOrder,
@@ -77,11 +79,11 @@
                 name, stored.revision, stored.spec, stored.status
             )
         except (msgspec.ValidationError, ValueError) as exc:
-            self._refusals.refused(name, str(exc))
+            self._refusals.log_once(name, str(exc))
             return
-        self._refusals.accepted(name)
+        self._refusals.clear(name)
         if known is not None:
-            is_return = stamps.is_return(stored.revision, known.revision)
+            is_return = stamps.is_restored(stored.revision, known.revision)
             replaced = self._replaced.get(name, {})
             if is_listed and is_return and order.target in replaced:
                 return
@@ -105,7 +107,7 @@
             if stamps.era(order.revision) < era
         }
 
-    def take_held(
+    def apply_held(
         self, held: Mapping[str, peering_data.HeldOrder], now: float
     ) -> None:
         """Apply a peer's orders that the restored, older store lacks."""
@@ -118,27 +120,27 @@
                 continue
             self._replaced[name] = dict.fromkeys(order.replaced)
             stored = StoredOrder(order.revision, order.spec, order.status)
-            self.take(name, stored, now)
+            self.update(name, stored, now)
 
     def listed(self, listed: store_data.Listing, now: float) -> None:
         """Process a full list from the store."""
         for each in listed.found:
-            self.take(each.name, _stored(each), now, is_listed=True)
+            self.update(each.name, _stored(each), now, is_listed=True)
 
     def changed(self, changes: store_data.Changes, now: float) -> None:
         """Process changes from the store."""
         for change in changes.changes:
-            if not change.is_gone:
-                self.take(change.stored.name, _stored(change.stored), now)
+            if not change.is_deleted:
+                self.update(change.stored.name, _stored(change.stored), now)
 
     def _note_replaced(self, name: str, before: str, target: str) -> None:
         """Remember the target versions that came before the present one."""
         replaced = self._replaced.setdefault(name, {})
         replaced[before] = None
         replaced.pop(target, None)
-        while len(replaced) > MOST_REPLACED:
+        while len(replaced) > MAX_REPLACED:
             replaced.pop(next(iter(replaced)))
 
 
-def _stored(found: store_data.Stored) -> StoredOrder:
+def _stored(found: store_data.StoredObject) -> StoredOrder:
     return StoredOrder(found.revision, found.spec, found.status)
--- a/beryllug/router/peering.py
+++ b/beryllug/router/peering.py
@@ -14,7 +14,7 @@
 from beryllug.core.peering import members, peering_data
 from beryllug.drivers import router_methods, rpc, rpc_peers
 from beryllug.kernel import log_lines
-from beryllug.router import knowledge, rollout_state, roster, trials
+from beryllug.router import store_exchange, rollout_state, roster, trials
 
 # Seconds between two rounds of calls, and peers that are called per round. Two
 # calls per second of about 500 bytes spread news through a fleet of 900 in
@@ -32,14 +32,14 @@
 # Those are nearly all results, so each check would otherwise mean a call to
 # each judge.
 EVIDENCE_REFRESH_S = 2.0
-CALL_S = 0.8
+CALL_TIMEOUT_S = 0.8
 # Range of the jitter factor of each round, so that processes that started
 # together do not call together.
 JITTER = (0.8, 1.2)
 # Seconds between two calls to a lost process or a seed.
 RECONNECT_PERIOD_S = 5.0
 # Failed calls after which a process counts as gone.
-TRIES = 2
+MAX_CALL_ATTEMPTS = 2
 # Processes that judge a roll-out; the second is the standby of the first.
 JUDGES = 2
 
@@ -50,9 +50,9 @@
     Attributes:
         roster: The known processes.
         members: The same, for the functions that decide by them.
-        ask: Contacts a known process: by a call, or by a probe once the service
-            'sharing' has set it.
-        knowledge: The store data of this process.
+        contact: Contacts a known process: by a call, or by a probe once the
+            service 'sharing' has set it.
+        store_exchange: The store data of this process.
     """
 
     def __init__(
@@ -60,17 +60,17 @@
         process: settings_data.Process,
         cfg: settings_data.Router,
         calls: rpc_peers.Peers,
-        known: knowledge.Knowledge,
+        known: store_exchange.StoreExchange,
         canaries: trials.Trials,
         lines: log_lines.LineWriter,
     ) -> None:
         """Bind to the data that is exchanged."""
         self.roster = roster.Roster(process.name, lines)
         self.members = self.roster.members
-        self.ask: Callable[[str], None] = self._call_peer
+        self.contact: Callable[[str], None] = self._call_peer
         self._cfg = cfg
         self._calls = calls
-        self.knowledge = known
+        self.store_exchange = known
         self._trials = canaries
         self._rng = random.Random(process.name)
         self._zone = process.zone
@@ -92,12 +92,12 @@
         if self._task is not None:
             self._task.cancel()
         self._leaving = True
-        for name in members.partners(
+        for name in members.choose_gossip_peers(
             self.members, self._zone, FAN_OUT, self._rng
         ):
             self._call_peer(name)
         if self._calls_in_flight:
-            await asyncio.wait(self._calls_in_flight, timeout=CALL_S)
+            await asyncio.wait(self._calls_in_flight, timeout=CALL_TIMEOUT_S)
 
     def dump(self) -> dict[str, Any]:
         """Return the known processes and their time since a sign of life."""
@@ -116,13 +116,13 @@
         """Exchange digests with a peer, after a bounded random delay."""
         if max_delay_s:
             await asyncio.sleep(max_delay_s * self._rng.random())
-        for _ in range(TRIES):
+        for _ in range(MAX_CALL_ATTEMPTS):
             reply = await self._try_compare(address)
             if reply is not None:
                 self.roster.reached()
                 self._apply_digest(reply)
                 return
-        self.roster.missed(address)
+        self.roster.drop_unreachable(address)
 
     def call_later(self, address: str) -> None:
         """Exchange digests with a process in a background task."""
@@ -133,11 +133,11 @@
     async def _try_compare(self, address: str) -> peering_data.Digest | None:
         try:
             return await self._calls.call(
-                address, router_methods.COMPARE, self._digest(), CALL_S
+                address, router_methods.COMPARE, self._digest(), CALL_TIMEOUT_S
             )
         except rpc.RpcError:
             # The connection may be dead, so it is not reused.
-            await self._calls.drop(address)
+            await self._calls.disconnect(address)
             return None
 
     async def _run(self) -> None:
@@ -148,18 +148,21 @@
             called = set(self._judges(now))
             if now >= due_at:
                 due_at = now + PERIOD_S * self._rng.uniform(*JITTER)
-                chosen = members.partners(
+                chosen = members.choose_gossip_peers(
                     self.members, self._zone, FAN_OUT, self._rng
                 )
                 called |= self._reconnect_targets(len(chosen), now)
                 for name in chosen:
-                    self.ask(name)
+                    self.contact(name)
             if not self.members.known:
                 due_at = now
             for address in called:
                 self.call_later(address)
             pause_s = EVIDENCE_CHECK_S if self.members.known else ALONE_PERIOD_S
-            if self.members.known and not self._trials.ordered.is_set():
+            if (
+                self.members.known
+                and not self._trials.has_open_rollout.is_set()
+            ):
                 pause_s = max(due_at - now, EVIDENCE_CHECK_S)
             await asyncio.sleep(pause_s * self._rng.uniform(*JITTER))
 
@@ -167,10 +170,10 @@
         """Return the addresses of judges that lack evidence of this process."""
         chosen = []
         for rollout in self._trials.rollouts():
-            is_due = now - rollout.told_at > EVIDENCE_REFRESH_S
-            if rollout.is_open and (rollout.has_news or is_due):
-                rollout.has_news = False
-                rollout.told_at = now
+            is_due = now - rollout.reported_at > EVIDENCE_REFRESH_S
+            if rollout.is_open and (rollout.has_unreported_answers or is_due):
+                rollout.has_unreported_answers = False
+                rollout.reported_at = now
                 order = members.ranked(self.members, rollout.order.service)
                 chosen.extend(order[:JUDGES])
         return members.addresses(self.members, chosen)
@@ -197,7 +200,7 @@
 
     async def _answer(self, digest: peering_data.Digest) -> peering_data.Digest:
         self._apply_digest(digest)
-        return self.knowledge.complete(
+        return self.store_exchange.add_missing(
             self._digest(), digest.versions, time.monotonic()
         )
 
@@ -209,21 +212,23 @@
             address=self._cfg.peer_listen,
             notes=self._cfg.notes_listen,
             is_leaving=self._leaving,
-            versions=self.knowledge.versions(),
-            evacuated=self.knowledge.evacuated(),
-            peers=members.told(self.members, now, self._rng),
-            rollouts=rollout_state.news(rollouts, now),
-            tallies=rollout_state.tallies(rollouts),
+            versions=self.store_exchange.versions(),
+            evacuated=self.store_exchange.evacuated(),
+            peers=members.sample_peers(self.members, now, self._rng),
+            rollouts=rollout_state.phase_reports(rollouts, now),
+            tallies=rollout_state.tally_reports(rollouts),
             zone=self._zone,
         )
 
     def _apply_digest(self, digest: peering_data.Digest) -> None:
         now = time.monotonic()
         if digest.is_leaving:
-            self.roster.left(digest.name, now)
+            self.roster.record_gone(digest.name, now)
         else:
-            seen = members.Known(digest.address, digest.notes, now, digest.zone)
-            self.roster.heard(digest.name, seen)
+            seen = members.KnownPeer(
+                digest.address, digest.notes, now, digest.zone
+            )
+            self.roster.record_alive(digest.name, seen)
         self.roster.merge_peers(digest.peers, now)
-        self._trials.take_news(digest, now)
-        self.knowledge.take(digest, now)
+        self._trials.apply_digest(digest, now)
+        self.store_exchange.apply(digest, now)
--- a/beryllug/router/pins.py
+++ b/beryllug/router/pins.py
@@ -31,7 +31,9 @@
         session_s = self._bounds.session_s
         return sessions.pinned(self.sessions, service, session, session_s, now)
 
-    def record_run(self, told: sessions.Told, *, is_rollout_open: bool) -> None:
+    def record_run(
+        self, told: sessions.SessionVersion, *, is_rollout_open: bool
+    ) -> None:
         """Record the version on which a request of a session runs.
 
         Args:
@@ -40,15 +42,15 @@
                 now.
         """
         now = time.monotonic()
-        sessions.ran(self.sessions, *told, now)
+        sessions.record_session_run(self.sessions, *told, now)
         if is_rollout_open:
             self._queue(told)
 
-    def take(self, told: Iterable[sessions.Told]) -> None:
+    def merge_sessions(self, told: Iterable[sessions.SessionVersion]) -> None:
         """Record the versions that sessions run on at peers."""
         now = time.monotonic()
         for each in told:
-            sessions.ran(self.sessions, *each, now)
+            sessions.record_session_run(self.sessions, *each, now)
 
     def queue_sessions(self, service: str) -> None:
         """Queue a service's sessions for peers when a rollout begins."""
@@ -57,12 +59,12 @@
         for told in sessions.of_service(self.sessions, service, session_s, now):
             self._queue(told)
 
-    def _queue(self, told: sessions.Told) -> None:
+    def _queue(self, told: sessions.SessionVersion) -> None:
         """Queue a session for peers, if the rollout might select it there.
 
         A process that receives such a session without knowing its pin would
         select it anew and change its version. No process selects the other
         sessions.
         """
-        if plan.is_drawn(told.session, self._bounds):
+        if plan.is_sampled(told.session, self._bounds):
             self.sessions.untold[told] = None
--- a/beryllug/router/plain_flow.py
+++ b/beryllug/router/plain_flow.py
@@ -113,7 +113,9 @@
         progress: attempts.Progress,
     ) -> _FullAnswer | dispatch.Outcome:
         left_s = attempts.left_s(call)
-        sending = requests.Sending(choice.server, left_s, call.account_name)
+        sending = requests.AttemptHeaders(
+            choice.server, left_s, call.account_name
+        )
         wait_s = self._wait_s(call, progress, left_s)
         try:
             async with asyncio.timeout(wait_s):
--- a/beryllug/router/pool.py
+++ b/beryllug/router/pool.py
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        servers: eligible.Eligible,
+        servers: eligible.EligibleServers,
         zone: str,
         bound: retry_window.Bound,
     ) -> None:
@@ -61,13 +61,15 @@
         self.eligible = servers
         self._zone = zone
         self._state = balance_data.BalanceState()
-        self.others = load_sums.Others()
-        self.reading = backlog.Backlog(others=self.others)
-        self.failures = suspicion.Suspicion(others=self.others)
-        self.streams = streams.Streams(others=self.others)
-        self.known = choose.Known(self.reading, self.failures, self.streams)
-        self.lateness = lateness.Lateness(others=self.others)
-        self.repeats = repeats.Repeats(bound, self.others)
+        self.peer_loads = load_sums.RemoteLoads()
+        self.prompt_backlog = backlog.Backlog(others=self.peer_loads)
+        self.failures = suspicion.Suspicion(others=self.peer_loads)
+        self.streams = streams.Streams(others=self.peer_loads)
+        self.known = choose.Known(
+            self.prompt_backlog, self.failures, self.streams
+        )
+        self.lateness = lateness.Lateness(others=self.peer_loads)
+        self.repeats = repeats.Repeats(bound, self.peer_loads)
 
     async def start(self) -> None:
         """Do nothing: the service is driven by requests."""
@@ -83,12 +85,12 @@
                 'failures': seen.failures,
                 'ejections': seen.ejections,
             }
-            for instance, seen in self._state.tracks.items()
+            for instance, seen in self._state.server_stats.items()
         }
 
-    def subjects(self, now: float) -> dict[str, load_sums.Load]:
+    def peer_counts(self, now: float) -> dict[str, load_sums.Load]:
         """Return counts other than server loads, to send to peers."""
-        return self.repeats.shared_counts(now) | lateness.told(
+        return self.repeats.shared_counts(now) | lateness.reported(
             self.lateness, now
         )
 
@@ -96,7 +98,9 @@
         """Return the versions that a service's servers run."""
         return self.eligible.versions(service, time.monotonic())
 
-    async def choose(self, criteria: servers_data.Wish) -> Choice | None:
+    async def choose(
+        self, criteria: servers_data.Requirements
+    ) -> Choice | None:
         """Choose a server and count the request on it; None if there is none.
 
         A server with a rate limit must first grant a permit; if it does not,
@@ -120,7 +124,7 @@
         selection = self._best(criteria._replace(without_limit=True))
         return selection and self._assign(selection, criteria)
 
-    def expected(self, criteria: servers_data.Wish) -> backlog.Expected:
+    def expected(self, criteria: servers_data.Requirements) -> backlog.Expected:
         """Return the earliest time at which a prompt's answer would begin."""
         prompt = criteria.prompt
         now = time.monotonic()
@@ -130,15 +134,15 @@
         )
         if prompt is None or not unlimited:
             return backlog.NEVER
-        preferred = choose.home(unlimited, prompt.key)
+        preferred = choose.preferred_instance(unlimited, prompt.key)
         return min(
             (
                 backlog.expected(
-                    self.reading,
+                    self.prompt_backlog,
                     server.instance,
                     prompt,
                     now,
-                    is_home=server.instance == preferred,
+                    is_preferred=server.instance == preferred,
                 )
                 for server in unlimited
             ),
@@ -148,14 +152,16 @@
     def answer_started(self, choice: Choice) -> None:
         """Record that a server has begun to answer a prompt."""
         instance = choice.server.instance
-        backlog.answers(self.reading, instance, choice.number, time.monotonic())
+        backlog.answer_began(
+            self.prompt_backlog, instance, choice.number, time.monotonic()
+        )
 
     def request_ended(self, choice: Choice) -> None:
         """Count the end of a request on a server, whatever its outcome."""
         now = time.monotonic()
         instance = choice.server.instance
-        server_load.finished(self._state, instance, now)
-        backlog.end(self.reading, instance, choice.number)
+        server_load.record_end(self._state, instance, now)
+        backlog.end(self.prompt_backlog, instance, choice.number)
         if choice.number:
             streams.end(self.streams, instance)
 
@@ -179,18 +185,18 @@
         now = time.monotonic()
         instance = choice.server.instance
         suspicion.failed(self.failures, instance, points, now)
-        seen = server_load.track(self._state, instance)
+        seen = server_load.stats_of(self._state, instance)
         if not is_gone:
-            ejection.failed(seen, now)
-        elif not ejection.is_out(seen, now):
-            ejection.eject(seen, now, ejection.MOST_FAILING_S)
+            ejection.record_failure(seen, now)
+        elif not ejection.is_ejected(seen, now):
+            ejection.eject(seen, now, ejection.MAX_FAILING_PAUSE_S)
 
     def succeeded(self, choice: Choice) -> None:
         """Record a successful answer."""
-        seen = server_load.track(self._state, choice.server.instance)
-        ejection.succeeded(seen, 1)
+        seen = server_load.stats_of(self._state, choice.server.instance)
+        ejection.record_success(seen, 1)
 
-    def _best(self, criteria: servers_data.Wish) -> _Selection | None:
+    def _best(self, criteria: servers_data.Requirements) -> _Selection | None:
         """Return the best server for an attempt; None if there is none."""
         now = time.monotonic()
         for servers in self.eligible.candidates(criteria, now):
@@ -207,22 +213,22 @@
         return None
 
     def _assign(
-        self, selection: _Selection, criteria: servers_data.Wish
+        self, selection: _Selection, criteria: servers_data.Requirements
     ) -> Choice:
         now = time.monotonic()
         server, servers = selection
         instance = server.instance
         self.eligible.count_request(instance, now)
-        server_load.dispatched(self._state, instance, now)
+        server_load.record_dispatch(self._state, instance, now)
         prompt = criteria.prompt
         if prompt is None:
             return Choice(server, now)
-        is_home = choose.home(servers, prompt.key) == instance
+        is_home = choose.preferred_instance(servers, prompt.key) == instance
         first_s = backlog.first_s(
-            self.reading, instance, prompt, now, is_home=is_home
+            self.prompt_backlog, instance, prompt, now, is_preferred=is_home
         )
         number = backlog.begin(
-            self.reading, instance, prompt, now, is_home=is_home
+            self.prompt_backlog, instance, prompt, now, is_preferred=is_home
         )
         streams.begin(self.streams, instance)
         return Choice(server, now, number, first_s)
--- a/beryllug/router/pool_test.py
+++ b/beryllug/router/pool_test.py
@@ -23,7 +23,7 @@
 
 def _listed(names: tuple[str, ...]) -> store_data.Listing:
     entries = [
-        store_data.Stored(
+        store_data.StoredObject(
             name,
             1,
             {
@@ -44,8 +44,8 @@
 
 def _criteria(
     prompt: backlog.Prompt | None, excluded: frozenset[str] = NONE
-) -> servers_data.Wish:
-    return servers_data.Wish('pool', prompt, None, excluded)
+) -> servers_data.Requirements:
+    return servers_data.Requirements('pool', prompt, None, excluded)
 
 
 class PoolTest(unittest.TestCase):
@@ -55,10 +55,10 @@
         listed = server_list.ServerList(1, log_lines.LineWriter(1))
         listed.listed(_listed(('i-1', 'i-2')), 0)
         zones = zone_list.ZoneList(log_lines.LineWriter(1))
-        place = eligible.Place('p', 'a', {})
+        place = eligible.ProcessLocation('p', 'a', {})
         limits = server_limits.ServerLimits('p', log_lines.LineWriter(1))
         self.pool = pool.Pool(
-            eligible.Eligible(listed, zones, place, limits), 'a', BOUND
+            eligible.EligibleServers(listed, zones, place, limits), 'a', BOUND
         )
 
     def test_counts(self) -> None:
@@ -77,15 +77,15 @@
                 self.assertEqual(own.get(instance, 0), expected)
                 self.pool.request_ended(choice)
                 self.assertEqual(own, {})
-                self.assertEqual(self.pool.reading.items, {})
+                self.assertEqual(self.pool.prompt_backlog.items, {})
 
     def test_full(self) -> None:
         """A prompt avoids a server whose slots are full according to peers."""
         home = self._choose(_criteria(PROMPT))
         self.pool.request_ended(home)
-        key = load_sums.key_of(home.server.instance)
-        self.pool.others.loads = {key: load_sums.Load(running=18)}
-        self.pool.others.at = home.started_at
+        key = load_sums.server_key(home.server.instance)
+        self.pool.peer_loads.loads = {key: load_sums.Load(running=18)}
+        self.pool.peer_loads.at = home.started_at
         other = self._choose(_criteria(PROMPT))
         self.assertNotEqual(other.server.instance, home.server.instance)
 
@@ -100,8 +100,11 @@
 
     def test_repeats(self) -> None:
         """Larger models leave a part of the repeat bound to failed requests."""
-        may: dict[retry_window.Use, int] = {}
-        for use in (retry_window.Use.LARGER, retry_window.Use.FAILED):
+        may: dict[retry_window.RepeatReason, int] = {}
+        for use in (
+            retry_window.RepeatReason.LARGER,
+            retry_window.RepeatReason.FAILED,
+        ):
             self.setUp()
             for _ in range(40):
                 self.pool.repeats.count_request('pool')
@@ -111,7 +114,7 @@
         larger, failed = may.values()
         self.assertGreaterEqual(failed - larger, 4)
 
-    def _choose(self, criteria: servers_data.Wish) -> Any:
+    def _choose(self, criteria: servers_data.Requirements) -> Any:
         choice = asyncio.run(self.pool.choose(criteria))
         assert choice is not None
         return choice
--- a/beryllug/router/probes.py
+++ b/beryllug/router/probes.py
@@ -16,8 +16,8 @@
 
 # Seconds after which a probe counts as lost and the process is called: a
 # hundred round trips between zones.
-ANSWER_S = 0.4
-Send = Callable[[Iterable[str], peering_data.Note], None]
+ANSWER_TIMEOUT_S = 0.4
+Send = Callable[[Iterable[str], peering_data.PeerNote], None]
 
 
 class _PendingProbe(NamedTuple):
@@ -48,7 +48,7 @@
         self._last_number = 0
         self._pending: dict[int, _PendingProbe] = {}
 
-    def ask(self, name: str, note: peering_data.Note, now: float) -> None:
+    def ask(self, name: str, note: peering_data.PeerNote, now: float) -> None:
         """Probe a known process.
 
         Args:
@@ -67,7 +67,10 @@
         self._send((known.notes,), probe)
 
     def answer(
-        self, note: peering_data.Note, state_note: peering_data.Note, now: float
+        self,
+        note: peering_data.PeerNote,
+        state_note: peering_data.PeerNote,
+        now: float,
     ) -> None:
         """Answer a probe.
 
@@ -81,19 +84,19 @@
         )
         self._send((note.notes,), answer)
 
-    def take(self, note: peering_data.Note, now: float) -> None:
+    def handle_note(self, note: peering_data.PeerNote, now: float) -> None:
         """Record the processes in a note, and whether it is an answer."""
         self._peers.roster.merge_peers(note.peers, now)
         if note.answers in self._pending:
             self._pending.pop(note.answers)
             self._peers.roster.reached()
 
-    def look(self, now: float) -> None:
+    def call_overdue(self, now: float) -> None:
         """Call the processes whose answer is overdue."""
         expired = [
             number
             for number, pending in self._pending.items()
-            if now - pending.at > ANSWER_S
+            if now - pending.at > ANSWER_TIMEOUT_S
         ]
         for number in expired:
             name = self._pending.pop(number).name
@@ -101,12 +104,12 @@
                 self._peers.call_later(address)
 
     def _with_sender_details(
-        self, note: peering_data.Note, now: float
-    ) -> peering_data.Note:
+        self, note: peering_data.PeerNote, now: float
+    ) -> peering_data.PeerNote:
         """Return a note with the sender's address, peers and roll-outs."""
         return note._replace(
             notes=self._cfg.notes_listen,
             zone=self._zone,
-            peers=members.told(self._peers.members, now, self._rng),
-            rollouts=rollout_state.news(self._trials.rollouts(), now),
+            peers=members.sample_peers(self._peers.members, now, self._rng),
+            rollouts=rollout_state.phase_reports(self._trials.rollouts(), now),
         )
--- a/beryllug/router/probes_test.py
+++ b/beryllug/router/probes_test.py
@@ -38,14 +38,14 @@
         trials: Any = _Trials()
         cfg = settings_data.Router('', '', f'{name}:1', f'{name}:2', '', ())
         self.probes = probes.Probes(cfg, 'z1', peers, trials, self._send)
-        self.state_note = peering_data.Note(name, f'{name}:1')
-        self.sent: list[tuple[str, peering_data.Note]] = []
+        self.state_note = peering_data.PeerNote(name, f'{name}:1')
+        self.sent: list[tuple[str, peering_data.PeerNote]] = []
 
     def add_known(self, name: str, at: float) -> None:
-        seen = members.Known(f'{name}:1', f'{name}:2', at, 'z1')
-        members.heard(self.peers.members, name, seen)
+        seen = members.KnownPeer(f'{name}:1', f'{name}:2', at, 'z1')
+        members.record_peer(self.peers.members, name, seen)
 
-    def _send(self, chosen: Iterable[str], note: peering_data.Note) -> None:
+    def _send(self, chosen: Iterable[str], note: peering_data.PeerNote) -> None:
         self.sent.extend((address, note) for address in chosen)
 
 
@@ -64,11 +64,11 @@
         address, probe = self.one.sent.pop()
         self.assertEqual(address, 'two:2')
         self.two.probes.answer(probe, self.two.state_note, 10.01)
-        self.two.probes.take(probe, 10.01)
+        self.two.probes.handle_note(probe, 10.01)
         address, answer = self.two.sent.pop()
         self.assertEqual(address, 'one:2')
-        self.one.probes.take(answer, 10.02)
-        self.one.probes.look(11)
+        self.one.probes.handle_note(answer, 10.02)
+        self.one.probes.call_overdue(11)
         self.assertEqual(self.one.peers.called, [])
         self.assertIn('six', self.one.peers.members.known)
 
@@ -85,7 +85,7 @@
             (10.8, ['two:1']),
         ):
             with self.subTest(now):
-                self.one.probes.look(now)
+                self.one.probes.call_overdue(now)
                 self.assertEqual(self.one.peers.called, called)
 
     def test_late(self) -> None:
@@ -93,12 +93,12 @@
         self.one.probes.ask('two', self.one.state_note, 10)
         _, probe = self.one.sent.pop()
         self.two.probes.answer(probe, self.two.state_note, 10.01)
-        self.two.probes.take(probe, 10.01)
+        self.two.probes.handle_note(probe, 10.01)
         _, answer = self.two.sent.pop()
-        self.one.probes.look(10.5)
+        self.one.probes.call_overdue(10.5)
         for now in (10.6, 10.7):
-            self.one.probes.take(answer, now)
-        self.one.probes.look(12)
+            self.one.probes.handle_note(answer, now)
+        self.one.probes.call_overdue(12)
         self.assertEqual(self.one.peers.called, ['two:1'])
 
 
--- a/beryllug/router/repeats.py
+++ b/beryllug/router/repeats.py
@@ -17,7 +17,7 @@
     """
 
     def __init__(
-        self, bound: retry_window.Bound, others: load_sums.Others
+        self, bound: retry_window.Bound, others: load_sums.RemoteLoads
     ) -> None:
         """Bind to the bound, and to the counts of the other processes."""
         self.processes = 1
@@ -27,12 +27,12 @@
 
     def count_request(self, service: str) -> None:
         """Count a request for a service."""
-        retry_window.asked(self._window(service), time.monotonic())
+        retry_window.record_request(self._window(service), time.monotonic())
 
     def may_repeat(
         self,
         service: str,
-        use: retry_window.Use = retry_window.Use.FAILED,
+        use: retry_window.RepeatReason = retry_window.RepeatReason.FAILED,
     ) -> bool:
         """Return whether a request may be sent to one more server.
 
@@ -41,23 +41,25 @@
             use: The purpose of the further server.
         """
         now = time.monotonic()
-        told = load_sums.on_subject(self._others, _subject(service), now)
+        told = load_sums.remote_subject_load(
+            self._others, _subject(service), now
+        )
         return retry_window.may_repeat(
-            retry_window.sent(self._window(service), self._bound, now),
+            retry_window.count_sent(self._window(service), self._bound, now),
             self._bound,
             self.processes,
-            told and retry_window.Sent(told.counted, told.summed),
+            told and retry_window.SentCounts(told.counted, told.summed),
             use,
         )
 
     def count_repeat(self, service: str) -> None:
         """Count a request that is sent to one more server."""
-        retry_window.repeated(self._window(service), time.monotonic())
+        retry_window.record_repeat(self._window(service), time.monotonic())
 
     def shared_counts(self, now: float) -> dict[str, load_sums.Load]:
         """Return the requests and repeats of each service, to send to peers."""
         sent = {
-            service: retry_window.sent(window, self._bound, now)
+            service: retry_window.count_sent(window, self._bound, now)
             for service, window in self._windows.items()
         }
         return {
--- a/beryllug/router/rollout_state.py
+++ b/beryllug/router/rollout_state.py
@@ -33,9 +33,9 @@
         is_stored: Whether its result is in the store.
         tally: The counts of this process.
         others: The counts reported by other processes, by their names.
-        has_news: Whether the new version has answered since the last report to
-            the judges.
-        told_at: Monotonic second of that report.
+        has_unreported_answers: Whether the new version has answered since the
+            last report to the judges.
+        reported_at: Monotonic second of that report.
         lowest: The lowest scores of the version's failures so far.
         dither: Random fraction of a request that this process may send on trial
             in addition, so that fractions round up in some processes.
@@ -49,8 +49,8 @@
     is_stored: bool = False
     tally: canary_data.Tally = field(default_factory=canary_data.Tally)
     others: dict[str, canary_data.Tally] = field(default_factory=dict)
-    has_news: bool = False
-    told_at: float = float('-inf')
+    has_unreported_answers: bool = False
+    reported_at: float = float('-inf')
     lowest: dict[str, float] = field(default_factory=dict)
     dither: float = field(default_factory=random.random)
     others_total: canary_data.Tally | None = None
@@ -93,7 +93,7 @@
         known = seen.answers.get(instance, canary_data.Answers())
         seen.answers[instance] = _add_answer(known, is_good)
         works = seen.new_times.setdefault(instance, {})
-        rollout.has_news = True
+        rollout.has_unreported_answers = True
     else:
         old = _add_answer(seen.old, is_good)
         rollout.tally.by_route[route] = seen._replace(old=old)
@@ -101,12 +101,12 @@
         _add_time(works, each)
 
 
-def news(
+def phase_reports(
     rollouts: Iterable[Rollout], now: float
-) -> tuple[peering_data.RolloutNews, ...]:
+) -> tuple[peering_data.RolloutProgress, ...]:
     """Return the phase of each rollout, to send to peers."""
     return tuple(
-        peering_data.RolloutNews(
+        peering_data.RolloutProgress(
             each.order.service,
             each.order.target,
             each.phase,
@@ -116,16 +116,16 @@
     )
 
 
-def tallies(
+def tally_reports(
     rollouts: Iterable[Rollout],
-) -> tuple[peering_data.TallyNews, ...]:
+) -> tuple[peering_data.RolloutTally, ...]:
     """Return this process's counts of open rollouts, to send to peers."""
     return tuple(_tally_news(each) for each in rollouts if each.is_open)
 
 
-def _tally_news(rollout: Rollout) -> peering_data.TallyNews:
+def _tally_news(rollout: Rollout) -> peering_data.RolloutTally:
     tally = rollout.tally
-    return peering_data.TallyNews(
+    return peering_data.RolloutTally(
         rollout.order.service,
         rollout.order.target,
         tally.requests,
@@ -135,7 +135,7 @@
 
 
 def merge_tally(
-    rollout: Rollout, peer: str, news: peering_data.TallyNews
+    rollout: Rollout, peer: str, news: peering_data.RolloutTally
 ) -> None:
     """Replace the counts of a peer by its latest report."""
     rollout.others[peer] = canary_data.Tally(
--- a/beryllug/router/roster.py
+++ b/beryllug/router/roster.py
@@ -28,35 +28,37 @@
 
     def forget(self, now: float) -> None:
         """Drop processes that have been silent for too long."""
-        for name in members.forget(self.members, now):
+        for name in members.expire_peers(self.members, now):
             self._lines.write('peer_lost', peer=name, source='silence')
 
-    def heard(self, name: str, seen: members.Known) -> None:
+    def record_alive(self, name: str, seen: members.KnownPeer) -> None:
         """Record a sign of life of a process."""
-        if members.heard(self.members, name, seen):
+        if members.record_peer(self.members, name, seen):
             self._lines.write('peer_found', peer=name, address=seen.address)
 
     def merge_peers(
         self, peers: Iterable[peering_data.Peer], now: float
     ) -> None:
         """Record signs of life that a peer has received from others."""
-        longest_s = members.alive_s(self.members)
+        longest_s = members.peer_timeout_s(self.members)
         for peer in peers:
             if peer.heard_ago_s < longest_s:
                 at = now - peer.heard_ago_s
-                seen = members.Known(peer.address, peer.notes, at, peer.zone)
-                self.heard(peer.name, seen)
+                seen = members.KnownPeer(
+                    peer.address, peer.notes, at, peer.zone
+                )
+                self.record_alive(peer.name, seen)
 
-    def left(self, name: str, now: float) -> None:
+    def record_gone(self, name: str, now: float) -> None:
         """Record that a process is gone, by its own word or another's."""
-        if members.found_gone(self.members, name, now):
+        if members.mark_gone(self.members, name, now):
             self._lines.write('peer_lost', peer=name, source='told')
 
     def reached(self) -> None:
         """Record that some process has answered."""
         self._last_answer_at = time.monotonic()
 
-    def missed(self, address: str) -> None:
+    def drop_unreachable(self, address: str) -> None:
         """Drop a process whose calls have failed, and report it as gone.
 
         A process that reaches nobody is itself cut off and reports nothing:
@@ -65,7 +67,7 @@
         """
         now = time.monotonic()
         name = members.name_of(self.members, address)
-        if name is None or not members.found_gone(self.members, name, now):
+        if name is None or not members.mark_gone(self.members, name, now):
             return
         self._lines.write('peer_lost', peer=name, source='called')
         if now - self._last_answer_at < RECENT_ANSWER_S:
--- a/beryllug/router/server_limits.py
+++ b/beryllug/router/server_limits.py
@@ -92,7 +92,10 @@
             self.on_changed()
 
     def merge_observations(
-        self, told: Iterable[peering_data.LimitNews], source: str, now: float
+        self,
+        told: Iterable[peering_data.RateLimitReport],
+        source: str,
+        now: float,
     ) -> None:
         """Merge recent observations of another process."""
         for news in told:
@@ -100,7 +103,7 @@
                 self.merge_observation(news, source, now)
 
     def merge_observation(
-        self, news: peering_data.LimitNews, source: str, now: float
+        self, news: peering_data.RateLimitReport, source: str, now: float
     ) -> None:
         """Merge an observation of another process, whatever its age."""
         before = self.per_s(news.instance)
@@ -108,22 +111,28 @@
         if server_limits.take_remote(self.known, news.instance, seen):
             self._log(news.instance, before, source)
 
-    def observation(self, instance: str, now: float) -> peering_data.LimitNews:
+    def observation(
+        self, instance: str, now: float
+    ) -> peering_data.RateLimitReport:
         """Return the observation of a server, to send to another process.
 
         If there is none, the age is infinite.
         """
         seen = self.known.observed.get(instance, NOT_OBSERVED)
         ago_s = round(now - seen.at, 3)
-        return peering_data.LimitNews(instance, seen.per_s, ago_s)
+        return peering_data.RateLimitReport(instance, seen.per_s, ago_s)
 
-    def changed(self, now: float) -> tuple[peering_data.LimitNews, ...]:
+    def pop_changed(
+        self, now: float
+    ) -> tuple[peering_data.RateLimitReport, ...]:
         """Return limits that began or ended since the last call."""
         told = sorted(self._changed)[:MAX_CHANGED]
         self._changed.difference_update(told)
         return tuple(self.observation(each, now) for each in told)
 
-    def recent(self, now: float) -> tuple[peering_data.LimitNews, ...]:
+    def sample_recent(
+        self, now: float
+    ) -> tuple[peering_data.RateLimitReport, ...]:
         """Return some recently observed limits, to send to a peer."""
         known = [
             instance
--- a/beryllug/router/server_list.py
+++ b/beryllug/router/server_list.py
@@ -10,7 +10,7 @@
 from beryllug.drivers import store_data
 from beryllug.kernel import log_lines
 from beryllug.platform import documents
-from beryllug.router import held_servers, leaving_servers, refusals
+from beryllug.router import held_servers, leaving_servers, invalid_entry_log
 
 LostListener = Callable[[str, float], None]
 RestartListener = Callable[[servers_data.Server], None]
@@ -60,12 +60,14 @@
         self.is_cut_off = False
         self.specs: dict[str, Any] = {}
         self.revision = 0
-        self._book = listing.Book(doubt_s)
+        self._book = listing.ServerListing(doubt_s)
         self.held = held_servers.HeldServers(self._book, lines)
         self.leaving = leaving_servers.LeavingServers(self._book, lines)
         self._lines = lines
         self._listeners: list[Callable[[Delta], None]] = []
-        self._refusals = refusals.Refusals('server_refused', lines)
+        self._refusals = invalid_entry_log.InvalidEntryLog(
+            'server_refused', lines
+        )
         self.on_list_replaced: Callable[[], None] = _ignore_list
         self.on_lost: LostListener = _ignore_loss
         self.on_restarted: RestartListener = _ignore_restart
@@ -90,7 +92,7 @@
     def dump(self) -> dict[str, Any]:
         """Return the listed, held and doubted servers."""
         return {
-            'revision': stamps.shown(self.revision),
+            'revision': stamps.format_stamp(self.revision),
             'held': sorted(self.held.entries),
             'is_cut_off': self.is_cut_off,
             'listed': sorted(self._book.servers),
@@ -111,26 +113,26 @@
 
     def listed(self, found: store_data.Listing, now: float) -> None:
         """Process a full list from the store, unless its era is over."""
-        if stamps.is_return(self.revision, found.revision):
+        if stamps.is_restored(self.revision, found.revision):
             return
         specs = {each.name: each.spec for each in found.found}
         self._replace(specs, found.revision, 'store', now)
         self._lines.write(
             'servers_listed',
             servers=len(specs),
-            revision=stamps.shown(found.revision),
+            revision=stamps.format_stamp(found.revision),
         )
 
     def changed(self, changes: store_data.Changes, now: float) -> None:
         """Process changes from the store, unless their era is over."""
-        if stamps.is_return(self.revision, changes.revision):
+        if stamps.is_restored(self.revision, changes.revision):
             return
         entries: list[tuple[str, Any]] = []
         for change in changes.changes:
             name = change.stored.name
             server = None
-            if change.is_gone:
-                self._refusals.accepted(name)
+            if change.is_deleted:
+                self._refusals.clear(name)
             else:
                 server = self._read(name, change.stored.spec)
             spec = documents.server_spec(server) if server else None
@@ -150,7 +152,7 @@
         self._lines.write(
             'servers_taken',
             source=source,
-            revision=stamps.shown(revision),
+            revision=stamps.format_stamp(revision),
             servers=len(specs),
         )
 
@@ -162,7 +164,7 @@
         """
         if not self.is_known or delta.since > self.revision:
             return False
-        if stamps.is_return(delta.revision, delta.since):
+        if stamps.is_restored(delta.revision, delta.since):
             return False
         if delta.revision > self.revision:
             self._apply(delta, source, now)
@@ -170,7 +172,7 @@
 
     def _apply(self, delta: Delta, source: str, now: float) -> None:
         for name, spec in delta.entries:
-            self.held.changed(name)
+            self.held.discard(name)
             server = None if spec is None else self._read(name, spec)
             if server is not None:
                 self._put(server, source, now)
@@ -223,10 +225,10 @@
         found = (self._read(name, spec) for name, spec in specs.items())
         servers = [server for server in found if server is not None]
         listed = {server.name for server in servers}
-        if stamps.is_return(revision, self.revision):
+        if stamps.is_restored(revision, self.revision):
             listing.store_returned(self._book, now)
             self.held.hold(servers, now)
-        servers = self.held.believed(servers)
+        servers = self.held.without_held(servers)
         gone = [name for name in self._book.servers if name not in listed]
         for name in gone:
             self._drop(name, source, now)
@@ -245,9 +247,9 @@
         try:
             server = documents.server(name, spec)
         except (msgspec.ValidationError, ValueError) as exc:
-            self._refusals.refused(name, str(exc))
+            self._refusals.log_once(name, str(exc))
             return None
-        self._refusals.accepted(name)
+        self._refusals.clear(name)
         return server
 
 
--- a/beryllug/router/server_list_test.py
+++ b/beryllug/router/server_list_test.py
@@ -58,8 +58,8 @@
 )
 
 
-def _stored(name: str, spec: Any, revision: int = 7) -> store_data.Stored:
-    return store_data.Stored(name, revision, spec, None, is_leaving=False)
+def _stored(name: str, spec: Any, revision: int = 7) -> store_data.StoredObject:
+    return store_data.StoredObject(name, revision, spec, None, is_leaving=False)
 
 
 class ServerListTest(unittest.TestCase):
@@ -179,7 +179,7 @@
         self.listed.listed(store_data.Listing(found, 7), NOW)
 
     def _change(self, name: str, spec: Any) -> None:
-        change = store_data.Change(_stored(name, spec), is_gone=False)
+        change = store_data.Change(_stored(name, spec), is_deleted=False)
         changes = store_data.Changes((change,), self.listed.revision + 1)
         self.listed.changed(changes, NOW)
 
