--- a/beryllug/router/sharing.py
+++ b/beryllug/router/sharing.py
@@ -15,7 +15,7 @@
 from beryllug.core import settings_data
 from beryllug.core.canary import sessions
 from beryllug.core.peering import members, peering_data
-from beryllug.core.placement import backlog, crashers, fleet_size
+from beryllug.core.placement import backlog, poison_requests, fleet_size
 from beryllug.drivers import datagrams, fleet_key
 from beryllug.router import (
     claims,
@@ -35,7 +35,7 @@
 MAX_SESSIONS_PER_NOTE = 20
 
 
-class Decided(NamedTuple):
+class RequestServices(NamedTuple):
     """The services whose data about requests is shared."""
 
     pool: pool.Pool
@@ -53,7 +53,7 @@
         zone: str,
         peers: peering.Peering,
         known: directory.Directory,
-        decided: Decided,
+        decided: RequestServices,
         keys: fleet_key.KeyRing,
     ) -> None:
         """Bind to the services that provide and receive the data."""
@@ -66,7 +66,7 @@
         self._trials = decided.trials
         self._crashes = decided.crashes
         self._notes = datagrams.Datagrams(
-            keys, peering_data.Note, self._handle_note
+            keys, peering_data.PeerNote, self._handle_note
         )
         self._news = store_news.StoreNews(
             cfg, zone, peers, known, self._notes.send
@@ -89,7 +89,7 @@
         self._statements.on_changed = self._broadcast_statements
         self._statements_sent_at = float('-inf')
         self._task: asyncio.Task[None] | None = None
-        peers.ask = self._send_probe
+        peers.contact = self._send_probe
         peers.roster.on_gone = lambda name: self._broadcast(
             _gone_note(name, cfg)
         )
@@ -115,23 +115,25 @@
         """Return the backlog by runner, and counts of notes."""
         now = time.monotonic()
         return {
-            'own': backlog.told(self._pool.reading, now),
+            'own': backlog.reported(self._pool.prompt_backlog, now),
             'reports': sorted(self._loads.state.reports),
             'zones': sorted(self._loads.state.zones),
-            'others_ago_s': now - self._pool.others.at,
-            'paces_s': dict(self._pool.reading.paces),
+            'others_ago_s': now - self._pool.peer_loads.at,
+            'paces_s': dict(self._pool.prompt_backlog.paces),
             'watching': sorted(self._news.standing.watching),
             'notes_sent': self._notes.sent,
             'notes_dropped': self._notes.dropped,
         }
 
-    def tell_phase(self, rollout: rollout_state.Rollout, now: float) -> None:
+    def broadcast_phase(
+        self, rollout: rollout_state.Rollout, now: float
+    ) -> None:
         """Tell all processes the phase of a roll-out when it changes.
 
         A version that was rolled back must get no more requests from any
         process within seconds, even while the store can't be written.
         """
-        phases = rollout_state.news((rollout,), now)
+        phases = rollout_state.phase_reports((rollout,), now)
         self._broadcast(self._new_note()._replace(rollouts=phases))
 
     async def _run(self) -> None:
@@ -141,31 +143,31 @@
             known = self._peers.members
             present = len(known.known) + 1
             self._pool.repeats.processes = present
-            ever = members.count_ever(known)
+            ever = members.count_known_and_gone(known)
             fleet_size.count(self._pool.eligible.size, present, ever, now)
             self._forget_limits(now)
             self._statements.forget(now)
             self._broadcast_statements()
-            self._known.zones.settle(now)
+            self._known.zones.release_expired(now)
             await self._news.update_following(now)
-            self._news.tell()
+            self._news.announce()
             self._send_loads(self._loads.due(now), now)
             self._broadcast_events()
-            self._probes.look(now)
+            self._probes.call_overdue(now)
 
     def _send_probe(self, name: str) -> None:
         now = time.monotonic()
         self._probes.ask(name, self._state_note(now), now)
 
-    def _state_note(self, now: float) -> peering_data.Note:
+    def _state_note(self, now: float) -> peering_data.PeerNote:
         """Return a note with what this process knows, for a single peer."""
-        own_note = self._news.with_store_state(self._news.stated(), now)
+        own_note = self._news.with_store_state(self._news.own_state_note(), now)
         return own_note._replace(
-            limits=self._limits.recent(now),
-            leaving=self._statements.recent(now),
+            limits=self._limits.sample_recent(now),
+            leaving=self._statements.sample_leaving(now),
         )
 
-    def _broadcast(self, note: peering_data.Note) -> None:
+    def _broadcast(self, note: peering_data.PeerNote) -> None:
         known = self._peers.members.known.values()
         self._notes.send((each.notes for each in known), note)
 
@@ -182,8 +184,8 @@
                 )
             self._notes.send(due.addresses, note)
 
-    def _new_note(self) -> peering_data.Note:
-        return peering_data.Note(
+    def _new_note(self) -> peering_data.PeerNote:
+        return peering_data.PeerNote(
             self._peers.members.name, self._cfg.peer_listen
         )
 
@@ -192,7 +194,7 @@
         running = sessions.tell(
             self._trials.pins.sessions, MAX_SESSIONS_PER_NOTE
         )
-        losses = crashers.tell(self._crashes.state)
+        losses = poison_requests.pop_unreported(self._crashes.state)
         if running or losses:
             note = self._new_note()
             self._broadcast(
@@ -214,41 +216,41 @@
         now = time.monotonic()
         if now - self._statements_sent_at < fleet_loads.PERIOD_S:
             return
-        limits = self._limits.changed(now)
-        leaving = self._statements.changed()
+        limits = self._limits.pop_changed(now)
+        leaving = self._statements.pop_changed()
         if limits or leaving:
             self._statements_sent_at = now
             note = self._new_note()
             self._broadcast(note._replace(limits=limits, leaving=leaving))
 
-    def _handle_note(self, note: peering_data.Note) -> None:
+    def _handle_note(self, note: peering_data.PeerNote) -> None:
         now = time.monotonic()
         if note.notes:
-            seen = members.Known(note.address, note.notes, now, note.zone)
-            self._peers.roster.heard(note.name, seen)
+            seen = members.KnownPeer(note.address, note.notes, now, note.zone)
+            self._peers.roster.record_alive(note.name, seen)
         elif not note.gone:
-            members.heard_again(self._peers.members, note.name, now)
+            members.refresh_peer(self._peers.members, note.name, now)
         for name in note.gone:
-            self._peers.roster.left(name, now)
+            self._peers.roster.record_gone(name, now)
         for payload in (note.report, note.zone_sum, note.total):
             if payload is not None:
-                self._loads.take(note.name, payload, now)
+                self._loads.handle_message(note.name, payload, now)
         if note.report is not None or note.zone_sum is not None:
             self._send_loads(self._loads.due_immediately(now), now)
-        self._trials.pins.take(note.running)
-        self._crashes.take(note.losses, now)
-        self._claims.take(note, now)
-        self._statements.take(note, now)
-        self._trials.take_phases(note.rollouts, note.name, now)
-        self._news.take(note, now)
+        self._trials.pins.merge_sessions(note.running)
+        self._crashes.merge_losses(note.losses, now)
+        self._claims.handle_note(note, now)
+        self._statements.handle_note(note, now)
+        self._trials.apply_phases(note.rollouts, note.name, now)
+        self._news.handle_note(note, now)
         if note.asks:
             self._probes.answer(note, self._state_note(now), now)
-        self._probes.take(note, now)
+        self._probes.handle_note(note, now)
 
 
 def with_loads(
-    note: peering_data.Note, payload: fleet_loads.Told
-) -> peering_data.Note:
+    note: peering_data.PeerNote, payload: fleet_loads.LoadMessage
+) -> peering_data.PeerNote:
     """Return a note with a load message as its content."""
     match payload:
         case peering_data.Report():
@@ -259,6 +261,6 @@
             return note._replace(total=payload)
 
 
-def _gone_note(name: str, cfg: settings_data.Router) -> peering_data.Note:
+def _gone_note(name: str, cfg: settings_data.Router) -> peering_data.PeerNote:
     """Return the note that a process is gone, or that this one stops."""
-    return peering_data.Note(name, cfg.peer_listen, gone=(name,))
+    return peering_data.PeerNote(name, cfg.peer_listen, gone=(name,))
--- a/beryllug/router/statements.py
+++ b/beryllug/router/statements.py
@@ -12,9 +12,9 @@
 
 from beryllug.core.peering import peering_data
 from beryllug.core.placement import server_limits as limits_data
-from beryllug.core.placement import backoffs, servers_data, statements
+from beryllug.core.placement import backoffs, servers_data, server_headers
 from beryllug.kernel import log_lines, metrics_data
-from beryllug.router import dispatch, eligible, refusals, server_list
+from beryllug.router import dispatch, eligible, invalid_entry_log, server_list
 
 # Maximum numbers of instances in a message that holds nothing else, and in one
 # with other content, at some 30 bytes each.
@@ -34,7 +34,7 @@
         self,
         name: str,
         listed: server_list.ServerList,
-        servers: eligible.Eligible,
+        servers: eligible.EligibleServers,
         lines: log_lines.LineWriter,
     ) -> None:
         """Bind to the components that act on statements.
@@ -49,7 +49,9 @@
         self._limits = servers.limits
         self._backoffs = servers.backoffs
         self._lines = lines
-        self._refusals = refusals.Refusals('server_statement_unreadable', lines)
+        self._refusals = invalid_entry_log.InvalidEntryLog(
+            'server_statement_unreadable', lines
+        )
         self._leaving = listed.leaving
         self._changed: set[str] = set()
         self._rng = random.Random(name)
@@ -85,9 +87,9 @@
             'Backend servers that this process sends nothing for a while.',
         )
 
-    def heard(self, answer_head: dispatch.AnswerHead) -> None:
+    def apply_answer(self, answer_head: dispatch.AnswerHead) -> None:
         """Apply what the head of an answer states of its server."""
-        found = statements.read(
+        found = server_headers.read(
             answer_head.head.stated,
             answer_head.head.status,
             is_sealed=answer_head.head.is_sealed,
@@ -95,44 +97,46 @@
         for statement in found:
             self._apply(statement, answer_head)
 
-    def take(self, note: peering_data.Note, now: float) -> None:
+    def handle_note(self, note: peering_data.PeerNote, now: float) -> None:
         """Apply what another process has observed of servers."""
         for instance in note.leaving:
-            self._leaving.heard(instance, note.name, now)
+            self._leaving.record_leaving(instance, note.name, now)
 
     def forget(self, now: float) -> None:
         """Forget backoffs that have ended."""
         if self._backoffs.asked:
             backoffs.forget(self._backoffs, now)
 
-    def changed(self) -> tuple[str, ...]:
+    def pop_changed(self) -> tuple[str, ...]:
         """Return servers that began to leave since the last call."""
         told = sorted(self._changed)[:MAX_CHANGED]
         self._changed.difference_update(told)
         return tuple(told)
 
-    def recent(self, now: float) -> tuple[str, ...]:
+    def sample_leaving(self, now: float) -> tuple[str, ...]:
         """Return some leaving servers, to send to a peer."""
         known = self._leaving.listed(now)
         return tuple(self._rng.sample(known, min(MAX_RECENT, len(known))))
 
     def _apply(
-        self, statement: statements.Statement, answer_head: dispatch.AnswerHead
+        self,
+        statement: server_headers.Statement,
+        answer_head: dispatch.AnswerHead,
     ) -> None:
         server = answer_head.server
         match statement:
-            case statements.RateLimit(None):
+            case server_headers.RateLimit(None):
                 seen = limits_data.Observation(None, answer_head.sent_at)
                 self._limits.observe(server.instance, seen)
-            case statements.RateLimit(per_s):
+            case server_headers.RateLimit(per_s):
                 seen = limits_data.Observation(per_s, answer_head.heard_at)
                 self._limits.observe(server.instance, seen)
-            case statements.Leaving():
+            case server_headers.Leaving():
                 self._record_leaving(server, answer_head.heard_at)
-            case statements.BackOff(seconds):
+            case server_headers.BackOff(seconds):
                 self._back_off(server, seconds, answer_head.heard_at)
-            case statements.Unreadable(what, text):
-                self._refusals.refused(f'{server.instance} {what}', text)
+            case server_headers.Unreadable(what, text):
+                self._refusals.log_once(f'{server.instance} {what}', text)
 
     def _back_off(
         self, server: servers_data.Server, seconds: float, now: float
@@ -146,7 +150,7 @@
         return backoffs.backing_off_s(self._backoffs, now)
 
     def _record_leaving(self, server: servers_data.Server, now: float) -> None:
-        if self._leaving.heard(server.instance, ANSWER, now):
+        if self._leaving.record_leaving(server.instance, ANSWER, now):
             self._changed.add(server.instance)
             self.on_changed()
 
--- a/beryllug/router/knowledge.py
+++ b/beryllug/router/store_exchange.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from beryllug.core import stamps
-from beryllug.core.peering import peering_data, standing
+from beryllug.core.peering import peering_data, watcher_election
 from beryllug.router import directory, order_list
 
 # Compression level. Lists of backend servers and route tables repeat much the
@@ -16,7 +16,7 @@
 LEVEL = 1
 
 
-class Knowledge:
+class StoreExchange:
     """Sends and receives the data of a directory.
 
     Attributes:
@@ -25,7 +25,7 @@
 
     def __init__(self, known: directory.Directory) -> None:
         """Bind to the directory."""
-        self.standing = standing.Standing()
+        self.standing = watcher_election.WatcherState()
         self._known = known
         self._table_cache = (0, b'')
         self._servers_cache = (0, b'')
@@ -42,7 +42,7 @@
 
     def evacuated(self) -> tuple[str, ...]:
         """Return the evacuated availability zones that the store lists."""
-        return tuple(sorted(self._known.zones.stated))
+        return tuple(sorted(self._known.zones.in_store))
 
     def is_behind(self, versions: peering_data.Versions) -> bool:
         """Tell whether a peer with these versions has newer data."""
@@ -52,9 +52,9 @@
     def learn_era(self, versions: peering_data.Versions) -> None:
         """Learn the era of the store from a peer's versions."""
         newest = max(versions.servers, versions.orders, versions.zones)
-        self._known.eras.learn(stamps.era(newest))
+        self._known.eras.advance(stamps.era(newest))
 
-    def complete(
+    def add_missing(
         self,
         digest: peering_data.Digest,
         asked: peering_data.Versions,
@@ -67,7 +67,7 @@
         store for a moment, at the cost of calls to the store.
         """
         digest = digest._replace(
-            followers=standing.followers(self.standing, now),
+            followers=watcher_election.known_watchers(self.standing, now),
             held=self._held(now),
         )
         own = digest.versions
@@ -82,9 +82,9 @@
             digest = digest._replace(orders=_encode(known.orders.orders))
         return digest
 
-    def take(self, digest: peering_data.Digest, now: float) -> None:
+    def apply(self, digest: peering_data.Digest, now: float) -> None:
         """Apply the data that a peer has added to its digest."""
-        standing.take_followers(self.standing, digest.followers, now)
+        watcher_election.record_watchers(self.standing, digest.followers, now)
         self.learn_era(digest.versions)
         known = self._known
         known.zones.take(
@@ -105,22 +105,22 @@
                 digest.orders, type=dict[str, order_list.StoredOrder]
             )
             for name, stored in orders.items():
-                known.orders.take(name, stored, now)
+                known.orders.update(name, stored, now)
 
         self._apply_held(digest, now)
 
-    def _held(self, now: float) -> peering_data.Held:
+    def _held(self, now: float) -> peering_data.HeldState:
         """Return what is held against the store, for a newly started process.
 
         Such a process gets the restored copy as its first list and can't detect
         the restore itself.
         """
         known = self._known
-        left_s, instances = known.servers.held.told(now)
+        left_s, instances = known.servers.held.remaining(now)
         if not left_s:
             return peering_data.NOTHING_HELD
         era = stamps.era(known.servers.revision)
-        return peering_data.Held(
+        return peering_data.HeldState(
             left_s,
             instances,
             known.zones.held(),
@@ -136,13 +136,13 @@
         own = self.versions()
         known = self._known
         if digest.versions.servers >= own.servers:
-            known.servers.held.take(held.instances, held.left_s, now)
+            known.servers.held.hold_from_peer(held.instances, held.left_s, now)
         if digest.versions.zones >= own.zones:
             known.zones.take_held(held.zones, held.left_s, now)
         orders = msgspec.json.decode(
             held.orders, type=dict[str, peering_data.HeldOrder]
         )
-        known.orders.take_held(orders, now)
+        known.orders.apply_held(orders, now)
 
     def _compressed_servers(self, revision: int) -> bytes:
         """Return the list of servers, compressed once for all requests.
--- a/beryllug/router/store_listing.py
+++ b/beryllug/router/store_listing.py
@@ -9,13 +9,13 @@
 
 # Seconds before a further page is requested again, and the range of the jitter
 # factor of each pause.
-PAUSES_S = (0.05, 0.1, 0.2, 0.4, 0.8, 0.8)
+RETRY_PAUSES_S = (0.05, 0.1, 0.2, 0.4, 0.8, 0.8)
 JITTER = (0.5, 1.5)
 
 
 # Maximum pause in seconds before each further page, while other processes may
 # already have the whole list.
-MOST_PAUSE_S = 1.0
+MAX_PAGE_PAUSE_S = 1.0
 
 
 def page_pause_s(drawn: float, *, is_seed: bool) -> float:
@@ -31,7 +31,7 @@
         drawn: A random number from 0 to 1, drawn for this process.
         is_seed: Whether the others ask this process first.
     """
-    return 0 if is_seed else drawn * MOST_PAUSE_S
+    return 0 if is_seed else drawn * MAX_PAGE_PAUSE_S
 
 
 async def list_all(
@@ -77,7 +77,7 @@
     list of sixty pages were restarted after each refusal, it would never end,
     and its calls would cause refusals for others.
     """
-    for pause_s in PAUSES_S:
+    for pause_s in RETRY_PAUSES_S:
         try:
             return await api.list_page(kind, after)
         except object_data.UnavailableError:
--- a/beryllug/router/store_pulse.py
+++ b/beryllug/router/store_liveness.py
@@ -63,7 +63,7 @@
             await self._api.ping(ANSWER_S)
         except object_data.ObjectApiError as exc:
             for watch in self._watches:
-                watch.doubt(str(exc))
+                watch.fail_waiting_call(str(exc))
             self.on_unresponsive()
 
 
--- a/beryllug/router/store_news.py
+++ b/beryllug/router/store_news.py
@@ -1,9 +1,9 @@
 """Spreads news of the platform's store among the processes.
 
-A few processes follow the store for all, see `core.peering.standing`. They tell
-the aggregators of each availability zone that they do, and how recent their
-data is; the primary of a zone passes this on with each total of loads. Changes
-in the store take the same way at once: from those who follow it to all
+A few processes follow the store for all, see `core.peering.watcher_election`.
+They tell the aggregators of each availability zone that they do, and how recent
+their data is; the primary of a zone passes this on with each total of loads.
+Changes in the store take the same way at once: from those who follow it to all
 aggregators, and from these to their zones. If they told each process directly,
 the followers would send as many notes as there are processes, several times a
 second, even while nothing changes.
@@ -18,7 +18,12 @@
 import msgspec
 
 from beryllug.core import settings_data
-from beryllug.core.peering import aggregation, members, peering_data, standing
+from beryllug.core.peering import (
+    aggregation,
+    members,
+    peering_data,
+    watcher_election,
+)
 from beryllug.core.placement import backlog
 from beryllug.router import directory, peering, server_list, store_listing
 
@@ -29,7 +34,7 @@
 # Bytes of changes that fit a note beside its other fields.
 MAX_ENTRIES_BYTES = 1000
 
-Send = Callable[[Iterable[str], peering_data.Note], None]
+Send = Callable[[Iterable[str], peering_data.PeerNote], None]
 
 
 class StoreNews:
@@ -52,16 +57,16 @@
         self._peers = peers
         self._members = peers.members
         self._known = known
-        self._exchange = peers.knowledge
+        self._exchange = peers.store_exchange
         self.standing = self._exchange.standing
         self._send = send
         self._rng = random.Random(peers.members.name)
         self._caught_up_at = 0.0
         self._calls: set[asyncio.Task[None]] = set()
         known.servers.on_changes(self._publish_delta)
-        known.on_table(lambda _: self._publish(self.stated()))
-        known.orders.on_order(lambda *_: self._publish(self.stated()))
-        known.zones.on_changed(lambda _: self._publish(self.stated()))
+        known.on_table(lambda _: self._publish(self.own_state_note()))
+        known.orders.on_order(lambda *_: self._publish(self.own_state_note()))
+        known.zones.on_changed(lambda _: self._publish(self.own_state_note()))
         known.liveness.on_unresponsive = self._broadcast_store_lost
 
     def start(self, now: float) -> None:
@@ -72,7 +77,9 @@
         self._known.set_page_pause(
             store_listing.page_pause_s(self._rng.random(), is_seed=is_seed)
         )
-        standing.started(self.standing, now, wait_s, self._rng.random())
+        watcher_election.delay_watch_at_start(
+            self.standing, now, wait_s, self._rng.random()
+        )
 
     def stop(self) -> None:
         """Cancel the calls to peers."""
@@ -82,22 +89,26 @@
     async def update_following(self, now: float) -> None:
         """Follow the store, if this process should."""
         if self._known.is_current():
-            standing.heard(self.standing, self._members.name, now)
-        should_follow = standing.must_watch(self.standing, self._members, now)
+            watcher_election.record_watcher(
+                self.standing, self._members.name, now
+            )
+        should_follow = watcher_election.must_watch(
+            self.standing, self._members, now
+        )
         await self._known.update_following(should_follow=should_follow)
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Announce that this process follows the store, if it does."""
         if self._known.is_current():
             self._send(
                 members.note_addresses(self._members, self._all_aggregators()),
-                self.stated(),
+                self.own_state_note(),
             )
 
-    def stated(self) -> peering_data.Note:
+    def own_state_note(self) -> peering_data.PeerNote:
         """Return a note with this process's data of the store."""
         returned_ago_s = self._known.servers.returned_ago_s(time.monotonic())
-        return peering_data.Note(
+        return peering_data.PeerNote(
             name=self._members.name,
             address=self._cfg.peer_listen,
             is_watching=self._known.is_current(),
@@ -107,24 +118,24 @@
         )
 
     def with_store_state(
-        self, note: peering_data.Note, now: float
-    ) -> peering_data.Note:
+        self, note: peering_data.PeerNote, now: float
+    ) -> peering_data.PeerNote:
         """Return a note with the store's followers and the data's versions."""
-        mine = self.stated()
+        mine = self.own_state_note()
         return note._replace(
-            followers=standing.followers(self.standing, now),
+            followers=watcher_election.known_watchers(self.standing, now),
             versions=mine.versions,
             evacuated=mine.evacuated,
             returned_ago_s=mine.returned_ago_s,
         )
 
-    def take(self, note: peering_data.Note, now: float) -> None:
+    def handle_note(self, note: peering_data.PeerNote, now: float) -> None:
         """Process what a process tells of the store."""
         if note.is_watching:
-            standing.heard(self.standing, note.name, now)
+            watcher_election.record_watcher(self.standing, note.name, now)
         if note.has_lost_store:
-            standing.silent(self.standing, note.name, now)
-        standing.take_followers(self.standing, note.followers, now)
+            watcher_election.record_store_silence(self.standing, note.name, now)
+        watcher_election.record_watchers(self.standing, note.followers, now)
         if note.versions == peering_data.NOTHING_KNOWN:
             return
         self._exchange.learn_era(note.versions)
@@ -141,20 +152,22 @@
     def _broadcast_store_lost(self) -> None:
         """Tell all processes that the store no longer answers this one."""
         name = self._members.name
-        standing.silent(self.standing, name, time.monotonic())
+        watcher_election.record_store_silence(
+            self.standing, name, time.monotonic()
+        )
         known = self._members.known.values()
-        note = self.stated()._replace(has_lost_store=True)
+        note = self.own_state_note()._replace(has_lost_store=True)
         self._send((each.notes for each in known), note)
 
     def _publish_delta(self, delta: server_list.Delta) -> None:
         """Send changes of the servers that came from the store."""
         entries = msgspec.json.encode(delta.entries)
-        note = self.stated()
+        note = self.own_state_note()
         if len(entries) <= MAX_ENTRIES_BYTES:
             note = note._replace(since=delta.since, entries=entries)
         self._publish(note)
 
-    def _apply_changes(self, note: peering_data.Note, now: float) -> None:
+    def _apply_changes(self, note: peering_data.PeerNote, now: float) -> None:
         delta = server_list.Delta(
             note.since,
             note.versions.servers,
@@ -166,7 +179,7 @@
             return
         # The note is passed on with this process's data of the other kinds. The
         # entries lead to the revision that they came with, and to no other.
-        mine = self.stated()
+        mine = self.own_state_note()
         self._publish(
             mine._replace(
                 versions=mine.versions._replace(servers=delta.revision),
@@ -175,7 +188,7 @@
             )
         )
 
-    def _publish(self, note: peering_data.Note) -> None:
+    def _publish(self, note: peering_data.PeerNote) -> None:
         """Send news to all aggregators, and as one of them to its zone."""
         receivers: list[str] = []
         if note.is_watching:
@@ -188,7 +201,7 @@
         )
         self._send(addresses, note)
 
-    def _catch_up_address(self, note: peering_data.Note, now: float) -> str:
+    def _catch_up_address(self, note: peering_data.PeerNote, now: float) -> str:
         """Return the address of a process with the data that is missing.
 
         It is not always the sender of the first note: all others would ask it
@@ -199,7 +212,7 @@
         names: list[str] = []
         near = self._zone_aggregators()
         if note.is_watching:
-            names = sorted(standing.watching(self.standing, now))
+            names = sorted(watcher_election.watching(self.standing, now))
         elif note.name in near:
             names = near
         found = members.addresses(self._members, names)
@@ -210,7 +223,7 @@
             return
         self._caught_up_at = now
         max_delay_s = 0.0
-        if len(self._members.known) > members.TOLD:
+        if len(self._members.known) > members.MAX_PEERS_PER_MESSAGE:
             max_delay_s = SPREAD_S
         task = asyncio.create_task(self._peers.compare(address, max_delay_s))
         self._calls.add(task)
@@ -221,5 +234,5 @@
 
     def _all_aggregators(self) -> list[str]:
         """Return the aggregators of all zones, this process if it is one."""
-        far = aggregation.of_others(self._members, self._zone)
+        far = aggregation.aggregators_of_other_zones(self._members, self._zone)
         return [*self._zone_aggregators(), *far]
--- a/beryllug/router/store_news_test.py
+++ b/beryllug/router/store_news_test.py
@@ -12,15 +12,15 @@
     aggregation,
     members,
     peering_data,
-    standing,
+    watcher_election,
 )
 from beryllug.drivers import store_era
 from beryllug.kernel import log_lines
 from beryllug.router import (
-    knowledge,
+    store_exchange,
     server_list,
     store_news,
-    store_pulse,
+    store_liveness,
     zone_list,
 )
 
@@ -49,7 +49,7 @@
         self.orders = self
         self.zones = zone_list.ZoneList(lines)
         api: Any = None
-        self.liveness = store_pulse.StoreLiveness(api, ())
+        self.liveness = store_liveness.StoreLiveness(api, ())
         self._is_current = is_current
         self.followed: list[bool] = []
 
@@ -73,10 +73,10 @@
     """Known peers; records which are asked for data."""
 
     def __init__(
-        self, known: members.Members, shared: knowledge.Knowledge
+        self, known: members.Members, shared: store_exchange.StoreExchange
     ) -> None:
         self.members = known
-        self.knowledge = shared
+        self.store_exchange = shared
         self.asked: list[str] = []
 
     async def compare(self, address: str, max_delay_s: float) -> None:
@@ -94,12 +94,14 @@
         for number in range(size):
             each = f'p{number}'
             zone = f'z{number % ZONES}'
-            seen = members.Known(f'{each}:1', f'{each}:2', 0, zone)
-            members.heard(self.members, each, seen)
+            seen = members.KnownPeer(f'{each}:1', f'{each}:2', 0, zone)
+            members.record_peer(self.members, each, seen)
         zone = f'z{int(name[1:]) % ZONES}'
         directory: Any = self.known
-        self.peers = _Peers(self.members, knowledge.Knowledge(directory))
-        self.sent: list[tuple[list[str], peering_data.Note]] = []
+        self.peers = _Peers(
+            self.members, store_exchange.StoreExchange(directory)
+        )
+        self.sent: list[tuple[list[str], peering_data.PeerNote]] = []
         peers: Any = self.peers
         self.news = store_news.StoreNews(
             settings_data.Router('', '', f'{name}:1', f'{name}:2', '', ()),
@@ -115,7 +117,7 @@
         self.sent.clear()
         return {each.removesuffix(':2') for each in addresses}
 
-    def _send(self, chosen: Iterable[str], note: peering_data.Note) -> None:
+    def _send(self, chosen: Iterable[str], note: peering_data.PeerNote) -> None:
         self.sent.append((list(chosen), note))
 
 
@@ -124,9 +126,9 @@
     return aggregation.aggregators(known, zone, 'z0')
 
 
-def _change(revision: int, sender: str = 'p9') -> peering_data.Note:
+def _change(revision: int, sender: str = 'p9') -> peering_data.PeerNote:
     """Return the note of a process that has seen a new server."""
-    return peering_data.Note(
+    return peering_data.PeerNote(
         sender,
         f'{sender}:1',
         is_watching=True,
@@ -148,7 +150,7 @@
         ):
             with self.subTest(is_current=is_current):
                 process = _Process('p7', is_current=is_current)
-                process.news.tell()
+                process.news.announce()
                 self.assertEqual(len(process.receivers()), expected)
 
     async def test_change_goes_on(self) -> None:
@@ -167,7 +169,7 @@
             with self.subTest(name):
                 process = _Process(name)
                 for _ in range(3):
-                    process.news.take(_change(6), 100)
+                    process.news.handle_note(_change(6), 100)
                 self.assertEqual(process.known.servers.revision, 6)
                 self.assertEqual(
                     sum(len(each[0]) for each in process.sent), expected
@@ -181,7 +183,7 @@
         later ones too, and it would never ask for them.
         """
         process = _Process(_aggregators('z1')[0])
-        process.news.take(_change(6), 100)
+        process.news.handle_note(_change(6), 100)
         note = process.sent[-1][1]
         self.assertEqual(note.versions.servers, 6)
         self.assertEqual(note.since, 5)
@@ -204,7 +206,7 @@
         for sender, is_watching, expected in table:
             with self.subTest(sender):
                 process = _Process('p1')
-                note = peering_data.Note(
+                note = peering_data.PeerNote(
                     sender,
                     f'{sender}:1',
                     is_watching=is_watching,
@@ -212,7 +214,7 @@
                 )
                 for now in range(100, 130):
                     _hear(process, following, now)
-                    process.news.take(note, now)
+                    process.news.handle_note(note, now)
                 await _wait_for_calls(process)
                 asked = set(process.peers.asked)
                 self.assertEqual(asked, {f'{name}:1' for name in expected})
@@ -229,13 +231,15 @@
         for step in range(40):
             now = 100 + step / 4
             for name in first:
-                announced = peering_data.Note(
+                announced = peering_data.PeerNote(
                     name, f'{name}:1', is_watching=True
                 )
-                primary.news.take(announced, now - 0.2)
+                primary.news.handle_note(announced, now - 0.2)
             if step % 2:
-                total = peering_data.Note(primary.members.name, '')
-                member.news.take(primary.news.with_store_state(total, now), now)
+                total = peering_data.PeerNote(primary.members.name, '')
+                member.news.handle_note(
+                    primary.news.with_store_state(total, now), now
+                )
             await member.news.update_following(now + 0.4)
         self.assertNotIn(True, member.known.followed[8:])
 
@@ -243,7 +247,7 @@
 def _hear(process: _Process, names: Iterable[str], now: float) -> None:
     """Make a process know which others follow the store."""
     for name in names:
-        standing.heard(process.news.standing, name, now)
+        watcher_election.record_watcher(process.news.standing, name, now)
 
 
 async def _wait_for_calls(process: _Process) -> None:
--- a/beryllug/router/store_returns.py
+++ b/beryllug/router/store_returns.py
@@ -5,7 +5,7 @@
 
 from beryllug.drivers import store_era
 from beryllug.kernel import log_lines, metrics_data
-from beryllug.router import refusals
+from beryllug.router import invalid_entry_log
 
 
 class StoreReturns:
@@ -24,9 +24,11 @@
         self.on_returned: Callable[[], None] = _ignore_return
         self._count = 0
         self._lines = lines
-        self._refusals = refusals.Refusals('store_era_unreadable', lines)
+        self._refusals = invalid_entry_log.InvalidEntryLog(
+            'store_era_unreadable', lines
+        )
         eras.on_changed = self._changed
-        eras.on_unreadable = self._note_unreadable
+        eras.on_invalid = self._note_unreadable
 
     async def start(self) -> None:
         """Do nothing: it acts on answers of the store and on notes."""
@@ -56,7 +58,7 @@
         self.on_returned()
 
     def _note_unreadable(self, text: str) -> None:
-        self._refusals.refused('era', text)
+        self._refusals.log_once('era', text)
 
 
 def _ignore_return() -> None:
--- a/beryllug/router/store_returns_test.py
+++ b/beryllug/router/store_returns_test.py
@@ -24,7 +24,7 @@
 # restore and of the end of the hold.
 DOUBT_S = 1.0
 NOW = 100.0
-LATER = NOW + stamps.HELD_S + 0.1
+LATER = NOW + stamps.RESTORE_HOLD_S + 0.1
 
 
 def _entry(name: str, state: str) -> dict[str, object]:
@@ -38,8 +38,10 @@
     }
 
 
-def stored(name: str, state: str, stamped: int) -> store_data.Stored:
-    return store_data.Stored(name, stamped, _entry(name, state), None, False)
+def stored(name: str, state: str, stamped: int) -> store_data.StoredObject:
+    return store_data.StoredObject(
+        name, stamped, _entry(name, state), None, False
+    )
 
 
 def _list(states: dict[str, str], stamped: int) -> store_data.Listing:
@@ -116,7 +118,7 @@
         before = self.servers.revision
         late = stored('stays', 'draining', OLD + 5)
         self.servers.listed(_list({}, OLD + 5), NOW)
-        change = store_data.Change(late, is_gone=False)
+        change = store_data.Change(late, is_deleted=False)
         self.servers.changed(store_data.Changes((change,), OLD + 5), NOW)
         self.servers.apply_specs({}, OLD + 5, 'peer', NOW)
         for since in (OLD, OLD + 4):
@@ -180,9 +182,9 @@
     def test_held(self) -> None:
         """An evacuation that the copy lacks ends with the hold, not earlier."""
         for now, evacuated in ((NOW, {ZONE}), (LATER, set())):
-            self.zones.settle(now)
+            self.zones.release_expired(now)
             self.assertEqual(self.zones.evacuated, evacuated)
-            self.assertEqual(self.zones.stated, set())
+            self.assertEqual(self.zones.in_store, set())
 
     def test_written_again(self) -> None:
         """An evacuation written again after the restore outlasts the hold.
@@ -199,18 +201,18 @@
                 self.setUp()
                 self._change(steps)
                 self.assertEqual(self.zones.evacuated, evacuated)
-                self.zones.settle(LATER)
+                self.zones.release_expired(LATER)
                 self.assertEqual(self.zones.evacuated, evacuated)
 
     def test_twice(self) -> None:
         """A second restore during the hold extends it."""
         self.zones.take((), stamps.stamp(3, 1), 'store', LATER - 1)
-        self.zones.settle(LATER)
+        self.zones.release_expired(LATER)
         self.assertEqual(self.zones.evacuated, {ZONE})
 
     def _change(self, steps: Iterable[tuple[bool, int]]) -> None:
         for is_gone, stamped in steps:
-            stored = store_data.Stored(ZONE, stamped, {}, None, False)
+            stored = store_data.StoredObject(ZONE, stamped, {}, None, False)
             change = store_data.Change(stored, is_gone)
             self.zones.changed(store_data.Changes((change,), stamped), NOW)
 
@@ -252,7 +254,7 @@
         self.assertGreater(self.orders.revision(), OLD + 2)
 
     def _list(self, spec: Any, stamped: int) -> None:
-        stored = store_data.Stored('pool', stamped, spec, None, False)
+        stored = store_data.StoredObject('pool', stamped, spec, None, False)
         self.orders.listed(store_data.Listing((stored,), stamped), NOW)
 
     def _target(self) -> str:
@@ -272,9 +274,9 @@
         told: list[int] = []
         returns.on_returned = lambda: told.append(eras.era)
         for answer in ('4', '', '5', '5', 'x', '6'):
-            eras.answered(answer)
-        eras.learn(5)
-        eras.learn(7)
+            eras.check_response(answer)
+        eras.advance(5)
+        eras.advance(7)
         self.assertEqual(told, [5, 6, 7])
         self.assertEqual(lines.events.count('store_returned'), 3)
         self.assertEqual(lines.events.count('store_era_unreadable'), 1)
--- a/beryllug/router/store_watch.py
+++ b/beryllug/router/store_watch.py
@@ -15,7 +15,7 @@
 from beryllug.drivers import object_data, store_data
 from beryllug.kernel import log_lines
 from beryllug.platform import store
-from beryllug.router import refusals, store_listing
+from beryllug.router import invalid_entry_log, store_listing
 
 # A waiting watch costs one call; the store lets it wait for up to 30 s. Ten
 # seconds bound the time until a watch that the network lost is noticed.
@@ -29,7 +29,7 @@
 # every watch and cost a call. The first change is passed on at once, the others
 # within a tenth of the time after which a leaving server must get no more
 # requests.
-GATHER_S = 0.25
+BATCH_S = 0.25
 FIRST_PAUSE_S = 0.1
 MAX_PAUSE_S = 1.0
 # Maximum pause in seconds that the store can ask for: its changes in the
@@ -84,7 +84,9 @@
         self._kind = kind
         self._follower = follower
         self._lines = lines
-        self._refusals = refusals.Refusals('entry_unreadable', lines)
+        self._refusals = invalid_entry_log.InvalidEntryLog(
+            'entry_unreadable', lines
+        )
         self._task: asyncio.Task[None] | None = None
         self._failures = 0
         self._lost_at = 0.0
@@ -96,7 +98,7 @@
             self._revision = 0
             self._task = asyncio.create_task(self._run())
 
-    def renew(self) -> None:
+    def relist(self) -> None:
         """List again at once, even if a call is waiting.
 
         If the watch's own task calls this, since its answer told of a new era,
@@ -108,7 +110,7 @@
         self._task = None
         self.start()
 
-    def doubt(self, reason: str) -> None:
+    def fail_waiting_call(self, reason: str) -> None:
         """Treat the waiting call as failed and retry from its revision."""
         if self._task is None:
             return
@@ -158,11 +160,11 @@
         self._revision = max(changes.revision, self._revision)
         if changes.changes:
             self._follower.changed(changes, time.monotonic())
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_S)
 
     def _note_errors(self, errors: Iterable[str]) -> None:
         for error in errors:
-            self._refusals.refused(error, error)
+            self._refusals.log_once(error, error)
 
     def _note_failure(self, exc: Exception) -> None:
         self._failures += 1
--- a/beryllug/router/stream_flow.py
+++ b/beryllug/router/stream_flow.py
@@ -9,7 +9,7 @@
 import asyncio
 import time
 
-from beryllug.core.placement import backlog, sizes, suspicion
+from beryllug.core.placement import backlog, escalation, suspicion
 from beryllug.drivers import event_split, http_data, http_server
 from beryllug.platform import requests
 from beryllug.router import (
@@ -46,7 +46,7 @@
         self._pool.repeats.count_request(call.service)
         stream = stream_state.Stream(
             attempts.Progress(self._trials.choose_versions(call)),
-            size=sizes.first_size(call.route.models),
+            size=escalation.first_size(call.route.models),
         )
         self._check_time_left(call, stream)
         failure: stream_state.Failure | None = None
@@ -105,7 +105,7 @@
         would delay others.
         """
         prompt = stream_state.prompt(call, stream.size)
-        least_s = backlog.least_s(self._pool.reading, prompt)
+        least_s = backlog.min_first_s(self._pool.prompt_backlog, prompt)
         if attempts.left_s(call) < least_s:
             raise call_data.RefusedError(
                 call_data.UNAVAILABLE, 'no answer can begin in the time left'
@@ -173,7 +173,7 @@
         exchange: http_server.Exchange,
     ) -> stream_state.AttemptOutcome:
         left_s = attempts.left_s(call)
-        sending = requests.Sending(
+        sending = requests.AttemptHeaders(
             choice.server,
             left_s,
             call.account_name,
@@ -216,7 +216,7 @@
         stream.confidence = outcome.head.confidence
         if not stream.started and stream_state.may_choose_model(call):
             stream.why = self._larger.decide(call, stream, outcome.head)
-        if stream.why is sizes.Why.LARGER:
+        if stream.why is escalation.SizeReason.LARGER:
             stream.why = None
             return stream_state.Larger(len(call.route.models) - 1)
         splitter = event_split.EventSplitter()
@@ -230,7 +230,7 @@
             events = splitter.feed(chunk)
             if events:
                 await self._forward(stream, events, headers, outcome, exchange)
-        if splitter.has_rest or not stream.started:
+        if splitter.has_partial_event or not stream.started:
             return dispatch.Unknown('the stream ended within an event')
         await exchange.finish()
         return stream_state.Done()
@@ -289,8 +289,8 @@
     ) -> None:
         if len(stream.events) < stream_state.MIN_EVENTS:
             return
-        backlog.wrote(
-            self._pool.reading,
+        backlog.record_decode(
+            self._pool.prompt_backlog,
             stream_state.model_of(call, stream.size) or call.asked.model,
             call.asked.tokens_out,
             stream.events[-1] - stream.events[0],
--- a/beryllug/router/stream_state.py
+++ b/beryllug/router/stream_state.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from beryllug.core.placement import backlog, sizes
+from beryllug.core.placement import backlog, escalation
 from beryllug.core.routes import match
 from beryllug.router import attempt_log, attempts, dispatch, pool, rollout_state
 from beryllug.router import call as call_data
@@ -51,7 +51,7 @@
 
     progress: attempts.Progress
     size: int = 0
-    why: sizes.Why | None = None
+    why: escalation.SizeReason | None = None
     last_event: str = ''
     started: bool = False
     status: int = 0
@@ -159,7 +159,7 @@
         asked.shared,
         asked.shared_tokens,
         asked.own_tokens,
-        is_first=size == 0,
+        is_priority=size == 0,
     )
 
 
--- a/beryllug/router/trials.py
+++ b/beryllug/router/trials.py
@@ -51,7 +51,7 @@
     Attributes:
         bounds: The bounds of a rollout.
         pins: The version that each session runs on.
-        ordered: Set while a rollout has no final result in the store.
+        has_open_rollout: Set while a rollout has no final result in the store.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self._rollouts: dict[str, rollout_state.Rollout] = {}
         self._replaced: dict[tuple[str, str], rollout_state.Rollout] = {}
         self.pins = pins.Pins(bounds)
-        self.ordered = asyncio.Event()
+        self.has_open_rollout = asyncio.Event()
 
     async def start(self) -> None:
         """Do nothing: the service is driven by orders and requests."""
@@ -93,7 +93,7 @@
         """Return the known rollouts."""
         return self._rollouts.values()
 
-    def take_order(
+    def apply_order(
         self,
         order: canary_data.Order,
         phase: canary_data.Phase,
@@ -142,17 +142,17 @@
         rollout.is_stored = True
         self._update_ordered()
 
-    def take_news(self, digest: peering_data.Digest, now: float) -> None:
+    def apply_digest(self, digest: peering_data.Digest, now: float) -> None:
         """Apply the phases and the counts that a peer reports."""
-        self.take_phases(digest.rollouts, digest.name, now)
+        self.apply_phases(digest.rollouts, digest.name, now)
         for told in digest.tallies:
             known = _find(self._rollouts, told.service, told.target)
             if known is not None:
                 rollout_state.merge_tally(known, digest.name, told)
 
-    def take_phases(
+    def apply_phases(
         self,
-        told: Iterable[peering_data.RolloutNews],
+        told: Iterable[peering_data.RolloutProgress],
         peer: str,
         now: float,
     ) -> None:
@@ -193,7 +193,7 @@
             return
         rollout = self._rollouts.get(call.service)
         self.pins.record_run(
-            sessions.Told(call.service, session, version),
+            sessions.SessionVersion(call.service, session, version),
             is_rollout_open=rollout is not None and rollout.is_open,
         )
 
@@ -226,9 +226,9 @@
 
     def _update_ordered(self) -> None:
         if all(each.is_stored for each in self._rollouts.values()):
-            self.ordered.clear()
+            self.has_open_rollout.clear()
         else:
-            self.ordered.set()
+            self.has_open_rollout.set()
 
     def _choose_trial_versions(
         self,
@@ -263,10 +263,10 @@
         if age_s < SESSION_SYNC_S:
             return False
         subject = call.asked.session or call.asked.attempt_id
-        if not plan.is_drawn(subject, self.bounds):
+        if not plan.is_sampled(subject, self.bounds):
             return False
-        part = plan.drawn_part(rollout.order, rollout.seen(), age_s)
-        return plan.is_drawn(subject, self.bounds, part) and plan.may_try(
+        part = plan.sampled_part(rollout.order, rollout.seen(), age_s)
+        return plan.is_sampled(subject, self.bounds, part) and plan.may_try(
             rollout.tally,
             self.bounds,
             self._pool.repeats.processes,
@@ -283,7 +283,7 @@
     while len(replaced) > MAX_REPLACED:
         replaced.pop(next(iter(replaced)))
     known = replaced.pop((order.service, order.target), None)
-    if known and stamps.is_return(order.revision, known.order.revision):
+    if known and stamps.is_restored(order.revision, known.order.revision):
         return known
     return rollout_state.Rollout(order, canary_data.Phase.TRIAL, now, now)
 
--- a/beryllug/router/trials_test.py
+++ b/beryllug/router/trials_test.py
@@ -51,7 +51,7 @@
 
 
 def _call(session: str) -> call_data.Call:
-    asked = requests.Asked(
+    asked = requests.RequestHeaders(
         f'try of {session}', '', 20, 'm', False, '', 0, 100, 50, session, ''
     )
     req = http_data.Request('POST', '/chat/a', {}, b'', '')
@@ -65,7 +65,7 @@
         pool: Any = _Pool()
         self.trials = trials.Trials(pool, BOUNDS, log_lines.LineWriter(1))
         self.ordered_at = time.monotonic()
-        self.trials.take_order(ORDER, Phase.TRIAL, self.ordered_at)
+        self.trials.apply_order(ORDER, Phase.TRIAL, self.ordered_at)
         self.now = self.ordered_at + 2
         clock = mock.patch.object(time, 'monotonic', self._monotonic)
         clock.start()
@@ -85,14 +85,14 @@
             answers, canary_data.Answers(7, 0), {'i-2': times}, dict(times)
         )
         for requests_told, expected in ((10, 15), (12, 17), (12, 17)):
-            news = peering_data.TallyNews(
+            news = peering_data.RolloutTally(
                 'pool', 'v2', requests_told, 3, {'chat': evidence}
             )
             rollout_state.merge_tally(rollout, 'peer', news)
             for _ in range(3):
                 seen = rollout.seen()
                 self.assertEqual(seen.requests, expected)
-                self.assertEqual(verdict.judged(seen), 3)
+                self.assertEqual(verdict.count_new_answers(seen), 3)
                 found = seen.by_route['chat']
                 self.assertEqual(found.old_times, times)
                 self.assertEqual(found.new_times, {'i-2': times})
@@ -140,8 +140,8 @@
             self.trials.choose_versions(_call(each)).versions for each in tried
         ]
         self.assertEqual(set(again), {NEW})
-        told = sessions.Told('pool', 'regular', 'v1')
-        self.trials.pins.take((told,))
+        told = sessions.SessionVersion('pool', 'regular', 'v1')
+        self.trials.pins.merge_sessions((told,))
         for _ in range(3):
             found = self.trials.choose_versions(_call('regular')).versions
             self.assertEqual(found, OLD)
--- a/beryllug/router/unread_names.py
+++ b/beryllug/router/unread_names.py
@@ -13,7 +13,7 @@
 
 # Names that a process remembers and logs in its lifetime: a server may send any
 # number of them.
-MOST = 100
+MAX_NAMES = 100
 # Maximum length of a logged name.
 MOST_TEXT = 100
 SERVER = 'server'
@@ -57,7 +57,7 @@
         """Record unknown names; `source` tells where they were found."""
         for name in unread:
             key = (source, name[:MOST_TEXT])
-            if key in self._seen or len(self._seen) >= MOST:
+            if key in self._seen or len(self._seen) >= MAX_NAMES:
                 continue
             self._seen.add(key)
             self._lines.write('name_unread', source=source, name=key[1])
--- a/beryllug/router/unread_names_test.py
+++ b/beryllug/router/unread_names_test.py
@@ -47,11 +47,11 @@
 
     def test_bounded(self) -> None:
         """A server that keeps sending new names can't fill log or memory."""
-        for number in range(2 * unread_names.MOST):
+        for number in range(2 * unread_names.MAX_NAMES):
             self._hear({f'x-{number}': ''})
-        self.assertEqual(len(self.lines.kept), unread_names.MOST)
+        self.assertEqual(len(self.lines.kept), unread_names.MAX_NAMES)
         self._hear({'y' * 10000: ''})
-        self.assertEqual(len(self.lines.kept), unread_names.MOST)
+        self.assertEqual(len(self.lines.kept), unread_names.MAX_NAMES)
 
     def test_fields(self) -> None:
         """An unknown field of an entry or of a listed record is found."""
@@ -64,7 +64,7 @@
         )
         for spec, found in table:
             with self.subTest(spec=spec):
-                self.assertEqual(documents.unread(spec), found)
+                self.assertEqual(documents.unknown_fields(spec), found)
 
     def _hear(self, headers: Mapping[str, str]) -> None:
         head = requests.head_of(200, headers)
--- a/beryllug/router/zone_list.py
+++ b/beryllug/router/zone_list.py
@@ -20,7 +20,7 @@
 
     Attributes:
         evacuated: Names of the zones that count as evacuated.
-        stated: Those of them that the store lists.
+        in_store: Those of them that the store lists.
         revision: Stamp of the list, 0 for none.
         on_reopened: Called for each zone that accepts requests again.
     """
@@ -28,7 +28,7 @@
     def __init__(self, lines: log_lines.LineWriter) -> None:
         """Start without a list."""
         self.evacuated: frozenset[str] = frozenset()
-        self.stated: frozenset[str] = frozenset()
+        self.in_store: frozenset[str] = frozenset()
         self.revision = 0
         self.on_reopened: ReopenedListener = _ignore_reopened_zone
         self._lines = lines
@@ -42,7 +42,7 @@
     def dump(self) -> dict[str, Any]:
         """Return the evacuated zones."""
         return {
-            'revision': stamps.shown(self.revision),
+            'revision': stamps.format_stamp(self.revision),
             'evacuated': sorted(self.evacuated),
             'held': sorted(self._held),
         }
@@ -54,10 +54,10 @@
 
     def changed(self, changes: store_data.Changes, now: float) -> None:
         """Process changes from the store."""
-        names = set(self.stated)
+        names = set(self.in_store)
         for change in changes.changes:
             self._held.pop(change.stored.name, None)
-            if change.is_gone:
+            if change.is_deleted:
                 names.discard(change.stored.name)
             else:
                 names.add(change.stored.name)
@@ -73,11 +73,11 @@
         """
         if revision <= self.revision:
             return
-        if stamps.is_return(revision, self.revision):
-            until = now + stamps.HELD_S
+        if stamps.is_restored(revision, self.revision):
+            until = now + stamps.RESTORE_HOLD_S
             self._held.update(dict.fromkeys(self.evacuated, until))
         self.revision = revision
-        self.stated = frozenset(names)
+        self.in_store = frozenset(names)
         self._update_evacuated(source, now)
 
     def take_held(
@@ -92,7 +92,7 @@
         """Return the zones that are evacuated although the store lacks them."""
         return tuple(sorted(self._held))
 
-    def settle(self, now: float) -> None:
+    def release_expired(self, now: float) -> None:
         """Release zones whose hold time is over."""
         if self._held:
             self._update_evacuated('held', now)
@@ -101,10 +101,10 @@
         self._held = {
             zone: until
             for zone, until in self._held.items()
-            if until > now and zone not in self.stated
+            if until > now and zone not in self.in_store
         }
         before = self.evacuated
-        self.evacuated = self.stated | frozenset(self._held)
+        self.evacuated = self.in_store | frozenset(self._held)
         for zone in sorted(self.evacuated - before):
             self._log('zone_evacuated', zone, source)
         for reopened in sorted(before - self.evacuated):
@@ -119,7 +119,7 @@
             event,
             zone=zone,
             source=source,
-            revision=stamps.shown(self.revision),
+            revision=stamps.format_stamp(self.revision),
         )
 
 
--- a/beryllug/scripts/ask.py
+++ b/beryllug/scripts/ask.py
@@ -14,7 +14,7 @@
 HEADER_TIMEOUT_S = 120.0
 
 
-class Question(NamedTuple):
+class ChatRequest(NamedTuple):
     """A chat request and the entry that it is sent to.
 
     Attributes:
@@ -41,7 +41,7 @@
         self.outcome = outcome
 
 
-async def stream(question: Question) -> AsyncIterator[str]:
+async def stream(question: ChatRequest) -> AsyncIterator[str]:
     """Yield the text of the response as it arrives.
 
     Raises:
@@ -65,7 +65,7 @@
         await client.close()
 
 
-async def _texts(incoming: http_client.Incoming) -> AsyncIterator[str]:
+async def _texts(incoming: http_client.IncomingResponse) -> AsyncIterator[str]:
     incomplete_line = ''
     try:
         async for chunk in incoming.chunks():
@@ -87,7 +87,7 @@
                 yield choice.get('delta', {}).get('content') or ''
 
 
-def _outgoing(question: Question) -> http_data.Outgoing:
+def _outgoing(question: ChatRequest) -> http_data.Outgoing:
     body = {
         'model': question.model,
         'stream': True,
--- a/beryllug/scripts/beryllug.py
+++ b/beryllug/scripts/beryllug.py
@@ -160,7 +160,7 @@
     @_with_text_args
     def ask(self, model: str, text: str, **options: str) -> None:
         """Send one request to an entry and print the streamed response."""
-        question = ask_client.Question(
+        question = ask_client.ChatRequest(
             _option(options, 'entry', 'BERYLLUG_ENTRY'),
             _option(options, 'key', 'BERYLLUG_CALLER_KEY'),
             model,
@@ -175,7 +175,7 @@
     core.Fire(Tool, name='beryllug')
 
 
-async def _ask(question: ask_client.Question, options: Options) -> int:
+async def _ask(question: ask_client.ChatRequest, options: Options) -> int:
     try:
         async for text in ask_client.stream(question):
             sys.stdout.write(text)
--- a/beryllug/scripts/beryllug_test.py
+++ b/beryllug/scripts/beryllug_test.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 from unittest import IsolatedAsyncioTestCase, main, mock
 
-from beryllug.control import config, config_desk, fleet_status, operators
+from beryllug.control import config, config_admin, fleet_status, operators
 from beryllug.core import config_root, settings_data, usage_data
 from beryllug.drivers import (
     config_store,
@@ -86,7 +86,7 @@
         self.api = object_fake_test.FakeObjects()
         calls = mock.Mock(call=mock.AsyncMock(side_effect=rpc.RpcError))
         view = config.Config(PROCESS, CONTROL, self.api, calls)
-        desk = config_desk.ConfigDesk(view)
+        desk = config_admin.ConfigAdmin(view)
         status = fleet_status.FleetStatus(view, calls)
         self.operators = ops.Operators(
             settings_data.Operators('127.0.0.1:0', (KEY,)),
@@ -152,7 +152,7 @@
     async def test_platform_down(self) -> None:
         """If the platform is down, the tool reports that nothing changed."""
         self.api.down = True
-        with mock.patch.object(config_store, 'PAUSE_S', 0):
+        with mock.patch.object(config_store, 'RETRY_DELAY_S', 0):
             tool_result = await self.run_tool(f'apply {VALID_PATH} --expect 0')
         self.assertEqual(tool_result.code, 4)
         self.assertIn('nothing changed', tool_result.err)
--- a/beryllug/scripts/beryllugd.py
+++ b/beryllug/scripts/beryllugd.py
@@ -33,7 +33,7 @@
     # thirds of the time from process start to first response. Otherwise, after
     # a loss of all processes, callers were refused connections for some tenths
     # of a second.
-    listener = listeners.open_at(cfg.router.listen)
+    listener = listeners.open_listener(cfg.router.listen)
     _import_daemon('router_daemon').run(cfg, cfg.router, path, listener)
 
 
--- a/beryllug/scripts/cli_render.py
+++ b/beryllug/scripts/cli_render.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from beryllug.core import diff, finding, plain
+from beryllug.core import diff, finding, record_codec
 
 TIME_FORMAT = '%Y-%m-%d %H:%M:%S'
 COLUMN_GAP = '  '
@@ -26,13 +26,13 @@
 
 def findings(listed: Iterable[dict[str, Any]]) -> Lines:
     """Render one line per finding."""
-    found = (plain.from_plain(finding.Finding, item) for item in listed)
+    found = (record_codec.from_plain(finding.Finding, item) for item in listed)
     return tuple(map(finding.describe, found))
 
 
 def differences(listed: Iterable[dict[str, Any]]) -> Lines:
     """Render one line per difference."""
-    found = (plain.from_plain(diff.Difference, item) for item in listed)
+    found = (record_codec.from_plain(diff.Difference, item) for item in listed)
     return tuple(map(diff.describe, found))
 
 
--- a/beryllug/scripts/commands.py
+++ b/beryllug/scripts/commands.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from beryllug.checks import judge
-from beryllug.core import document_plain, finding, plain
+from beryllug.core import document_plain, finding, record_codec
 from beryllug.scripts import cli_data, cli_render, operator_link
 
 GET = 'GET'
@@ -35,7 +35,7 @@
     body = _read_document(path)
     if isinstance(body, cli_data.Outcome):
         return body
-    request = operator_link.Ask(POST, '/v1/diff', body=body)
+    request = operator_link.OperatorRequest(POST, '/v1/diff', body=body)
     return await _call(target, request, _render_diff)
 
 
@@ -52,7 +52,9 @@
     body = _read_document(path)
     if isinstance(body, cli_data.Outcome):
         return body
-    request = operator_link.Ask(POST, '/v1/config', _with_apply_id(query), body)
+    request = operator_link.OperatorRequest(
+        POST, '/v1/config', _with_apply_id(query), body
+    )
     return await _call(target, request, _render_applied)
 
 
@@ -71,43 +73,47 @@
         body: Further data of the change, sent as JSON.
     """
     raw = b'' if body is None else json.dumps(body).encode()
-    request = operator_link.Ask(POST, path, _with_apply_id(query), raw)
+    request = operator_link.OperatorRequest(
+        POST, path, _with_apply_id(query), raw
+    )
     return await _call(target, request, _render_applied)
 
 
 async def show(target: cli_data.Target, revision: str) -> cli_data.Outcome:
     """Show the active document, or a stored revision."""
     query = {'revision': revision} if revision else {}
-    request = operator_link.Ask(GET, '/v1/config', query)
+    request = operator_link.OperatorRequest(GET, '/v1/config', query)
     return await _call(target, request, cli_render.document)
 
 
 async def history(target: cli_data.Target) -> cli_data.Outcome:
     """Show who applied the last revisions, and when."""
-    request = operator_link.Ask(GET, '/v1/config/history')
+    request = operator_link.OperatorRequest(GET, '/v1/config/history')
     return await _call(target, request, cli_render.history)
 
 
 async def status(target: cli_data.Target) -> cli_data.Outcome:
     """Show all known processes and backend servers."""
-    request = operator_link.Ask(GET, '/v1/status')
+    request = operator_link.OperatorRequest(GET, '/v1/status')
     return await _call(target, request, cli_render.status)
 
 
 async def usage(target: cli_data.Target) -> cli_data.Outcome:
     """Show the billed usage."""
-    request = operator_link.Ask(GET, '/v1/usage')
+    request = operator_link.OperatorRequest(GET, '/v1/usage')
     return await _call(target, request, cli_render.usage)
 
 
 async def dump(target: cli_data.Target) -> cli_data.Outcome:
     """Show the whole state of one process."""
-    request = operator_link.Ask(GET, '/dump')
+    request = operator_link.OperatorRequest(GET, '/dump')
     return await _call(target, request, cli_render.plain_data)
 
 
 async def _call(
-    target: cli_data.Target, request: operator_link.Ask, render: Render
+    target: cli_data.Target,
+    request: operator_link.OperatorRequest,
+    render: Render,
 ) -> cli_data.Outcome:
     reply = await operator_link.call(target, request)
     if reply.code is cli_data.Exit.DONE:
@@ -144,7 +150,7 @@
     body = {
         'error': 'invalid',
         'message': 'refused whole; mend all findings',
-        'findings': plain.to_plain(tuple(findings)),
+        'findings': record_codec.to_plain(tuple(findings)),
     }
     lines = cli_render.refusal(body)
     return cli_data.Outcome(cli_data.Exit.INVALID, body, lines)
--- a/beryllug/scripts/compose.py
+++ b/beryllug/scripts/compose.py
@@ -22,7 +22,7 @@
     servers,
     shards,
     suspects,
-    suspects_spread,
+    suspects_broadcast,
     suspects_store,
 )
 from beryllug.core import cascade_data, lease_data, rpc_data, settings_data
@@ -52,7 +52,7 @@
     exposure,
     fetches,
     outbox,
-    parts,
+    flow_dependencies,
     plain,
     ratings,
     routing,
@@ -102,7 +102,7 @@
     instance_id = f'{name}/{_boot_id()}'
     client = http_client.HttpClient()
     calls = control_calls.ControlCalls(cfg.controls, keys)
-    view_request = rpc_data.ViewAsk(instance_id, settings.process.zone)
+    view_request = rpc_data.ViewRequest(instance_id, settings.process.zone)
     link = control_link.ControlLink(view_request, cfg, calls)
     row_sink = outbox.Outbox(calls)
     routes = routing.Routing(name, settings.process.zone, link)
@@ -110,7 +110,7 @@
     crash_reports = crashes.Crashes(name, calls, link, client, ticker)
     rater = rating.HttpRater(client, cfg.rating) if cfg.rating else None
     rating_service = ratings.Ratings(rater)
-    flow_parts = parts.Parts(
+    flow_parts = flow_dependencies.FlowDependencies(
         link=link,
         routing=routes,
         admission=admission.Admission(len(cfg.controls), link, routes),
@@ -169,13 +169,15 @@
         client, cfg.host_list, HOST_LIST_TIMEOUT_S
     )
     calls = rpc_peers.Peers(keys)
-    peer_join = probing.Join(process.zone, cfg.peers, cfg.heartbeat_s, calls)
+    peer_join = probing.MembershipSettings(
+        process.zone, cfg.peers, cfg.heartbeat_s, calls
+    )
     members = membership.Membership(process.name, cfg.listen, peer_join)
     boot = _boot_id()
     owner = lease_data.Owner(process.name, boot, cfg.listen)
     shard_leases = leases.Leases(api, owner, cfg.lease_s, members, calls)
     row_journal = journal.Journal(
-        shards.Parts(api, shard_leases, calls), cfg, boot
+        shards.JournalServices(api, shard_leases, calls), cfg, boot
     )
     config_view = config.Config(process, cfg, api, calls, members)
     stored_answers = control_answers.Answers(api, shard_leases, cfg.retention_s)
@@ -185,7 +187,7 @@
     suspect_service = suspects.Suspects(
         process.name,
         config_view,
-        suspects_spread.Spread(
+        suspects_broadcast.SuspectsBroadcaster(
             process.name, config_view.others, members, calls
         ),
         suspects_store.SuspectsStore(api),
@@ -209,7 +211,7 @@
             and config_view.revision > 0
             and config_view.accepts()
         ),
-        operators.for_control(config_view, calls, server, row_journal),
+        operators.control_routes(config_view, calls, server, row_journal),
     )
     services.register('operators', operators_api)
     services.register('peers', calls)
--- a/beryllug/scripts/compose_router.py
+++ b/beryllug/scripts/compose_router.py
@@ -25,9 +25,9 @@
     dispatch,
     eligible,
     flow_parts,
-    front,
+    caller_server,
     judge,
-    knowledge,
+    store_exchange,
     order_list,
     peering,
     plain_flow,
@@ -81,13 +81,13 @@
         store_api, backend_list, orders, zones, lines
     )
     return_detector = store_returns.StoreReturns(store_api.eras, lines)
-    return_detector.on_returned = store_directory.renew
+    return_detector.on_returned = store_directory.relist
     zone = settings.process.zone
-    place = eligible.Place(
+    place = eligible.ProcessLocation(
         settings.process.name, zone, settings_data.region_by_zone(cfg)
     )
     backend_limits = server_limits.ServerLimits(settings.process.name, lines)
-    eligible_servers = eligible.Eligible(
+    eligible_servers = eligible.EligibleServers(
         backend_list, zones, place, backend_limits
     )
     store_directory.on_table(eligible_servers.take_table)
@@ -100,7 +100,7 @@
         canary_data.Bounds(cfg.trial_share, cfg.trial_slack, cfg.session_s),
         lines,
     )
-    orders.on_order(canaries.take_order)
+    orders.on_order(canaries.apply_order)
     request_log = attempt_log.AttemptLog(lines, store_directory)
     backend_client = http_client.HttpClient(CONNECT_TIMEOUT_S)
     sender = dispatch.Dispatcher(backend_client)
@@ -109,28 +109,30 @@
     server_statements = statements.Statements(
         settings.process.name, backend_list, eligible_servers, lines
     )
-    sender.listeners = (unread_log.heard, server_statements.heard)
+    sender.listeners = (unread_log.heard, server_statements.apply_answer)
     crashes = crash_watch.CrashWatch(lines)
-    backend_list.on_lost = crashes.lost
-    backend_list.on_restarted = lambda old_server: backend_client.forget(
+    backend_list.on_lost = crashes.record_lost_server
+    backend_list.on_restarted = lambda old_server: backend_client.close_idle(
         old_server.address
     )
     parts = flow_parts.FlowParts(
         servers, sender, canaries, request_log, crashes
     )
-    flows = front.Flows(
+    flows = caller_server.Flows(
         plain_flow.PlainFlow(parts), stream_flow.StreamFlow(parts), crashes
     )
-    frontend = front.Front(cfg, store_directory, flows, request_log, listener)
+    frontend = caller_server.CallerServer(
+        cfg, store_directory, flows, request_log, listener
+    )
     keys = fleet_key.KeyRing(settings.fleet.keys)
     calls = rpc_peers.Peers(keys)
-    shared_knowledge = knowledge.Knowledge(store_directory)
+    shared_knowledge = store_exchange.StoreExchange(store_directory)
     peers = peering.Peering(
         settings.process, cfg, calls, shared_knowledge, canaries, lines
     )
     rpc_server = rpc.RpcServer(keys)
     peers.serve(rpc_server)
-    local_decisions = sharing.Decided(
+    local_decisions = sharing.RequestServices(
         servers, canaries, crashes, server_statements
     )
     state_sharing = sharing.Sharing(
--- a/beryllug/scripts/demo.py
+++ b/beryllug/scripts/demo.py
@@ -46,8 +46,8 @@
 
     def __init__(self, fleet: harness.Fleet) -> None:
         """Use a running fleet."""
-        self.failed: list[str] = []
-        self.ran: set[str] = set()
+        self.failed_steps: list[str] = []
+        self.executed_request_ids: set[str] = set()
         self._fleet = fleet
         self._large_caller = caller.Caller(sample.LARGE_KEY)
         self._small_caller = caller.Caller(sample.SMALL_KEY)
@@ -139,7 +139,9 @@
         declared = sample.withdraw(self._fleet.plan.document, OLD_VERSION)
         await self._fleet.apply(declared)
         for index in range(self._fleet.plan.hosts):
-            await self._fleet.in_force(fleet_settings.entry_name(index))
+            await self._fleet.wait_for_revision(
+                fleet_settings.entry_name(index)
+            )
         _print_line(
             f'roster@v1 withdrawn, revision {self._fleet.revision} in force'
         )
@@ -156,9 +158,9 @@
         reply = await step.send()
         request_id = reply.headers.get(REQUEST_ID, '')
         if reply.status < ERRORS_FROM:
-            self.ran.add(request_id)
+            self.executed_request_ids.add(request_id)
         if reply.status != step.status:
-            self.failed.append(f'{step.title}: {reply}')
+            self.failed_steps.append(f'{step.title}: {reply}')
         _print_line(f'{step.title:20} {reply.status}  {_summarize(reply)}')
 
     def _host(self, number: int) -> str:
@@ -196,16 +198,16 @@
     demo = Demo(fleet)
     await demo.run()
     await demo.close()
-    bills = records.bills(fleet)
+    bills = records.outcome_rows(fleet)
     _show_usage(bills)
-    for failure in demo.failed:
+    for failure in demo.failed_steps:
         _print_line(f'NOT AS EXPECTED {failure}')
     all_billed_once = all(len(rows) == 1 for rows in bills.values())
-    all_billed = set(bills) == demo.ran
-    passed = all_billed_once and all_billed and not demo.failed
+    all_billed = set(bills) == demo.executed_request_ids
+    passed = all_billed_once and all_billed and not demo.failed_steps
     _print_line(
-        f'requests that ran = {len(demo.ran)}, bills = {len(bills)}, '
-        f'each billed once: {"yes" if passed else "NO"}'
+        f'requests that ran = {len(demo.executed_request_ids)}, '
+        f'bills = {len(bills)}, each billed once: {"yes" if passed else "NO"}'
     )
     return passed
 
--- a/beryllug/scripts/losses_report.py
+++ b/beryllug/scripts/losses_report.py
@@ -7,7 +7,7 @@
 from rich import bar, console, table
 
 from beryllug.core import losses
-from beryllug.parsing import log_page
+from beryllug.parsing import log_parser
 from beryllug.scripts import cli_data
 
 MAX_ROWS = 40
@@ -29,7 +29,7 @@
         return cli_data.failure(
             cli_data.Exit.INVALID, 'usage', f'no such field or file: {invalid}'
         )
-    groups = losses.group(losses.ended(_read_lines(paths)), by)
+    groups = losses.group(losses.ended_requests(_read_lines(paths)), by)
     rows = [
         {
             **dict(zip(by, loss_group.key)),
@@ -44,7 +44,7 @@
 def _read_lines(paths: Iterable[str]) -> Iterable[losses.Line]:
     for path in paths:
         with Path(path).open(encoding='utf-8', errors='replace') as text:
-            yield from log_page.read(text, Path(path).stem)
+            yield from log_parser.read(text, Path(path).stem)
 
 
 def _render(
--- a/beryllug/scripts/operator_link.py
+++ b/beryllug/scripts/operator_link.py
@@ -30,7 +30,7 @@
 )
 
 
-class Ask(NamedTuple):
+class OperatorRequest(NamedTuple):
     """One request to the operators' interface.
 
     Attributes:
@@ -53,7 +53,7 @@
     body: dict[str, Any]
 
 
-async def call(target: cli_data.Target, request: Ask) -> Reply:
+async def call(target: cli_data.Target, request: OperatorRequest) -> Reply:
     """Send a request to the first reachable control process."""
     if not (target.addresses and target.key):
         return _failure_reply(
@@ -70,7 +70,9 @@
 
 
 async def _call_first_reachable(
-    client: http_client.HttpClient, target: cli_data.Target, request: Ask
+    client: http_client.HttpClient,
+    target: cli_data.Target,
+    request: OperatorRequest,
 ) -> Reply:
     reasons_tried = []
     for address in target.addresses:
@@ -91,7 +93,10 @@
 
 
 async def _send(
-    client: http_client.HttpClient, address: str, key: str, request: Ask
+    client: http_client.HttpClient,
+    address: str,
+    key: str,
+    request: OperatorRequest,
 ) -> Reply:
     query = urlencode(request.query)
     path = f'{request.path}?{query}' if query else request.path
@@ -106,7 +111,7 @@
         return _failure_reply(cli_data.Exit.FAILED, 'failed', text)
 
 
-def _uncertain_reply(request: Ask, exc: Exception) -> Reply:
+def _uncertain_reply(request: OperatorRequest, exc: Exception) -> Reply:
     """Return a reply for a change that may have taken effect."""
     apply_id = request.query.get('apply_id', '')
     failed = _failure_reply(
--- a/beryllug/soak/callers.py
+++ b/beryllug/soak/callers.py
@@ -6,7 +6,7 @@
 
 from beryllug.drivers import http_client, http_data
 from beryllug.platform import names
-from beryllug.soak import seen, site
+from beryllug.soak import observations, site
 from beryllug.standins import platform_site
 
 DEADLINE_S = 3.0
@@ -85,13 +85,13 @@
 
     def new_request(
         self, router: platform_site.Router, path: str, body: bytes
-    ) -> seen.Sent:
+    ) -> observations.Sent:
         """Return the next request, not yet sent."""
         self._count += 1
         attempt_id = f'{self._name}-{self._count:05}'
         self._deployment.seen.routers[attempt_id] = router.name
         is_revoked_key = self._rng.random() < REVOKED_KEY_FRACTION
-        return seen.Sent(
+        return observations.Sent(
             attempt_id=attempt_id,
             path=path,
             body=body,
@@ -102,8 +102,8 @@
         )
 
     async def send(
-        self, router: platform_site.Router, sent: seen.Sent, method: str
-    ) -> seen.Sent:
+        self, router: platform_site.Router, sent: observations.Sent, method: str
+    ) -> observations.Sent:
         """Send a request and return its result."""
         headers = platform_site.caller_headers(sent.path, sent.attempt_id) | {
             names.AUTHORIZATION: f'Bearer {sent.key}',
--- a/beryllug/soak/checks.py
+++ b/beryllug/soak/checks.py
@@ -11,8 +11,8 @@
 from http import HTTPStatus
 
 from beryllug.platform import names
-from beryllug.soak import callers, seen, site
-from beryllug.standins import platform_site, server_rules
+from beryllug.soak import callers, observations, site
+from beryllug.standins import platform_site, router_checks
 
 NON_IDEMPOTENT = ('/hold/', '/report/')
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
@@ -42,7 +42,7 @@
 EVENT = re.compile(rb'id: (\d+)\ndata: (\S+) (\d+)\n\n')
 
 
-def at_most_once(observed: seen.Observations) -> Iterator[str]:
+def at_most_once(observed: observations.Observations) -> Iterator[str]:
     """A hold or a non-resumable report runs at most once."""
     for sent in observed.sent:
         runs = observed.runs.get(sent.attempt_id, ())
@@ -51,7 +51,7 @@
             yield f'{sent.attempt_id} ran {len(runs)} times, on {where}'
 
 
-def not_run_is_true(observed: seen.Observations) -> Iterator[str]:
+def not_run_is_true(observed: observations.Observations) -> Iterator[str]:
     """A non-idempotent request reported as "not run" has not run."""
     for sent in observed.sent:
         is_non_idempotent = sent.path.startswith(NON_IDEMPOTENT)
@@ -63,7 +63,7 @@
             yield f'{sent.attempt_id} got {sent.status} but ran'
 
 
-def whole_own_answer(observed: seen.Observations) -> Iterator[str]:
+def whole_own_answer(observed: observations.Observations) -> Iterator[str]:
     """A success is a server's complete answer to this very request."""
     for sent in observed.sent:
         if sent.status != SUCCESS:
@@ -75,7 +75,7 @@
             yield f'{sent.attempt_id} is not whole: {sent.answer!r}'
 
 
-def own_headers(observed: seen.Observations) -> Iterator[str]:
+def own_headers(observed: observations.Observations) -> Iterator[str]:
     """A server gets the account of the key, and never the key."""
     for runs in observed.runs.values():
         for run in runs:
@@ -85,14 +85,14 @@
                 yield f'{run.attempt_id} came with its key'
 
 
-def not_denied(observed: seen.Observations) -> Iterator[str]:
+def not_denied(observed: observations.Observations) -> Iterator[str]:
     """A valid request with a valid key never gets a permanent error."""
     for sent in observed.sent:
         if sent.status in PERMANENT_ERRORS and sent.key == platform_site.KEY:
             yield f'{sent.attempt_id} got {sent.status} of {sent.router}'
 
 
-def revoked(observed: seen.Observations) -> Iterator[str]:
+def revoked(observed: observations.Observations) -> Iterator[str]:
     """A revoked key is refused within seconds."""
     if observed.revoked_at is None:
         return
@@ -110,7 +110,7 @@
             yield f'{sent.attempt_id} was answered on a revoked key'
 
 
-def drained(observed: seen.Observations) -> Iterator[str]:
+def drained(observed: observations.Observations) -> Iterator[str]:
     """A draining server soon gets no new requests."""
     routers = frozenset(sent.router for sent in observed.sent) | {STORE}
     for runs in observed.runs.values():
@@ -124,7 +124,7 @@
                 yield f'{run.attempt_id} came to {run.instance} as it drains'
 
 
-def evacuated(observed: seen.Observations) -> Iterator[str]:
+def evacuated(observed: observations.Observations) -> Iterator[str]:
     """An evacuated zone soon gets no new requests."""
     routers = frozenset(sent.router for sent in observed.sent) | {STORE}
     for closed in observed.closed:
@@ -138,7 +138,7 @@
                 yield f'{run.attempt_id} came to evacuated {run.instance}'
 
 
-def cold(observed: seen.Observations) -> Iterator[str]:
+def cold(observed: observations.Observations) -> Iterator[str]:
     """A server that has just started gets no more than it can serve."""
     maximum = site.COLD_PER_S * COLD_FACTOR + COLD_SLACK
     for instance, until in observed.cold_until.items():
@@ -154,7 +154,7 @@
                 break
 
 
-def limited(observed: seen.Observations) -> Iterator[str]:
+def limited(observed: observations.Observations) -> Iterator[str]:
     """All routers together stay within the limit of a server.
 
     Requests of a router that was restarted, frozen or cut off just before are
@@ -177,32 +177,32 @@
                 break
 
 
-def left_alone(observed: seen.Observations) -> Iterator[str]:
+def left_alone(observed: observations.Observations) -> Iterator[str]:
     """No router sends requests to a server that told it that it leaves.
 
     The only exceptions are restarts and freezes of that router.
     """
     for (instance, router), received in observed.arrivals.items():
         components = frozenset((freeze_of(router), restart_of(router)))
-        for violation in server_rules.after_leaving(received, APPLY_S):
+        for violation in router_checks.find_after_leaving(received, APPLY_S):
             if not observed.had_fault(
-                components, violation.said_at, violation.at
+                components, violation.announced_at, violation.at
             ):
                 yield f'{violation.attempt_id} came to {instance}, which left'
 
 
-def backed_off(observed: seen.Observations) -> Iterator[str]:
+def backed_off(observed: observations.Observations) -> Iterator[str]:
     """Routers respect the backoff of a server that refused a request."""
     for (instance, router), received in observed.arrivals.items():
         components = frozenset((router, restart_of(router)))
-        for violation in server_rules.during_backoff(received):
+        for violation in router_checks.find_during_backoff(received):
             if not observed.had_fault(
-                components, violation.said_at, violation.at
+                components, violation.announced_at, violation.at
             ):
                 yield f'{violation.attempt_id} came too soon to {instance}'
 
 
-def not_cut(observed: seen.Observations) -> Iterator[str]:
+def not_cut(observed: observations.Observations) -> Iterator[str]:
     """Only a fault of its router, or of any server, cuts a request.
 
     A planned stop and a reload cut nothing. A request that crosses the close of
@@ -222,7 +222,7 @@
             yield f'{sent.attempt_id} was cut by {sent.router}: {sent.failure}'
 
 
-def answered_in_time(observed: seen.Observations) -> Iterator[str]:
+def answered_in_time(observed: observations.Observations) -> Iterator[str]:
     """No request hangs, unless its router had a fault."""
     for sent in observed.sent:
         if sent.ended_at - sent.began_at < callers.HANG_S:
@@ -232,7 +232,7 @@
             yield f'{sent.attempt_id} hung at {sent.router}'
 
 
-def rolled_out(observed: seen.Observations) -> Iterator[str]:
+def rolled_out(observed: observations.Observations) -> Iterator[str]:
     """A bad version never completes, and gets no more than its share."""
     rollout_result = observed.rollout_result
     if rollout_result is None or not rollout_result.is_bad:
@@ -254,7 +254,7 @@
         yield f'a bad version got {tried} requests of {asked}'
 
 
-def rolled_out_good(observed: seen.Observations) -> Iterator[str]:
+def rolled_out_good(observed: observations.Observations) -> Iterator[str]:
     """A good version is not rolled back while nothing else fails."""
     rollout_result = observed.rollout_result
     if (
@@ -270,7 +270,7 @@
         yield 'a good version was rolled back'
 
 
-CHECKS: tuple[Callable[[seen.Observations], Iterator[str]], ...] = (
+CHECKS: tuple[Callable[[observations.Observations], Iterator[str]], ...] = (
     at_most_once,
     not_run_is_true,
     whole_own_answer,
@@ -290,7 +290,7 @@
 )
 
 
-def violations(observed: seen.Observations) -> list[str]:
+def violations(observed: observations.Observations) -> list[str]:
     """Return all violations, each with the name of its check."""
     return [
         f'{check.__name__}: {violation}'
@@ -310,13 +310,13 @@
 
 
 def _is_excused(
-    observed: seen.Observations, arrival: seen.LimitedArrival
+    observed: observations.Observations, arrival: observations.LimitedArrival
 ) -> bool:
     components = frozenset((arrival.router, restart_of(arrival.router)))
     return observed.had_fault(components, arrival.at - AFTERMATH_S, arrival.at)
 
 
-def _is_complete(sent: seen.Sent) -> bool:
+def _is_complete(sent: observations.Sent) -> bool:
     if sent.path.startswith(('/lookup', '/hold')):
         method = 'POST' if sent.body else 'GET'
         return sent.answer == f'{method} {sent.path}'.encode() + sent.body
--- a/beryllug/soak/inject.py
+++ b/beryllug/soak/inject.py
@@ -7,7 +7,7 @@
 from collections.abc import AsyncIterator
 
 from beryllug.platform import store
-from beryllug.soak import checks, plan, seen, site
+from beryllug.soak import checks, plan, observations, site
 from beryllug.standins import (
     platform_runner,
     platform_site,
@@ -29,8 +29,8 @@
 # Backoff in seconds that a refusing server asks for.
 BACKOFF_S = 2.0
 # Statements in the answers of servers.
-LIMIT_STATEMENT = platform_runner.Statement(limit_per_s=site.LIMIT_PER_S)
-BACKOFF_STATEMENT = platform_runner.Statement(retry_after_s=BACKOFF_S)
+LIMIT_STATEMENT = platform_runner.ServerStatus(limit_per_s=site.LIMIT_PER_S)
+BACKOFF_STATEMENT = platform_runner.ServerStatus(retry_after_s=BACKOFF_S)
 # A roll-out: its duration in seconds, its version, and the fraction of answers
 # of a bad version that are errors.
 ROLLOUT = 'rollout'
@@ -91,9 +91,9 @@
             case Kind.FREEZE:
                 freeze = checks.freeze_of(router.name)
                 async with self._record_fault(router.name, freeze):
-                    running.freeze(router.name)
+                    running.pause(router.name)
                     await asyncio.sleep(fault.for_s)
-                    running.thaw(router.name)
+                    running.resume(router.name)
             case Kind.STOP:
                 await running.terminate(router.name)
                 await self._restart(router)
@@ -105,7 +105,7 @@
     async def _restart(self, router: platform_site.Router) -> None:
         async with self._record_fault(checks.restart_of(router.name)):
             await asyncio.sleep(RESTART_S)
-            await self._deployment.site.respawn(
+            await self._deployment.site.restart_router(
                 self._deployment.running, router
             )
             await asyncio.sleep(RESTART_S)
@@ -130,7 +130,7 @@
         async with self._record_fault(checks.STORE):
             match fault.kind:
                 case Kind.STORE_FORGETS:
-                    self._deployment.site.store_party.compact()
+                    self._deployment.site.store_behaviour.compact()
                 case Kind.STORE_RETURNS:
                     await _restore_store(self._deployment)
                 case Kind.STORE_DOWN:
@@ -169,10 +169,10 @@
             'target': VERSION,
             'duration_s': ROLLOUT_S,
         }
-        deployment.site.store_party.put(store.ROLLOUTS, service, order)
+        deployment.site.store_behaviour.put(store.ROLLOUTS, service, order)
         await asyncio.sleep(ROLLOUT_S)
-        status = deployment.site.store_party.status(store.ROLLOUTS, service)
-        deployment.seen.rollout_result = seen.RolloutResult(
+        status = deployment.site.store_behaviour.status(store.ROLLOUTS, service)
+        deployment.seen.rollout_result = observations.RolloutResult(
             is_bad,
             began_at,
             time.monotonic(),
@@ -220,10 +220,12 @@
         """Let a server announce that it leaves; its entry may be ready."""
         deployment = self._deployment
         runner = deployment.site.runners[instance]
-        runner.states = runner.states._replace(is_leaving=True)
+        runner.reported_status = runner.reported_status._replace(
+            is_leaving=True
+        )
         deployment.present[number] = await deployment.add_server(number)
         await asyncio.sleep(checks.APPLY_S + EXTRA_RUN_S)
-        deployment.site.store_party.drop(store.SERVERS, instance)
+        deployment.site.store_behaviour.remove(store.SERVERS, instance)
         await asyncio.sleep(EXTRA_RUN_S)
         # Requests that still run there are past their deadlines.
         async with self._record_fault(checks.SERVERS):
@@ -233,13 +235,13 @@
         self,
         instance: str,
         seconds: float,
-        states: platform_runner.Statement,
+        states: platform_runner.ServerStatus,
     ) -> None:
         """Let a server's answers state something for some seconds."""
         runner = self._deployment.site.runners[instance]
-        runner.states = states
+        runner.reported_status = states
         await asyncio.sleep(seconds)
-        runner.states = platform_runner.Statement()
+        runner.reported_status = platform_runner.ServerStatus()
 
     async def _replace_by_cold(self, number: int, instance: str) -> None:
         """Crash a server and replace it at once by a cold one."""
@@ -247,7 +249,7 @@
         async with self._record_fault(checks.SERVERS):
             deployment.put_faults(instance, refuse=True)
             deployment.server_proxies[instance].reset()
-            deployment.site.store_party.drop(store.SERVERS, instance)
+            deployment.site.store_behaviour.remove(store.SERVERS, instance)
             deployment.present[number] = await deployment.add_server(
                 number, cold_s=site.COLD_S
             )
@@ -261,11 +263,13 @@
             return
         self._busy.add(zone)
         began_at = time.monotonic()
-        deployment.site.store_party.put(store.EVACUATIONS, zone, {})
+        deployment.site.store_behaviour.put(store.EVACUATIONS, zone, {})
         await asyncio.sleep(checks.APPLY_S + fault.for_s)
         ended_at = time.monotonic()
-        deployment.site.store_party.drop(store.EVACUATIONS, zone)
-        deployment.seen.closed.append(seen.Evacuation(zone, began_at, ended_at))
+        deployment.site.store_behaviour.remove(store.EVACUATIONS, zone)
+        deployment.seen.closed.append(
+            observations.Evacuation(zone, began_at, ended_at)
+        )
         self._busy.discard(zone)
 
     async def _break_server(self, fault: plan.Fault, instance: str) -> None:
@@ -300,13 +304,13 @@
 
 async def _restore_store(deployment: site.SoakSite) -> None:
     """Restore the store from a copy, and rewrite newer data later."""
-    party = deployment.site.store_party
-    copy = party.copy()
+    party = deployment.site.store_behaviour
+    copy = party.take_snapshot()
     await asyncio.sleep(COPY_AGE_S)
     deployment.put_store_faults(refuse=True)
     await asyncio.sleep(RESTART_S)
-    written = party.copy()
-    party.return_from(copy)
+    written = party.take_snapshot()
+    party.restore(copy)
     deployment.put_store_faults()
     await asyncio.sleep(REWRITE_DELAY_S)
     _rewrite(party, written, copy.revision)
@@ -314,7 +318,7 @@
 
 def _rewrite(
     party: platform_store.PlatformStore,
-    before: platform_store.Copy,
+    before: platform_store.Snapshot,
     restored_revision: int,
 ) -> None:
     """Rewrite what operator and servers had written before a restore.
@@ -326,7 +330,7 @@
         before: Its content before the restore.
         restored_revision: Revision that was restored.
     """
-    present = party.copy().stored
+    present = party.take_snapshot().stored
     since = {
         (each.kind, each.name)
         for each in party.history
@@ -336,6 +340,6 @@
         shown = before.stored.get(key)
         known = present.get(key, {})
         if shown is None:
-            party.drop(*key)
+            party.remove(*key)
         elif known.get('spec') != shown['spec']:
             party.put(*key, shown['spec'], known.get('status'))
--- a/beryllug/soak/seen.py
+++ b/beryllug/soak/observations.py
@@ -128,8 +128,8 @@
     cold_until: dict[str, float] = field(default_factory=dict)
     routers: dict[str, str] = field(default_factory=dict)
     limited: dict[str, list[LimitedArrival]] = field(default_factory=dict)
-    arrivals: dict[tuple[str, str], list[platform_runner.Arrival]] = field(
-        default_factory=dict
+    arrivals: dict[tuple[str, str], list[platform_runner.ReceivedRequest]] = (
+        field(default_factory=dict)
     )
 
     def had_fault(
--- a/beryllug/soak/site.py
+++ b/beryllug/soak/site.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from beryllug.soak import plan, proxy, seen
+from beryllug.soak import plan, proxy, observations
 from beryllug.standins import platform_site, processes
 
 # Make streams last long enough to be hit by a fault; no time bound depends on
@@ -44,7 +44,7 @@
         self.store_proxies: list[proxy.Proxy] = []
         self.server_proxies: dict[str, proxy.Proxy] = {}
         self.present: list[str] = []
-        self.seen = seen.Observations()
+        self.seen = observations.Observations()
         self.version = 1
         self._count = 0
 
@@ -109,7 +109,7 @@
             **options,
         )
         server_proxy = proxy.Proxy(self.site.stand_ins[instance].address)
-        self.site.shown_addresses[instance] = await server_proxy.start(
+        self.site.listed_addresses[instance] = await server_proxy.start(
             '127.0.0.1'
         )
         self.server_proxies[instance] = server_proxy
@@ -135,7 +135,7 @@
     ) -> None:
         """Record the period of a fault that has ended."""
         self.seen.fault_periods.extend(
-            seen.FaultPeriod(component, began_at, ended_at)
+            observations.FaultPeriod(component, began_at, ended_at)
             for component in components
         )
 
@@ -143,20 +143,20 @@
         """Collect the requests that reached or ran at the servers."""
         for instance, runner in self.site.runners.items():
             for run in runner.runs:
-                ran = seen.Run(
+                ran = observations.Run(
                     run.attempt_id, instance, run.at, run.account, run.headers
                 )
                 self.seen.runs.setdefault(run.attempt_id, []).append(ran)
-            for arrival in runner.arrivals:
+            for arrival in runner.received_requests:
                 router = self.seen.routers[arrival.attempt_id]
                 key = (instance, router)
                 self.seen.arrivals.setdefault(key, []).append(arrival)
             self.seen.limited[instance] = [
-                seen.LimitedArrival(
+                observations.LimitedArrival(
                     each.at,
                     self.seen.routers[each.attempt_id],
                     each.answered.limit_per_s,
                 )
-                for each in runner.arrivals
+                for each in runner.received_requests
                 if each.answered.limit_per_s is not None
             ]
--- a/beryllug/standins/engine.py
+++ b/beryllug/standins/engine.py
@@ -13,13 +13,13 @@
 
 from beryllug.drivers import http_data
 from beryllug.standins import (
-    engine_answers,
+    engine_responses,
     engine_cache,
     engine_models,
     engine_runs,
     engine_worker,
     faults,
-    party,
+    http_stand_in,
 )
 
 EVENTS_TYPE = 'text/event-stream'
@@ -27,7 +27,7 @@
 REQUESTS = '/v1/requests/'
 
 
-class EngineParty:
+class EngineBehaviour:
     """Behaviour of a model engine."""
 
     def __init__(
@@ -80,7 +80,7 @@
         self, req: http_data.Request, response: faults.Response
     ) -> None:
         try:
-            chat = engine_answers.parse(req, self._cfg.tokens)
+            chat = engine_responses.parse(req, self._cfg.tokens)
         except (ValueError, AttributeError):
             await response.refuse(HTTPStatus.BAD_REQUEST, 'bad_request')
             return
@@ -180,11 +180,11 @@
         self, req: http_data.Request, response: faults.Response
     ) -> None:
         try:
-            chat = engine_answers.parse(req, self._cfg.tokens)
+            chat = engine_responses.parse(req, self._cfg.tokens)
         except (ValueError, AttributeError):
             await response.refuse(HTTPStatus.BAD_REQUEST, 'bad_request')
             return
-        blocks = engine_answers.blocks(chat.model, chat.prompt)
+        blocks = engine_responses.blocks(chat.model, chat.prompt)
         exported = engine_cache.encode_blocks(
             self.worker.cache.cached_prefix(blocks)
         )
@@ -202,11 +202,13 @@
         await response.respond_json(HTTPStatus.OK, {'blocks': len(blocks)})
 
 
-def stand_in(cfg: engine_worker.EngineCfg | None = None) -> party.StandIn:
+def stand_in(
+    cfg: engine_worker.EngineCfg | None = None,
+) -> http_stand_in.StandIn:
     """Create a model engine stand-in; `start` opens its sockets."""
     injector = faults.FaultInjector()
-    behaviour = EngineParty(cfg or engine_worker.EngineCfg(), injector)
-    server = party.StandIn(behaviour, injector)
+    behaviour = EngineBehaviour(cfg or engine_worker.EngineCfg(), injector)
+    server = http_stand_in.StandIn(behaviour, injector)
     behaviour.worker.on_poison = server.crash
     return server
 
--- a/beryllug/standins/engine_runs.py
+++ b/beryllug/standins/engine_runs.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from beryllug.standins import engine_answers, wake
+from beryllug.standins import engine_responses, notifier
 
 
 class RunState(StrEnum):
@@ -59,7 +59,7 @@
 class Run:
     """One run and its growing response, for any number of readers."""
 
-    def __init__(self, chat: engine_answers.ChatRequest) -> None:
+    def __init__(self, chat: engine_responses.ChatRequest) -> None:
         """Create a queued run."""
         self.chat = chat
         self.record = RunRecord(
@@ -67,13 +67,13 @@
             account_id=chat.account_id,
             model=chat.model,
             version=chat.version,
-            prompt_hash=engine_answers.digest(chat.prompt),
+            prompt_hash=engine_responses.digest(chat.prompt),
             priority=chat.priority,
             state=RunState.QUEUED,
             received_at=time.time(),
         )
         self._body = bytearray()
-        self._changed = wake.Notifier()
+        self._changed = notifier.Notifier()
 
     @property
     def is_open(self) -> bool:
--- a/beryllug/standins/engine_test.py
+++ b/beryllug/standins/engine_test.py
@@ -15,7 +15,7 @@
     http_data,
 )
 from beryllug.standins import engine as standin
-from beryllug.standins import engine_answers, engine_runs, engine_worker
+from beryllug.standins import engine_responses, engine_runs, engine_worker
 
 TIMEOUT_S = 5.0
 PROMPT = 'when is the oil bath open? '
@@ -23,12 +23,14 @@
 V2 = config_data.VersionRef('small', 'v2')
 
 
-def _ask(name: str, prompt: str = PROMPT, **more: Any) -> engine_data.ChatAsk:
+def _ask(
+    name: str, prompt: str = PROMPT, **more: Any
+) -> engine_data.ChatRequest:
     priority = more.pop('priority', 0)
     version = more.pop('version', V1)
     messages = [{'role': 'user', 'content': prompt}]
     body = {'model': 'any', 'messages': messages, **more}
-    return engine_data.ChatAsk(
+    return engine_data.ChatRequest(
         name, 'acme', version, json.dumps(body).encode(), priority
     )
 
@@ -55,7 +57,7 @@
         return exc
 
 
-async def _read_until_broken(incoming: http_client.Incoming) -> bytes:
+async def _read_until_broken(incoming: http_client.IncomingResponse) -> bytes:
     received = [await incoming.next_chunk()]
     try:
         while received[-1]:
@@ -82,7 +84,7 @@
         incoming = await self.api.chat(self.address, _ask('r1'))
         body = await self._read(incoming)
         text = json.loads(body)['choices'][0]['message']['content']
-        self.assertTrue(engine_answers.is_complete(text, 'r1', PROMPT))
+        self.assertTrue(engine_responses.is_complete(text, 'r1', PROMPT))
         usage = engine_stream.usage_of(body)
         self.assertEqual(usage, engine_data.Usage(6, 24))
 
@@ -90,12 +92,14 @@
         """A stream yields the same text and ends with usage and DONE."""
         incoming = await self.api.chat(self.address, _ask('r1', stream=True))
         events = await self._read(incoming)
-        self.assertTrue(engine_answers.is_complete(_text(events), 'r1', PROMPT))
+        self.assertTrue(
+            engine_responses.is_complete(_text(events), 'r1', PROMPT)
+        )
         tail = engine_stream.StreamTail()
         for start in range(0, len(events), 7):
-            self.assertFalse(tail.is_whole())
+            self.assertFalse(tail.reached_end())
             tail.feed(events[start : start + 7])
-        self.assertTrue(tail.is_whole())
+        self.assertTrue(tail.reached_end())
         self.assertEqual(tail.usage(), engine_data.Usage(6, 24))
 
     async def test_resume(self: Any) -> None:
@@ -107,7 +111,7 @@
         resumed = await self.api.resume(self.address, 'r1', len(first))
         rest = await self._read(resumed)
         text = _text(first + rest)
-        self.assertTrue(engine_answers.is_complete(text, 'r1', PROMPT))
+        self.assertTrue(engine_responses.is_complete(text, 'r1', PROMPT))
         again = await self.api.resume(self.address, 'r1', 0)
         self.assertEqual(await self._read(again), first + rest)
         self.assertIsNone(await self.api.resume(self.address, 'other', 0))
@@ -185,7 +189,7 @@
 
     async def test_cache(self: Any) -> None:
         """Prompts with a common prefix share its blocks and cache events."""
-        shared = 'x' * engine_answers.BLOCK_CHARS
+        shared = 'x' * engine_responses.BLOCK_CHARS
         ask = _ask('r1', f'{shared}a')
         await self._read(await self.api.chat(self.address, ask))
         read = await self.api.cache_events(self.address, 0)
@@ -195,7 +199,7 @@
         again = await self.api.cache_events(self.address, read.latest)
         self.assertEqual(again.events, ())
 
-    async def _read(self, incoming: http_client.Incoming) -> bytes:
+    async def _read(self, incoming: http_client.IncomingResponse) -> bytes:
         try:
             return await incoming.read()
         finally:
@@ -300,7 +304,7 @@
     async def test_lag(self) -> None:
         """Load reports and cache events lag and can have gaps."""
         self.standin.put_faults(lag_s=60.0)
-        prompt = 'x' * engine_answers.BLOCK_CHARS
+        prompt = 'x' * engine_responses.BLOCK_CHARS
         incoming = await self.api.chat(self.address, _ask('r', prompt))
         report = await self.api.load(self.address)
         self.assertEqual(report.running, 0)
@@ -326,7 +330,7 @@
                 )
                 assert resumed is not None
                 text = _text(received + await self._read(resumed))
-                whole = engine_answers.is_complete(text, name, PROMPT)
+                whole = engine_responses.is_complete(text, name, PROMPT)
                 self.assertTrue(whole)
 
     async def _restart(self, cfg: engine_worker.EngineCfg) -> None:
@@ -335,8 +339,8 @@
         self.address = await self.standin.start()
 
     def _states(self) -> dict[str, engine_runs.RunState]:
-        behaviour = self.standin.party
-        assert isinstance(behaviour, standin.EngineParty)
+        behaviour = self.standin.service_behaviour
+        assert isinstance(behaviour, standin.EngineBehaviour)
         records = behaviour.worker.records
         return {record.request_id: record.state for record in records}
 
--- a/beryllug/standins/engine_worker.py
+++ b/beryllug/standins/engine_worker.py
@@ -7,13 +7,13 @@
 from typing import Any, NamedTuple
 
 from beryllug.standins import (
-    engine_answers,
+    engine_responses,
     engine_batch,
     engine_cache,
     engine_models,
     engine_runs,
     faults,
-    lagged,
+    delayed_value,
 )
 
 
@@ -69,8 +69,8 @@
         )
         self._all_runs: list[engine_runs.Run] = []
         self._tasks: dict[engine_runs.Run, asyncio.Task[None]] = {}
-        self._load_history: lagged.DelayedValue[dict[str, Any]] = (
-            lagged.DelayedValue(
+        self._load_history: delayed_value.DelayedValue[dict[str, Any]] = (
+            delayed_value.DelayedValue(
                 {'running': 0, 'queued': 0, **self.models.snapshot()}
             )
         )
@@ -114,7 +114,7 @@
         if task is not None:
             task.cancel()
 
-    def begin(self, chat: engine_answers.ChatRequest) -> engine_runs.Run:
+    def begin(self, chat: engine_responses.ChatRequest) -> engine_runs.Run:
         """Start a run, which waits for a batch slot."""
         self._evict_expired()
         run = engine_runs.Run(chat)
@@ -151,14 +151,15 @@
         ):
             run.end(engine_runs.RunState.FAILED)
             return
-        tokens = engine_answers.response_tokens(chat, self._quality(chat))
+        tokens = engine_responses.response_tokens(chat, self._quality(chat))
         if chat.stream:
             await self._stream_events(run, tokens)
         else:
             await self._simulate_delay(self._cfg.token_s * len(tokens))
             text = ' '.join(tokens)
             run.append_output(
-                engine_answers.completion(chat, text, len(tokens)), len(tokens)
+                engine_responses.completion(chat, text, len(tokens)),
+                len(tokens),
             )
         run.end(engine_runs.RunState.FINISHED)
 
@@ -171,27 +172,33 @@
             await self._simulate_delay(self._cfg.token_s * len(chunk))
             separator = ' ' if start else ''
             text = separator + ' '.join(chunk)
-            run.append_output(engine_answers.event(run.chat, text), len(chunk))
-        run.append_output(engine_answers.final_events(run.chat, len(tokens)), 0)
+            run.append_output(
+                engine_responses.event(run.chat, text), len(chunk)
+            )
+        run.append_output(
+            engine_responses.final_events(run.chat, len(tokens)), 0
+        )
 
     async def _simulate_delay(self, duration_s: float) -> None:
         if duration_s:
             await asyncio.sleep(duration_s * self._injector.active.slow_factor)
 
-    def _time_to_first_token_s(self, chat: engine_answers.ChatRequest) -> float:
-        blocks = engine_answers.blocks(chat.model, chat.prompt)
+    def _time_to_first_token_s(
+        self, chat: engine_responses.ChatRequest
+    ) -> float:
+        blocks = engine_responses.blocks(chat.model, chat.prompt)
         hits = self.cache.get_or_store(blocks)
-        cached = chat.prompt[: hits * engine_answers.BLOCK_CHARS]
-        uncached = engine_answers.count_tokens(chat.prompt)
-        uncached -= engine_answers.count_tokens(cached)
+        cached = chat.prompt[: hits * engine_responses.BLOCK_CHARS]
+        uncached = engine_responses.count_tokens(chat.prompt)
+        uncached -= engine_responses.count_tokens(cached)
         return self._cfg.first_s + uncached * self._cfg.prefill_s
 
-    def _quality(self, chat: engine_answers.ChatRequest) -> float:
+    def _quality(self, chat: engine_responses.ChatRequest) -> float:
         base = self._cfg.quality.get(chat.version, 1.0)
         quality_offset = self._injector.active.version_quality.get(
             chat.version, 0
         )
-        difficulty_level = engine_answers.difficulty(chat.prompt)
+        difficulty_level = engine_responses.difficulty(chat.prompt)
         quality = (
             base + quality_offset - difficulty_level * self._cfg.quality_spread
         )
--- a/beryllug/standins/fleet_settings.py
+++ b/beryllug/standins/fleet_settings.py
@@ -26,7 +26,7 @@
     control_operators: str
 
 
-class Sites(NamedTuple):
+class DeploymentAddresses(NamedTuple):
     """Values in the settings files of a deployment."""
 
     hosts: tuple[HostPorts, ...]
@@ -49,7 +49,7 @@
     return f'control-{index}'
 
 
-def operators_of(name: str, hosts: Sequence[HostPorts]) -> str:
+def operator_address(name: str, hosts: Sequence[HostPorts]) -> str:
     """Return the operator address of a process."""
     role, index = _parse(name)
     ports = hosts[index]
@@ -57,7 +57,7 @@
     return ports.control_operators if is_control else ports.entry_operators
 
 
-def render(name: str, sites: Sites) -> str:
+def render(name: str, sites: DeploymentAddresses) -> str:
     """Render the settings file of a process."""
     role, index = _parse(name)
     section = _entry(index, sites)
@@ -70,7 +70,7 @@
         f'host = host-{index}',
         f'zone = {sites.zones[index % len(sites.zones)]}',
         '[operators]',
-        f'listen = {operators_of(name, sites.hosts)}',
+        f'listen = {operator_address(name, sites.hosts)}',
         f'keys = {OPERATOR_KEY}',
         '[fleet]',
         f'keys = {FLEET_KEY}',
@@ -125,7 +125,7 @@
     return role, int(index)
 
 
-def _entry(index: int, sites: Sites) -> list[str]:
+def _entry(index: int, sites: DeploymentAddresses) -> list[str]:
     ordered = sites.hosts[index:] + sites.hosts[:index]
     controls = ', '.join(ports.control for ports in ordered)
     return [
@@ -136,7 +136,7 @@
     ]
 
 
-def _control(index: int, sites: Sites) -> list[str]:
+def _control(index: int, sites: DeploymentAddresses) -> list[str]:
     others = sites.hosts[index + 1 :] + sites.hosts[:index]
     peers = ', '.join(ports.control for ports in others)
     return [
--- a/beryllug/standins/harness.py
+++ b/beryllug/standins/harness.py
@@ -24,7 +24,7 @@
     fleet_settings,
     host_list,
     object_api as platform,
-    party,
+    http_stand_in,
     plain_service,
     processes,
     rating,
@@ -99,7 +99,7 @@
         self.host_list = host_list.stand_in()
         self.rating = rating.stand_in()
         self.weights = weight_store.stand_in()
-        self.servers: dict[str, party.StandIn] = {}
+        self.servers: dict[str, http_stand_in.StandIn] = {}
         self.hosts: list[fleet_settings.HostPorts] = []
         self.client = http_client.HttpClient()
         self.revision = 0
@@ -154,7 +154,7 @@
 
     def list_hosts(self, leaving: tuple[str, ...] = ()) -> None:
         """Publish the backend servers in the host list."""
-        behaviour = self.host_list.party
+        behaviour = self.host_list.service_behaviour
         assert isinstance(behaviour, host_list.HostListBehaviour)
         behaviour.put(
             tuple(
@@ -177,14 +177,14 @@
             self.client, self.platform.address, PLATFORM_S
         )
         store = config_store.ConfigStore(api)
-        req = config_store.Apply(
+        req = config_store.ApplyRequest(
             document, self.revision, 'harness', f'apply-{self.revision}'
         )
         outcome = await store.apply(req, time.time())
         self.revision = outcome.unwrap()
         return self.revision
 
-    async def in_force(self, name: str) -> None:
+    async def wait_for_revision(self, name: str) -> None:
         """Wait until an entry process has the last applied revision."""
 
         async def is_current() -> bool:  # noqa: WPS430
@@ -200,7 +200,7 @@
         Raises:
             TimeoutError: The process returned no dump.
         """
-        status, body = await self.get(self.operators_of(name), '/dump')
+        status, body = await self.get(self.operator_address(name), '/dump')
         if status != OK:
             raise TimeoutError(f'{name} returned no dump: HTTP status {status}')
         state: dict[str, Any] = json.loads(body)
@@ -225,12 +225,12 @@
 
     async def is_ready(self, name: str) -> bool:
         """Return whether a process passes its readiness check."""
-        status, _ = await self.get(self.operators_of(name), '/readyz')
+        status, _ = await self.get(self.operator_address(name), '/readyz')
         return status == OK
 
-    def operators_of(self, name: str) -> str:
+    def operator_address(self, name: str) -> str:
         """Return the operator address of a process."""
-        return fleet_settings.operators_of(name, self.hosts)
+        return fleet_settings.operator_address(name, self.hosts)
 
     async def restart(self, name: str) -> None:
         """Start a process again and wait until it is ready."""
@@ -255,8 +255,8 @@
             return 0, b''
         return incoming.status, body
 
-    def _addresses(self) -> fleet_settings.Sites:
-        return fleet_settings.Sites(
+    def _addresses(self) -> fleet_settings.DeploymentAddresses:
+        return fleet_settings.DeploymentAddresses(
             hosts=tuple(self.hosts),
             zones=self.plan.zones,
             platform=self.platform.address,
@@ -281,7 +281,7 @@
             await asyncio.sleep(POLL_S)
 
 
-def _stand_in(server: ServerPlan) -> party.StandIn:
+def _stand_in(server: ServerPlan) -> http_stand_in.StandIn:
     if server.engine is None:
         return plain_service.stand_in()
     return engine.stand_in(server.engine)
--- a/beryllug/standins/host_list.py
+++ b/beryllug/standins/host_list.py
@@ -12,7 +12,7 @@
 
 from beryllug.core import view_data
 from beryllug.drivers import host_list, http_data
-from beryllug.standins import faults, lagged, party
+from beryllug.standins import faults, delayed_value, http_stand_in
 
 Hosts = tuple[view_data.BackendServer, ...]
 
@@ -32,7 +32,9 @@
         """Create a list with the configured hosts."""
         initial = tuple(_parse(line) for line in cfg.hosts)
         self.reads = 0
-        self._hosts: lagged.DelayedValue[Hosts] = lagged.DelayedValue(initial)
+        self._hosts: delayed_value.DelayedValue[Hosts] = (
+            delayed_value.DelayedValue(initial)
+        )
         self._injector = injector
 
     def put(self, hosts: Hosts) -> None:
@@ -86,11 +88,11 @@
         await response.respond_json(HTTPStatus.OK, _lines(hosts))
 
 
-def stand_in(cfg: HostListCfg | None = None) -> party.StandIn:
+def stand_in(cfg: HostListCfg | None = None) -> http_stand_in.StandIn:
     """Create a host list stand-in; `start` opens its sockets."""
     injector = faults.FaultInjector()
     behaviour = HostListBehaviour(cfg or HostListCfg(), injector)
-    return party.StandIn(behaviour, injector)
+    return http_stand_in.StandIn(behaviour, injector)
 
 
 def _lines(hosts: Hosts) -> list[dict[str, str]]:
--- a/beryllug/standins/party.py
+++ b/beryllug/standins/http_stand_in.py
@@ -42,7 +42,7 @@
         self, party: Behaviour, injector: faults.FaultInjector
     ) -> None:
         """Store the behaviour and its faults; `start` opens the sockets."""
-        self.party = party
+        self.service_behaviour = party
         self.injector = injector
         self.address = ''
         self.control_address = ''
@@ -80,7 +80,7 @@
         replaced.
         """
         self.crashes += 1
-        self.party.crash()
+        self.service_behaviour.crash()
         self._spawn(self._crash_and_restart())
 
     async def settle(self) -> None:
@@ -137,7 +137,9 @@
         if await faults.inject_before_execution(
             exchange, injected, self.injector
         ):
-            await self.party.handle(req, faults.Response(exchange, injected))
+            await self.service_behaviour.handle(
+                req, faults.Response(exchange, injected)
+            )
 
     async def _handle_control(
         self, req: http_data.Request, exchange: http_server.Exchange
@@ -149,7 +151,9 @@
             case 'PUT', '/faults':
                 await self._put_faults(req, exchange)
             case 'GET', '/record':
-                await exchange.respond_json(HTTPStatus.OK, self.party.record())
+                await exchange.respond_json(
+                    HTTPStatus.OK, self.service_behaviour.record()
+                )
             case _:
                 not_found = faults.error('not_found', req.target, 'not_run')
                 await exchange.respond_json(HTTPStatus.NOT_FOUND, not_found)
--- a/beryllug/standins/invariants.py
+++ b/beryllug/standins/invariants.py
@@ -5,8 +5,14 @@
 from typing import NamedTuple
 
 from beryllug.core import config_data, journal_data
-from beryllug.parsing import chat_answer
-from beryllug.standins import caller, engine_answers, harness, records, traffic
+from beryllug.parsing import chat_response
+from beryllug.standins import (
+    caller,
+    engine_responses,
+    harness,
+    records,
+    traffic,
+)
 
 OK = 200
 CREATED = 201
@@ -52,7 +58,7 @@
     Returns:
         Counts and violations.
     """
-    bills = records.bills(fleet)
+    bills = records.outcome_rows(fleet)
     violations = [
         *_billed_once(bills),
         *_answers_are_billed(sent, bills),
@@ -94,15 +100,15 @@
             yield f'{request_id} was answered but has no bill: {states}'
 
 
-def is_own(reply: caller.Reply, prompt: str) -> bool:
+def is_complete_response(reply: caller.Reply, prompt: str) -> bool:
     """Return whether a text response is complete and answers this prompt.
 
     A cascade stage runs under the request id followed by the stage number.
     """
     request_id = reply.headers[REQUEST_ID]
-    text = chat_answer.text_of(reply.body)
+    text = chat_response.extract_text(reply.body)
     return any(
-        engine_answers.is_complete(text, run_id, prompt)
+        engine_responses.is_complete(text, run_id, prompt)
         for run_id in (request_id, f'{request_id}.0')
     )
 
@@ -111,7 +117,7 @@
     """Check that each response has its request's id and a valid hash."""
     for item in sent:
         is_text = _is_answer(item) and item.kind not in {'lookup', 'hold'}
-        if is_text and not is_own(item.reply, item.prompt):
+        if is_text and not is_complete_response(item.reply, item.prompt):
             request_id = item.reply.headers[REQUEST_ID]
             yield f'{request_id} got an answer that is not its own or not whole'
 
@@ -144,7 +150,7 @@
         if count > 1:
             yield f'the hold under {key} ran {count} times'
     reports = {
-        engine_answers.digest(item.prompt)
+        engine_responses.digest(item.prompt)
         for item in sent
         if item.kind == 'report'
     }
--- a/beryllug/standins/object_api.py
+++ b/beryllug/standins/object_api.py
@@ -12,7 +12,13 @@
 from urllib import parse as url_parse
 
 from beryllug.drivers import http_data, object_data
-from beryllug.standins import faults, object_store, party, rate, wake
+from beryllug.standins import (
+    faults,
+    object_store,
+    http_stand_in,
+    rate,
+    notifier,
+)
 
 ROOT = '/v1/objects'
 MAX_INLINE_BYTES = 65536
@@ -40,7 +46,7 @@
         self._replica = self.store
         self._reads = rate.Bucket(cfg.reads_per_s, now)
         self._writes = rate.Bucket(cfg.writes_per_s, now)
-        self._changed = wake.Notifier()
+        self._changed = notifier.Notifier()
         injector.add_listener(self._apply_faults)
 
     async def handle(
@@ -191,11 +197,11 @@
                 return batch
 
 
-def stand_in(cfg: ObjectApiCfg | None = None) -> party.StandIn:
+def stand_in(cfg: ObjectApiCfg | None = None) -> http_stand_in.StandIn:
     """Create an object API stand-in; `start` opens its sockets."""
     injector = faults.FaultInjector()
     behaviour = ObjectApiBehaviour(cfg or ObjectApiCfg(), injector)
-    return party.StandIn(behaviour, injector)
+    return http_stand_in.StandIn(behaviour, injector)
 
 
 def _kind(method: str, path: str) -> str:
--- a/beryllug/standins/parties_test.py
+++ b/beryllug/standins/parties_test.py
@@ -14,7 +14,7 @@
     weight_store,
 )
 from beryllug.standins import host_list as host_list_standin
-from beryllug.standins import party
+from beryllug.standins import http_stand_in
 from beryllug.standins import plain_service as plain_standin
 from beryllug.standins import rating as rating_standin
 from beryllug.standins import weight_store as weight_standin
@@ -46,14 +46,14 @@
         self.client = http_client.HttpClient()
         self.addAsyncCleanup(self.client.close)
 
-    async def start_stand_in(self, standin: party.StandIn) -> str:
+    async def start_stand_in(self, standin: http_stand_in.StandIn) -> str:
         """Start a stand-in and stop it at the end of the test."""
         address = await standin.start()
         self.addAsyncCleanup(standin.stop)
         return address
 
     async def put_faults_by_http(
-        self, standin: party.StandIn, fault_settings: dict[str, Any]
+        self, standin: http_stand_in.StandIn, fault_settings: dict[str, Any]
     ) -> None:
         """Replace the injected faults through the control address."""
         body = json.dumps(fault_settings).encode()
@@ -84,7 +84,7 @@
 
     async def test_lag(self) -> None:
         """A change of state becomes visible only after the lag."""
-        behaviour = self.standin.party
+        behaviour = self.standin.service_behaviour
         assert isinstance(behaviour, host_list_standin.HostListBehaviour)
         leaving = view_data.ServerState.LEAVING
         for lag_s, expected in ((0.0, leaving), (60.0, None)):
@@ -128,7 +128,7 @@
 
     async def test_any_path(self) -> None:
         """Any other call returns the recorded run."""
-        ask = plain_service.PlainAsk('r1', 'acme', 'GET', '/desk/7?x=1')
+        ask = plain_service.PlainRequest('r1', 'acme', 'GET', '/desk/7?x=1')
         incoming = await self.api.call(self.address, ask)
         shown = await incoming.read_json()
         incoming.close()
@@ -169,7 +169,7 @@
 
     async def _hold(self, slot: str) -> tuple[int, Any]:
         body = http_data.to_json({'slot': slot})
-        ask = plain_service.PlainAsk(
+        ask = plain_service.PlainRequest(
             'r1', 'acme', 'POST', '/holds', body, idempotency_key='k1'
         )
         incoming = await self.api.call(self.address, ask)
@@ -179,7 +179,7 @@
             incoming.close()
 
     def _behaviour(self) -> plain_standin.PlainServiceBehaviour:
-        behaviour = self.standin.party
+        behaviour = self.standin.service_behaviour
         assert isinstance(behaviour, plain_standin.PlainServiceBehaviour)
         return behaviour
 
@@ -192,7 +192,9 @@
         await super().asyncSetUp()
         self.standin = rating_standin.stand_in()
         self.address = await self.start_stand_in(self.standin)
-        self.api: rating.Rater = rating.HttpRater(self.client, self.address)
+        self.api: rating.RatingService = rating.HttpRater(
+            self.client, self.address
+        )
 
     async def test_rating(self) -> None:
         """The rating is the quality in the text plus the bias, clamped."""
@@ -205,13 +207,13 @@
         for text, bias, expected in cases:
             with self.subTest(text, bias=bias):
                 self.standin.put_faults(bias=bias)
-                ask = rating.RatingAsk('r1', VERSION, text)
+                ask = rating.RatingRequest('r1', VERSION, text)
                 found = await self.api.rate(ask, TIMEOUT_S)
                 self.assertAlmostEqual(found, expected)
 
     async def test_unavailable(self) -> None:
         """Every failure, including a timeout, raises RatingError."""
-        ask = rating.RatingAsk('r1', VERSION, 'text')
+        ask = rating.RatingRequest('r1', VERSION, 'text')
         for fault_settings in UNUSABLE:
             with self.subTest(str(fault_settings)):
                 await self.put_faults_by_http(self.standin, fault_settings)
--- a/beryllug/standins/plain_service.py
+++ b/beryllug/standins/plain_service.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from beryllug.drivers import http_data
-from beryllug.standins import engine_answers, faults, party
+from beryllug.standins import engine_responses, faults, http_stand_in
 
 
 class PlainServiceCfg(NamedTuple):
@@ -109,11 +109,11 @@
         await response.respond_json(HTTPStatus.CREATED, document)
 
 
-def stand_in(cfg: PlainServiceCfg | None = None) -> party.StandIn:
+def stand_in(cfg: PlainServiceCfg | None = None) -> http_stand_in.StandIn:
     """Create a plain service stand-in; `start` opens its sockets."""
     injector = faults.FaultInjector()
     behaviour = PlainServiceBehaviour(cfg or PlainServiceCfg(), injector)
-    server = party.StandIn(behaviour, injector)
+    server = http_stand_in.StandIn(behaviour, injector)
     behaviour.on_poison = server.crash
     return server
 
@@ -129,6 +129,6 @@
         req.headers.get('idempotency-key', ''),
         req.headers.get('x-request-id', ''),
         req.headers.get('x-account', ''),
-        engine_answers.digest(req.body.decode(errors='replace')),
+        engine_responses.digest(req.body.decode(errors='replace')),
         time.time(),
     )
--- a/beryllug/standins/platform_runner.py
+++ b/beryllug/standins/platform_runner.py
@@ -4,8 +4,8 @@
 caches the processed prefixes by model. It reports a model's confidence,
 resumes a stream after a given event, seals its responses and rejects requests
 meant for another instance. Besides the faults common to all stand-ins it has
-faults of its own, set by the attributes `cut_after`, `stall_after`,
-`is_sealed`, `refused_model` and `states`.
+faults of its own, set by the attributes `abort_at_event`, `stall_at_event`,
+`is_sealed`, `refused_model` and `reported_status`.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 from beryllug.drivers import http_data
 from beryllug.platform import names, requests
-from beryllug.standins import faults, party
+from beryllug.standins import faults, http_stand_in
 
 MS = 1000
 PERCENT = 100
@@ -73,7 +73,7 @@
     at: float
 
 
-class Statement(NamedTuple):
+class ServerStatus(NamedTuple):
     """Server status that a server reports in its response headers.
 
     Attributes:
@@ -88,7 +88,7 @@
     retry_after_s: float | None = None
 
 
-class Arrival(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """A request that reached the server, whether run or rejected.
 
     Attributes:
@@ -99,15 +99,16 @@
 
     attempt_id: str
     at: float
-    answered: Statement
+    answered: ServerStatus
 
 
 class PlatformRunner:
     """Behaviour of a backend server, independent of sockets.
 
     Attributes:
-        states: Server status that its responses report.
-        arrivals: Requests that reached it and were meant for this instance.
+        reported_status: Server status that its responses report.
+        received_requests: Requests that reached it and were meant for this
+            instance.
     """
 
     def __init__(
@@ -118,12 +119,12 @@
         self.runs: list[Run] = []
         self.completed_attempts: list[str] = []
         self.rejected_count = 0
-        self.cut_after: int | None = None
-        self.stall_after: int | None = None
+        self.abort_at_event: int | None = None
+        self.stall_at_event: int | None = None
         self.is_sealed = True
         self.refused_model = ''
-        self.states = Statement()
-        self.arrivals: list[Arrival] = []
+        self.reported_status = ServerStatus()
+        self.received_requests: list[ReceivedRequest] = []
         self._injector = injector
         self._running = 0
         self._cached_prefixes: set[tuple[str, str]] = set()
@@ -146,8 +147,10 @@
         if expected != self.cfg.instance:
             await self._refuse(HTTPStatus.MISDIRECTED_REQUEST, response)
             return
-        self.arrivals.append(
-            Arrival(parsed.attempt_id, time.monotonic(), self.states)
+        self.received_requests.append(
+            ReceivedRequest(
+                parsed.attempt_id, time.monotonic(), self.reported_status
+            )
         )
         if self._is_refused(parsed):
             await self._refuse(HTTPStatus.SERVICE_UNAVAILABLE, response)
@@ -158,19 +161,21 @@
         finally:
             self._running -= 1
 
-    def _is_refused(self, parsed: requests.Asked) -> bool:
+    def _is_refused(self, parsed: requests.RequestHeaders) -> bool:
         is_full = self._running >= self.cfg.slots + self.cfg.queue
         is_refused_model = bool(parsed.model) and (
             parsed.model == self.refused_model
         )
         return (
-            is_full or is_refused_model or self.states.retry_after_s is not None
+            is_full
+            or is_refused_model
+            or self.reported_status.retry_after_s is not None
         )
 
     async def _run(
         self,
         req: http_data.Request,
-        parsed: requests.Asked,
+        parsed: requests.RequestHeaders,
         response: faults.Response,
     ) -> None:
         if parsed.shared or parsed.own_tokens:
@@ -197,7 +202,7 @@
             await response.respond(HTTPStatus.OK, body, self._headers(parsed))
         self.completed_attempts.append(parsed.attempt_id)
 
-    async def _prefill(self, parsed: requests.Asked) -> None:
+    async def _prefill(self, parsed: requests.RequestHeaders) -> None:
         prefix = (parsed.model, parsed.shared)
         tokens = parsed.own_tokens
         if prefix not in self._cached_prefixes:
@@ -209,7 +214,7 @@
         self._cached_prefixes.add(prefix)
 
     async def _stream(
-        self, parsed: requests.Asked, response: faults.Response
+        self, parsed: requests.RequestHeaders, response: faults.Response
     ) -> None:
         headers = self._headers(parsed)
         headers[names.CONTENT_TYPE] = names.EVENT_STREAM
@@ -217,10 +222,10 @@
         first = int(parsed.last_event or 0) + 1
         await response.start(HTTPStatus.OK, headers)
         for number in range(first, self.cfg.events + 1):
-            if number == self.cut_after:
+            if number == self.abort_at_event:
                 await response.send(b'id: %d\ndata: ha' % number)
                 response.abort_connection()
-            if number == self.stall_after:
+            if number == self.stall_at_event:
                 await asyncio.Event().wait()
             data = f'{parsed.model} {number}'
             event = f'id: {number}\ndata: {data}\n\n'
@@ -232,11 +237,11 @@
         self.rejected_count += 1
         headers = {names.NOT_RUN: '1', names.INSTANCE: self.cfg.instance}
         is_unavailable = status == HTTPStatus.SERVICE_UNAVAILABLE
-        if is_unavailable and self.states.retry_after_s is not None:
-            headers[names.RETRY_AFTER] = str(self.states.retry_after_s)
+        if is_unavailable and self.reported_status.retry_after_s is not None:
+            headers[names.RETRY_AFTER] = str(self.reported_status.retry_after_s)
         await response.respond(status, b'', headers | self._status_headers())
 
-    def _headers(self, parsed: requests.Asked) -> dict[str, str]:
+    def _headers(self, parsed: requests.RequestHeaders) -> dict[str, str]:
         headers = {names.ATTEMPT: parsed.attempt_id}
         if self.is_sealed:
             headers[names.SEAL] = f'{self.cfg.instance}.{parsed.attempt_id}'
@@ -245,20 +250,20 @@
     def _status_headers(self) -> dict[str, str]:
         """Return the headers that report the server status."""
         reported = {}
-        if self.states.limit_per_s is not None:
-            reported[names.LIMIT] = str(self.states.limit_per_s)
-        if self.states.is_leaving:
+        if self.reported_status.limit_per_s is not None:
+            reported[names.LIMIT] = str(self.reported_status.limit_per_s)
+        if self.reported_status.is_leaving:
             reported[names.LEAVING] = '1'
         return reported
 
 
-def stand_in(cfg: PlatformRunnerCfg) -> party.StandIn:
+def stand_in(cfg: PlatformRunnerCfg) -> http_stand_in.StandIn:
     """Create a backend server stand-in; `start` opens its sockets."""
     injector = faults.FaultInjector()
-    return party.StandIn(PlatformRunner(cfg, injector), injector)
+    return http_stand_in.StandIn(PlatformRunner(cfg, injector), injector)
 
 
-def _confidence(parsed: requests.Asked) -> int:
+def _confidence(parsed: requests.RequestHeaders) -> int:
     """Return the confidence; small models are sure in about half the cases."""
     if not parsed.model.startswith('small'):
         return FULL_CONFIDENCE
--- a/beryllug/standins/platform_site.py
+++ b/beryllug/standins/platform_site.py
@@ -20,7 +20,7 @@
 from beryllug.standins import (
     faults,
     fleet_settings,
-    party,
+    http_stand_in,
     platform_runner,
     platform_store,
     processes,
@@ -92,20 +92,20 @@
     """A deployment for one test.
 
     Attributes:
-        asked_of: Router name by attempt id.
+        router_by_attempt: Router name by attempt id.
     """
 
     def __init__(self) -> None:
         """Create an empty deployment; `open` starts the store."""
-        self.store_party = platform_store.PlatformStore(
+        self.store_behaviour = platform_store.PlatformStore(
             platform_store.PlatformStoreCfg()
         )
         self.runners: dict[str, platform_runner.PlatformRunner] = {}
-        self.stand_ins: dict[str, party.StandIn] = {}
+        self.stand_ins: dict[str, http_stand_in.StandIn] = {}
         self.routers: list[Router] = []
-        self.lines: list[dict[str, Any]] = []
-        self.shown_addresses: dict[str, str] = {}
-        self.asked_of: dict[str, str] = {}
+        self.log_records: list[dict[str, Any]] = []
+        self.listed_addresses: dict[str, str] = {}
+        self.router_by_attempt: dict[str, str] = {}
         self._settings_texts: dict[str, str] = {}
         self._zones: dict[str, str] = {}
         self._client = http_client.HttpClient()
@@ -115,8 +115,8 @@
             fleet_settings.unique_loopback_host(),
         )
         self._stack = contextlib.AsyncExitStack()
-        self.store_stand_in = party.StandIn(
-            self.store_party, faults.FaultInjector()
+        self.store_stand_in = http_stand_in.StandIn(
+            self.store_behaviour, faults.FaultInjector()
         )
 
     async def open(self) -> None:
@@ -134,7 +134,7 @@
 
     def put_table(self, document: dict[str, Any]) -> None:
         """Write a route table as an operator does."""
-        self.store_party.put(store.TABLES, store.TABLE, document)
+        self.store_behaviour.put(store.TABLES, store.TABLE, document)
 
     async def add_runner(
         self,
@@ -151,7 +151,7 @@
         stand_in = platform_runner.stand_in(cfg)
         await stand_in.start(self._hosts[0])
         self.stand_ins[instance] = stand_in
-        runner = stand_in.party
+        runner = stand_in.service_behaviour
         assert isinstance(runner, platform_runner.PlatformRunner)
         self.runners[instance] = runner
         if is_listed:
@@ -180,7 +180,7 @@
         address = self.stand_ins[instance].address
         spec = {
             'service': service,
-            'address': self.shown_addresses.get(instance, address),
+            'address': self.listed_addresses.get(instance, address),
             'zone': self._zones[instance],
             'version': cfg.version,
             'slots': cfg.slots,
@@ -188,7 +188,7 @@
             'born': born,
             'cold_remaining_ms': cold_ms,
         }
-        self.store_party.put(store.SERVERS, instance, spec)
+        self.store_behaviour.put(store.SERVERS, instance, spec)
 
     async def add_router(self, **settings: Any) -> Router:
         """Start a router and wait until it is ready."""
@@ -196,7 +196,7 @@
         cfg = process_settings.router
         assert cfg is not None
         services = compose_router.compose(
-            process_settings, cfg, _LogRecorder(self.lines)
+            process_settings, cfg, _LogRecorder(self.log_records)
         )
         await services.start()
         router = Router(process_settings.process.name, cfg, services)
@@ -222,7 +222,7 @@
         await self.until_ready(router)
         return router
 
-    async def respawn(
+    async def restart_router(
         self, running: processes.Processes, router: Router
     ) -> None:
         """Restart a router process with its previous settings."""
@@ -261,13 +261,13 @@
             headers: Overrides of the default headers, with underscores.
         """
         attempt_id = f'try-{next(self._numbers):06}'
-        self.asked_of[attempt_id] = router.name
+        self.router_by_attempt[attempt_id] = router.name
         headers_sent = caller_headers(path, attempt_id)
         changed = {
             name.replace('_', '-'): text for name, text in headers.items()
         }
         outgoing = http_data.Outgoing(
-            method, path, headers_sent | changed, body, fresh=True
+            method, path, headers_sent | changed, body, new_connection=True
         )
         incoming, content = await self._client.call(
             router.cfg.listen, outgoing, TIMEOUT_S
@@ -276,7 +276,7 @@
 
     def logged(self, event: str) -> list[dict[str, Any]]:
         """Return the log lines of an event."""
-        return [line for line in self.lines if line['event'] == event]
+        return [line for line in self.log_records if line['event'] == event]
 
     def _settings(self, **settings: Any) -> settings_data.Settings:
         # Each deployment has its own addresses. With a shared address,
--- a/beryllug/standins/platform_store.py
+++ b/beryllug/standins/platform_store.py
@@ -14,7 +14,7 @@
 
 from beryllug.drivers import http_data
 from beryllug.platform import names
-from beryllug.standins import faults, party, rate
+from beryllug.standins import faults, http_stand_in, rate
 
 MS = 1000
 
@@ -41,7 +41,7 @@
     is_gone: bool
 
 
-class Copy(NamedTuple):
+class Snapshot(NamedTuple):
     """A snapshot of the store."""
 
     revision: int
@@ -96,7 +96,7 @@
         )
         return self.revision
 
-    def drop(self, kind: str, name: str) -> None:
+    def remove(self, kind: str, name: str) -> None:
         """Remove an object."""
         shown = self._stored.pop((kind, name))
         self.revision += 1
@@ -108,16 +108,16 @@
         """Return the status of an object; None if there is none."""
         return self._stored.get((kind, name), {}).get('status')
 
-    def copy(self) -> Copy:
-        """Take a snapshot for `return_from`."""
-        return Copy(
+    def take_snapshot(self) -> Snapshot:
+        """Take a snapshot for `restore`."""
+        return Snapshot(
             self.revision,
             self._oldest,
             dict(self._stored),
             list(self.history),
         )
 
-    def return_from(self, snapshot: Copy) -> None:
+    def restore(self, snapshot: Snapshot) -> None:
         """Restore a snapshot and start a new era; later writes are lost."""
         self.era += 1
         self.reported_era = str(self.era)
@@ -167,7 +167,7 @@
             case 'get':
                 status, found = self._get(parts)
             case 'delete':
-                self.drop(parts[0], url_parse.unquote(parts[1]))
+                self.remove(parts[0], url_parse.unquote(parts[1]))
             case _:
                 body = msgspec.json.decode(req.body)
                 status, found = self._write(operation, parts, body)
@@ -257,9 +257,9 @@
     return {names.ERA: reported_era} if reported_era else {}
 
 
-def stand_in(cfg: PlatformStoreCfg) -> party.StandIn:
+def stand_in(cfg: PlatformStoreCfg) -> http_stand_in.StandIn:
     """Create an object store stand-in; `start` opens its sockets."""
-    return party.StandIn(PlatformStore(cfg), faults.FaultInjector())
+    return http_stand_in.StandIn(PlatformStore(cfg), faults.FaultInjector())
 
 
 def _operation(method: str, parts: list[str], params: dict[str, str]) -> str:
--- a/beryllug/standins/platform_store_test.py
+++ b/beryllug/standins/platform_store_test.py
@@ -17,7 +17,7 @@
         self.stand_in = platform_store.stand_in(
             platform_store.PlatformStoreCfg(page=2)
         )
-        party = self.stand_in.party
+        party = self.stand_in.service_behaviour
         assert isinstance(party, platform_store.PlatformStore)
         self.party = party
         address = await self.stand_in.start()
@@ -46,9 +46,9 @@
         self.party.put('servers', 'a', {'x': 1})
         revision = self._stamp()
         self.party.put('servers', 'b', {'x': 2})
-        self.party.drop('servers', 'a')
+        self.party.remove('servers', 'a')
         changes = await self.api.watch('servers', revision, 1)
-        seen = [(each.stored.name, each.is_gone) for each in changes.changes]
+        seen = [(each.stored.name, each.is_deleted) for each in changes.changes]
         self.assertEqual(seen, [('b', False), ('a', True)])
         again = await self.api.watch('servers', changes.revision, 0.05)
         self.assertEqual(again.changes, ())
@@ -91,11 +91,11 @@
 
     async def test_restored(self) -> None:
         """A revision reused after a restore is not taken for the old one."""
-        copy = self.party.copy()
+        copy = self.party.take_snapshot()
         self.party.put('rollouts', 'pool', {'target': 'v2'})
         before = self._stamp()
         await self.api.list_page('rollouts')
-        self.party.return_from(copy)
+        self.party.restore(copy)
         self.party.put('rollouts', 'pool', {'target': 'v3'})
         self.assertEqual(self.party.revision, stamps.revision(before))
         with self.assertRaises(object_data.CompactedError):
@@ -110,11 +110,11 @@
 
     async def test_write_during_restore(self) -> None:
         """A write during a restore has an uncertain outcome."""
-        copy = self.party.copy()
+        copy = self.party.take_snapshot()
         self.party.put('rollouts', 'pool', {'target': 'v2'})
         before = self._stamp()
         await self.api.list_page('rollouts')
-        self.party.return_from(copy)
+        self.party.restore(copy)
         self.party.put('rollouts', 'pool', {'target': 'v2'})
         self.api.eras.era = 1
         with self.assertRaises(object_data.UncertainError):
@@ -126,14 +126,14 @@
         """A list that spans a restore raises CompactedError."""
         for name in ('a', 'b', 'c'):
             self.party.put('servers', name, {})
-        copy = self.party.copy()
+        copy = self.party.take_snapshot()
         listing = asyncio.create_task(
             store_listing.list_all(self.api, 'servers', 0.2)
         )
         while not self.party.calls:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)
-        self.party.return_from(copy)
+        self.party.restore(copy)
         with self.assertRaises(object_data.CompactedError):
             await listing
 
@@ -148,7 +148,7 @@
             ('99999999', False, 2, 3),
         )
         unreadable: list[str] = []
-        self.api.eras.on_unreadable = unreadable.append
+        self.api.eras.on_invalid = unreadable.append
         for reported, is_refused, era, count in table:
             with self.subTest(reported):
                 self.party.reported_era = reported
--- a/beryllug/standins/processes.py
+++ b/beryllug/standins/processes.py
@@ -54,11 +54,11 @@
         """Send a signal to a daemon."""
         self._running[name].send_signal(number)
 
-    def freeze(self, name: str) -> None:
+    def pause(self, name: str) -> None:
         """Pause a daemon with SIGSTOP."""
         self.signal(name, signal.SIGSTOP)
 
-    def thaw(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Resume a paused daemon; does nothing if it was killed meanwhile.
 
         Two faults may affect the same daemon. On a busy machine, the fault
@@ -67,7 +67,7 @@
         if name in self._running:
             self.signal(name, signal.SIGCONT)
 
-    def rewrite(self, name: str, old: str, new: str) -> None:
+    def replace_setting(self, name: str, old: str, new: str) -> None:
         """Replace a text in a daemon's settings file."""
         path = self._settings_path(name)
         text = path.read_text(encoding='utf-8')
--- a/beryllug/standins/processes_test.py
+++ b/beryllug/standins/processes_test.py
@@ -16,9 +16,9 @@
         """
         running = processes.Processes()
         await running.spawn('one', 'no settings')
-        running.freeze('one')
+        running.pause('one')
         await running.kill('one')
-        running.thaw('one')
+        running.resume('one')
         self.assertEqual(running.names(), ())
         await running.stop()
 
--- a/beryllug/standins/rating.py
+++ b/beryllug/standins/rating.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from beryllug.drivers import http_data
-from beryllug.standins import engine_answers, faults, party
+from beryllug.standins import engine_responses, faults, http_stand_in
 
 UNKNOWN_QUALITY = 0.5
 HASH_RANGE = 65535
@@ -73,7 +73,7 @@
         """Lose no state in a crash."""
 
     def _rate(self, text: str) -> float:
-        quality = engine_answers.quality_in(text)
+        quality = engine_responses.quality_in(text)
         if quality is None:
             return UNKNOWN_QUALITY
         drawn = hashlib.sha256(text.encode()).digest()[:2]
@@ -81,11 +81,11 @@
         return quality + offset * self._cfg.noise
 
 
-def stand_in(cfg: RatingCfg | None = None) -> party.StandIn:
+def stand_in(cfg: RatingCfg | None = None) -> http_stand_in.StandIn:
     """Create a rating service stand-in; `start` opens its sockets."""
     injector = faults.FaultInjector()
     behaviour = RatingBehaviour(cfg or RatingCfg(), injector)
-    return party.StandIn(behaviour, injector)
+    return http_stand_in.StandIn(behaviour, injector)
 
 
 def _clamp(rating: float) -> float:
--- a/beryllug/standins/records.py
+++ b/beryllug/standins/records.py
@@ -9,7 +9,7 @@
     engine_runs,
     harness,
     object_api,
-    party,
+    http_stand_in,
     plain_service,
 )
 
@@ -18,14 +18,14 @@
 
 def rows(fleet: harness.Fleet) -> Iterator[journal_data.Row]:
     """Yield every journal row that the platform stores."""
-    behaviour = fleet.platform.party
+    behaviour = fleet.platform.service_behaviour
     assert isinstance(behaviour, object_api.ObjectApiBehaviour)
     for stored in behaviour.store.stored():
         if stored.key.startswith(SEGMENTS):
-            yield from segments.decode(stored.value).rows
+            yield from segments.decode_segment(stored.value).rows
 
 
-def bills(fleet: harness.Fleet) -> dict[str, list[journal_data.Row]]:
+def outcome_rows(fleet: harness.Fleet) -> dict[str, list[journal_data.Row]]:
     """Return outcome rows by request id; more than one is a fault."""
     found: dict[str, list[journal_data.Row]] = {}
     for row in rows(fleet):
@@ -40,8 +40,8 @@
     """Return the runs of all model engines, or of the given ones."""
     found: list[engine_runs.RunRecord] = []
     for stand_in in _select(fleet, servers):
-        if isinstance(stand_in.party, engine.EngineParty):
-            found.extend(stand_in.party.worker.records)
+        if isinstance(stand_in.service_behaviour, engine.EngineBehaviour):
+            found.extend(stand_in.service_behaviour.worker.records)
     return found
 
 
@@ -51,14 +51,16 @@
     """Return the runs of all plain services, or of the given ones."""
     found: list[plain_service.PlainRun] = []
     for stand_in in _select(fleet, servers):
-        if isinstance(stand_in.party, plain_service.PlainServiceBehaviour):
-            found.extend(stand_in.party.runs)
+        if isinstance(
+            stand_in.service_behaviour, plain_service.PlainServiceBehaviour
+        ):
+            found.extend(stand_in.service_behaviour.runs)
     return found
 
 
 def _select(
     fleet: harness.Fleet, servers: Container[str] | None
-) -> list[party.StandIn]:
+) -> list[http_stand_in.StandIn]:
     return [
         stand_in
         for server_id, stand_in in fleet.servers.items()
--- a/beryllug/standins/server_rules.py
+++ b/beryllug/standins/router_checks.py
@@ -20,17 +20,17 @@
 
     Attributes:
         attempt_id: Id of the attempt.
-        said_at: Monotonic time of the server's announcement, in seconds.
+        announced_at: Monotonic time of the server's announcement, in seconds.
         at: Monotonic time at which the request arrived, in seconds.
     """
 
     attempt_id: str
-    said_at: float
+    announced_at: float
     at: float
 
 
-def after_leaving(
-    arrivals: Iterable[platform_runner.Arrival], drain_s: float
+def find_after_leaving(
+    arrivals: Iterable[platform_runner.ReceivedRequest], drain_s: float
 ) -> list[Violation]:
     """Return requests that arrived too long after the server began to leave.
 
@@ -50,8 +50,8 @@
     return violations
 
 
-def during_backoff(
-    arrivals: Sequence[platform_runner.Arrival],
+def find_during_backoff(
+    arrivals: Sequence[platform_runner.ReceivedRequest],
 ) -> list[Violation]:
     """Return excess requests that arrived before the server's retry time.
 
--- a/beryllug/standins/serve.py
+++ b/beryllug/standins/serve.py
@@ -19,7 +19,7 @@
     host_list,
     object_api,
     options,
-    party,
+    http_stand_in,
     plain_service,
     rating,
     weight_store,
@@ -29,7 +29,7 @@
 class Kind(NamedTuple):
     """Factory of a kind of stand-in and the type of its options."""
 
-    make: Callable[[Any], party.StandIn]
+    make: Callable[[Any], http_stand_in.StandIn]
     cfg: type[Any]
 
 
@@ -50,7 +50,7 @@
 
 
 def serve(
-    kind: str, port: int = 0, host: str = party.HOST, **cfg_options: Any
+    kind: str, port: int = 0, host: str = http_stand_in.HOST, **cfg_options: Any
 ) -> None:
     """Run one stand-in until SIGTERM.
 
@@ -76,7 +76,7 @@
 
 
 async def _serve_until_signal(
-    stand_in_server: party.StandIn, host: str, port: int
+    stand_in_server: http_stand_in.StandIn, host: str, port: int
 ) -> None:
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
--- a/beryllug/standins/traffic.py
+++ b/beryllug/standins/traffic.py
@@ -77,7 +77,9 @@
         await asyncio.gather(*self._tasks)
         return self.sent
 
-    async def reach(self, count: int, within_s: float = 60.0) -> None:
+    async def wait_for_requests(
+        self, count: int, within_s: float = 60.0
+    ) -> None:
         """Wait until `count` more requests have completed."""
         wanted = len(self.sent) + count
 
@@ -86,11 +88,11 @@
 
         await harness.wait_for(reached, within_s)
 
-    def avoid(self, host: int) -> None:
+    def mark_host_down(self, host: int) -> None:
         """Stop sending to a host, as the load balancer would."""
         self._avoided.add(host)
 
-    def use(self, host: int) -> None:
+    def mark_host_up(self, host: int) -> None:
         """Resume sending to a host."""
         self._avoided.discard(host)
 
@@ -102,9 +104,9 @@
         while True:
             for index, _ in enumerate(self._fleet.hosts):
                 if await self._fleet.is_ready(f'entry-{index}'):
-                    self.use(index)
+                    self.mark_host_up(index)
                 else:
-                    self.avoid(index)
+                    self.mark_host_down(index)
             await asyncio.sleep(CHECK_S)
 
     async def _run(self, index: int) -> None:
--- a/beryllug/standins/weight_store.py
+++ b/beryllug/standins/weight_store.py
@@ -6,7 +6,7 @@
 from urllib import parse as url_parse
 
 from beryllug.drivers import http_data
-from beryllug.standins import engine_answers, faults, party, rate
+from beryllug.standins import engine_responses, faults, http_stand_in, rate
 
 ROOT = '/v1/weights/'
 GIB = 1024**3
@@ -56,7 +56,7 @@
             return
         document = {
             'size_bytes': self._cfg.size_bytes,
-            'digest': engine_answers.digest(name),
+            'digest': engine_responses.digest(name),
         }
         await response.respond_json(HTTPStatus.OK, document)
 
@@ -68,8 +68,8 @@
         """Lose no state in a crash."""
 
 
-def stand_in(cfg: WeightStoreCfg | None = None) -> party.StandIn:
+def stand_in(cfg: WeightStoreCfg | None = None) -> http_stand_in.StandIn:
     """Create a weight store stand-in; `start` opens its sockets."""
     injector = faults.FaultInjector()
     behaviour = WeightStoreBehaviour(cfg or WeightStoreCfg())
-    return party.StandIn(behaviour, injector)
+    return http_stand_in.StandIn(behaviour, injector)
