--- a/beryllug/core/record_codec.py
+++ b/beryllug/core/record_codec.py
@@ -63,7 +63,7 @@
 
 def _build_record(kind: Any, plain: Any) -> Any:
     if not isinstance(plain, Mapping):
-        raise TypeError(f'{kind.__name__} must be an object')
+        raise TypeError(f'{kind.__name__} needs an object')
     hints = _hints(kind)
     return kind(
         **{
