--- a/beryllug/platform/names.py
+++ b/beryllug/platform/names.py
@@ -36,7 +36,7 @@
 BEARER = 'bearer '
 ANY_MODEL = '*'
 
-# What a server states about itself, in the order of `statements.Texts`.
+# What a server states of itself, ordered as `server_headers.HeaderValues`.
 STATED = (LIMIT, LEAVING, RETRY_AFTER)
 # Answer headers that are read here, or are of use only to the caller.
 _READ_HEADERS = (ATTEMPT, CONFIDENCE, ERA, INSTANCE, NOT_RUN, SEAL, VERSIONS)
